--- /dev/null
+++ b/tests/surfaces/test_surface_api.py
@@ -0,0 +1,26 @@
+"""The APIs as clients see them: the OpenAPI document byte for byte, and the descriptors of `proto/`.
+
+Beside these, `tools/protos.py --check` keeps `kelpfront/v1` in step with `proto/`, and `tests/test_rest.py`
+and `tests/test_grpc.py` hold what the calls do. Golden files are rewritten as `surface_samples` says.
+"""
+
+from __future__ import annotations
+
+import pytest
+from clusters import cluster
+from surface_samples import SAMPLES, golden
+
+from kelpfront.http.client import HttpConnection
+
+
+@pytest.mark.parametrize("name", ["openapi.json", "descriptors.txt"])
+def test_the_apis_are_as_they_were(name: str) -> None:
+    assert SAMPLES[name]() == golden(name)
+
+
+async def test_the_document_is_served_byte_for_byte() -> None:
+    async with cluster(1) as (_, service, _client):
+        connection = await HttpConnection.open("127.0.0.1", service.http.port)
+        reply = await connection.request("GET", "/openapi/v3/apis/kelpfront.dev/v1")
+        connection.close()
+    assert (reply.status, reply.body) == (200, golden("openapi.json"))
--- /dev/null
+++ b/tests/surfaces/test_surface_commands.py
@@ -0,0 +1,56 @@
+"""Commands, their arguments and their flags; what is run by `python -m`; what a library user imports.
+
+Help texts are not held. That help names every command is in `tests/test_cli.py`. Golden files are rewritten
+as `surface_samples` says.
+"""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+
+import pytest
+from surface_samples import SAMPLES, golden
+
+
+def test_commands_and_flags_are_as_they_were() -> None:
+    assert SAMPLES["commands.json"]() == golden("commands.json")
+
+
+@pytest.mark.parametrize(
+    ("module", "says"),
+    [
+        (
+            "kelpfront.platform",
+            "kelpfront.platform: LB_CONFIG: the path of the configuration file is wanted\n",
+        ),
+        ("kelpfront.watch", "usage: python -m kelpfront.watch FILE\n"),
+    ],
+)
+def test_a_program_without_its_file_says_what_it_wants(module: str, says: str) -> None:
+    environment = {key: value for key, value in os.environ.items() if key != "LB_CONFIG"}
+    ended = subprocess.run(
+        [sys.executable, "-m", module], env=environment, capture_output=True, text=True, timeout=60
+    )
+    assert (ended.returncode, ended.stdout, ended.stderr) == (2, "", says)
+
+
+def test_the_platforms_program_takes_its_file_from_the_environment() -> None:
+    ended = subprocess.run(
+        [sys.executable, "-m", "kelpfront.platform"],
+        env=os.environ | {"LB_CONFIG": "no-such-file.json"},
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
+    assert (ended.returncode, ended.stdout) == (2, "")
+    assert ended.stderr == "kelpfront.platform: no-such-file.json: No such file or directory\n"
+
+
+def test_the_library_gives_its_scheduler() -> None:
+    import kelpfront
+    from kelpfront import Scheduler
+
+    assert kelpfront.__all__ == ["Scheduler"]
+    assert kelpfront.Scheduler is Scheduler
--- /dev/null
+++ b/tests/surfaces/test_surface_wires.py
@@ -0,0 +1,32 @@
+"""What is sent and read on each wire: the platform's lines, machines' messages, frames and datagrams.
+
+`tests/test_platform_core.py`, `tests/test_node.py`, `tests/test_wire.py` and `tests/test_liveness.py` hold
+what is done about each, and what is refused. Golden files are rewritten as `surface_samples` says.
+"""
+
+from __future__ import annotations
+
+import pytest
+from surface_samples import MACHINE_MESSAGES, SAMPLES, golden
+
+NAMES = [
+    "platform-dialogue.txt",
+    "machine-messages.txt",
+    "simulator-batch.hex",
+    "simulator-batch-read.json",
+    "simulator-replies.hex",
+    "datagrams.hex",
+    "datagrams-read.json",
+]
+
+
+@pytest.mark.parametrize("name", NAMES)
+def test_wires_are_as_they_were(name: str) -> None:
+    assert SAMPLES[name]() == golden(name)
+
+
+def test_messages_of_machines_are_read_as_they_were_meant() -> None:
+    rows = dict(line.split(b" ", 1) for line in golden("machine-messages.txt").splitlines())
+    assert [name.decode() for name in rows] == list(MACHINE_MESSAGES)
+    for name, (meant, decode) in MACHINE_MESSAGES.items():
+        assert decode(rows[name.encode()]) == meant, name
