--- a/tests/surfaces/surface_samples.py
+++ b/tests/surfaces/surface_samples.py
@@ -14,6 +14,7 @@
 import dataclasses
 import json
 import math
+import random
 import shutil
 import sqlite3
 import struct
@@ -39,8 +40,10 @@
 from kelpfront.config import reader as settings
 from kelpfront.fronts.rest import discovery
 from kelpfront.liveness import digest
+from kelpfront.machine import convert as machine_grpc
 from kelpfront.machine import messages as machine
 from kelpfront.platform import config as platform_config
+from kelpfront.platform import coordinator as platform_coordinator
 from kelpfront.platform import directory as platform_directory
 from kelpfront.platform import intents, messages
 from kelpfront.platform.core import Core
@@ -102,6 +105,12 @@
     return msgspec.json.encode(discovery.openapi())
 
 
+def discovery_documents() -> bytes:
+    """What clients find their way by, beside the OpenAPI document; `/version` tells of the host."""
+    documents = (discovery.core_versions, discovery.groups, discovery.group, discovery.resources)
+    return as_json([document() for document in documents])
+
+
 def descriptors() -> bytes:
     parts = []
     for module in (api_pb2, node_pb2, resources_pb2):
@@ -253,6 +262,23 @@
             self._take()
         self._now = until
 
+    def probe(self, call: str) -> None:
+        self._core.probes.ask(self._now, self._machine, call, 500.0)
+        self._take()
+
+    def drain(self) -> None:
+        """The list says that the machine is about to go, and names another."""
+        config = platform_config.config_of(json.loads(golden("platform-config-full.json")))
+        members = json.loads(golden("drain.json"))
+        self.lines.append("the machine drains, another is listed")
+        self._core.listed(self._now, *platform_directory.events_of(members, config))
+        self._core.freshness.heard(self._now)
+        self._take()
+
+    def close(self) -> None:
+        self.lines.append("the placer takes no more")
+        self._core.closing = True
+
     def machine_process_gone(self) -> None:
         self.lines.append("the machine's process is gone")
         self._core.process_gone(self._now, self._machine)
@@ -305,7 +331,39 @@
     its.offer("00000000000000aa")
     its.later(6_000)
     its.owner("00000000000000ab", "something-new")
-    return "\n".join([*its.lines, ""]).encode()
+    its.probe("00000000000000ac")
+    its.machine("00000000000000ac", "tested", **{"with": {"load": load}, "why": 1})
+    return "\n".join([*its.lines, *_dialogue_of_a_drain(), ""]).encode()
+
+
+def _dialogue_of_a_drain() -> list[str]:
+    its = PlatformDialogue()
+    its.placed("00000000000000ad")
+    its.drain()
+    its.later(3_000)
+    its.machine("00000000000000ad", "end", why=31)
+    its.close()
+    its.offer("00000000000000ae")
+    return its.lines
+
+
+async def coordinator_request() -> bytes:
+    """The first line of the request by which a placer follows the coordinator's list."""
+    heard: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        heard.set_result(await reader.readline())
+        writer.close()
+
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
+    address = platform_config.Address("127.0.0.1", server.sockets[0].getsockname()[1])
+    follower = platform_coordinator.Follower(address, lambda: 41, print, random.Random(SEED), 1_000.0)
+    follower.start()
+    async with asyncio.timeout(20):
+        line = await heard
+    follower.stop()
+    server.close()
+    return line
 
 
 # ---- Machines' protocol -----------------------------------------------------------------------------------
@@ -375,6 +433,30 @@
     )
 
 
+def machine_grpc_messages() -> bytes:
+    """The same messages as they go over gRPC."""
+    sent: list[tuple[str, Any]] = [
+        ("offer", machine_grpc.offer_message(_OFFER)),
+        ("offer-plain", machine_grpc.offer_message(_PLAIN_OFFER)),
+    ]
+    for name, (message, _) in MACHINE_MESSAGES.items():
+        if isinstance(message, machine.Answer):
+            sent.append((name, machine_grpc.answer_message("uid-a-2", 1, message)))
+        elif isinstance(message, machine.StreamMessage):
+            sent.append((name, machine_grpc.stream_message(message)))
+    return as_hex([(name, message.SerializeToString(deterministic=True)) for name, message in sent])
+
+
+def machine_grpc_read(name: str, data: bytes) -> Any:
+    """A message from gRPC, as it is in MACHINE_MESSAGES."""
+    if name.startswith("offer"):
+        return machine_grpc.read_offer(node_pb2.OfferTask.FromString(data))
+    message = node_pb2.NodeMessage.FromString(data)
+    if name.startswith("answer"):
+        return machine_grpc.read_answer(message.answer)
+    return machine_grpc.read_stream_message(message)
+
+
 # ---- The simulator's frames -------------------------------------------------------------------------------
 
 _ADDRESS, _PORT, _INSTANCE = 0x0A0B0C0D, 8080, 3
@@ -423,7 +505,16 @@
 
 
 def simulator_batch_read() -> bytes:
-    return as_json(simulator.Decoder().batch(from_hex(golden("simulator-batch.hex"))["batch"]))
+    clock, number, events = simulator.Decoder().batch(from_hex(golden("simulator-batch.hex"))["batch"])
+    load_fields = [field.name for field in dataclasses.fields(api.Load)]
+    shown = []
+    for instance, event in events:
+        if isinstance(event, simulator.Born):
+            its_load = [load_fields.index(name) for name in event.load_names]
+            shown.append([instance, [event.seed, values(event.settings), its_load]])
+        else:
+            shown.append([instance, values(event)])
+    return as_json([clock, number, shown])
 
 
 def simulator_replies() -> bytes:
@@ -571,6 +662,7 @@
 # What each golden file must be. Files that are read by a later one come before it.
 SAMPLES: dict[str, Callable[[], bytes]] = {
     "openapi.json": openapi,
+    "discovery.json": discovery_documents,
     "descriptors.txt": descriptors,
     "settings-keys.ini": settings_keys,
     "settings-read.json": settings_read,
@@ -583,6 +675,7 @@
     "commands.json": commands,
     "platform-dialogue.txt": platform_dialogue,
     "machine-messages.txt": machine_messages,
+    "machine-grpc-messages.hex": machine_grpc_messages,
     "simulator-batch.hex": simulator_batch_hex,
     "simulator-batch-read.json": simulator_batch_read,
     "simulator-replies.hex": simulator_replies,
--- a/tests/surfaces/test_surface_api.py
+++ b/tests/surfaces/test_surface_api.py
@@ -1,4 +1,4 @@
-"""The APIs as clients see them: the OpenAPI document byte for byte, and the descriptors of `proto/`.
+"""The APIs as clients see them: discovery, the OpenAPI document byte for byte, the descriptors of `proto/`.
 
 Beside these, `tools/protos.py --check` keeps `kelpfront/v1` in step with `proto/`, and `tests/test_rest.py`
 and `tests/test_grpc.py` hold what the calls do. Golden files are rewritten as `surface_samples` says.
@@ -13,7 +13,7 @@
 from kelpfront.http.client import HttpConnection
 
 
-@pytest.mark.parametrize("name", ["openapi.json", "descriptors.txt"])
+@pytest.mark.parametrize("name", ["openapi.json", "discovery.json", "descriptors.txt"])
 def test_the_apis_are_as_they_were(name: str) -> None:
     assert SAMPLES[name]() == golden(name)
 
--- a/tests/surfaces/test_surface_wires.py
+++ b/tests/surfaces/test_surface_wires.py
@@ -7,11 +7,19 @@
 from __future__ import annotations
 
 import pytest
-from surface_samples import MACHINE_MESSAGES, SAMPLES, golden
+from surface_samples import (
+    MACHINE_MESSAGES,
+    SAMPLES,
+    coordinator_request,
+    from_hex,
+    golden,
+    machine_grpc_read,
+)
 
 NAMES = [
     "platform-dialogue.txt",
     "machine-messages.txt",
+    "machine-grpc-messages.hex",
     "simulator-batch.hex",
     "simulator-batch-read.json",
     "simulator-replies.hex",
@@ -30,3 +38,12 @@
     assert [name.decode() for name in rows] == list(MACHINE_MESSAGES)
     for name, (meant, decode) in MACHINE_MESSAGES.items():
         assert decode(rows[name.encode()]) == meant, name
+
+
+def test_messages_of_machines_over_grpc_are_read_as_they_were_meant() -> None:
+    for name, data in from_hex(golden("machine-grpc-messages.hex")).items():
+        assert machine_grpc_read(name, data) == MACHINE_MESSAGES[name][0], name
+
+
+async def test_a_placer_asks_the_coordinator_as_it_did() -> None:
+    assert await coordinator_request() == b"GET /v2/stream?follow=41&wait_ms=0 HTTP/1.1\r\n"
