--- a/tests/surfaces/surface_samples.py
+++ b/tests/surfaces/surface_samples.py
@@ -6,6 +6,9 @@
 The golden files are rewritten by this command alone, never by a test; look at `git diff` afterwards:
 
     PYTHONPATH=tests .venv/bin/python tests/surfaces/surface_samples.py --write
+
+Four of them are inputs, written by hand, which the command reads and leaves as they are:
+`platform-config-full.json`, `platform-config-least.json`, `drain.json` and `simulator-settings.json`.
 """
 
 from __future__ import annotations
@@ -36,6 +39,7 @@
 from kelpfront import wire as simulator
 from kelpfront.agent import evidence, folders
 from kelpfront.agent import state as agent_state
+from kelpfront.cli.serve import addresses
 from kelpfront.config import agent as agent_settings
 from kelpfront.config import reader as settings
 from kelpfront.fronts.rest import discovery
@@ -48,6 +52,7 @@
 from kelpfront.platform import intents, messages
 from kelpfront.platform.core import Core
 from kelpfront.rules import Scheduler
+from kelpfront.service.app import PlacerService
 from kelpfront.store.journal import Journal, OsFiles
 from kelpfront.v1 import api_pb2, node_pb2, resources_pb2
 from kelpfront.watch import config as watch_config
@@ -212,6 +217,11 @@
     }
 
 
+def printed_addresses(service: PlacerService) -> dict[str, str]:
+    """What `kelpfront serve` prints as JSON once it serves."""
+    return addresses(service)
+
+
 # ---- The platform's lines ---------------------------------------------------------------------------------
 
 OWNER = 1
@@ -275,6 +285,14 @@
         self._core.freshness.heard(self._now)
         self._take()
 
+    def move(self, call: str) -> None:
+        """The scheduler wants a task that stands to be asked for again."""
+        found = self._core.calls.get(call)
+        assert found is not None
+        self.lines.append("the task is to move")
+        self._core._carry_out(self._now, api.Move(found.task))
+        self._take()
+
     def close(self) -> None:
         self.lines.append("the placer takes no more")
         self._core.closing = True
@@ -341,12 +359,40 @@
     its.placed("00000000000000ad")
     its.drain()
     its.later(3_000)
+    its.move("00000000000000ad")
+    its.owner("00000000000000ad", "end", why=16)
     its.machine("00000000000000ad", "end", why=31)
     its.close()
     its.offer("00000000000000ae")
     return its.lines
 
 
+def platform_words_read() -> bytes:
+    """What each word of a machine's line is taken as: reasons and causes of its end, notes, its load."""
+    told = [(note, why) for note in ("nc", "nm", "nq", "nh", "ev", "pre", "dr", "new") for why in (34, 47)]
+    told += [("", why) for why in (0, 16, 31, 34, 41, 42, 47, 81, 96, 100, 102)]
+    ends = {
+        f"{note} {why} {'placed' if placed else 'offered'}": messages.end_of(
+            _from_machine(why, note=note), placed
+        )
+        for note, why in told
+        for placed in (False, True)
+    }
+    notes = {
+        n: messages.note_of(_from_machine(0, note=n, value=0.5)) for n in ("live", "c", "m", "s", "p", "new")
+    }
+    loads = {
+        name: messages.load_of(_from_machine(0, load=f"{name}:1.5"))
+        for name in ("x0", "x1", "queue", "q", "busy")
+    }
+    return as_json([ends, notes, loads, messages.machine_number("m-1")])
+
+
+def _from_machine(why: int, **fields: Any) -> messages.Message:
+    line = {"op": "end", "call": "00000000000000a0", "with": fields, "why": why}
+    return messages.decode(json.dumps(line).encode())
+
+
 async def coordinator_request() -> bytes:
     """The first line of the request by which a placer follows the coordinator's list."""
     heard: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
@@ -674,6 +720,7 @@
     "directory-read.json": directory_read,
     "commands.json": commands,
     "platform-dialogue.txt": platform_dialogue,
+    "platform-words-read.json": platform_words_read,
     "machine-messages.txt": machine_messages,
     "machine-grpc-messages.hex": machine_grpc_messages,
     "simulator-batch.hex": simulator_batch_hex,
--- a/tests/surfaces/test_surface_commands.py
+++ b/tests/surfaces/test_surface_commands.py
@@ -11,7 +11,8 @@
 import sys
 
 import pytest
-from surface_samples import SAMPLES, golden
+from clusters import cluster
+from surface_samples import SAMPLES, golden, printed_addresses
 
 
 def test_commands_and_flags_are_as_they_were() -> None:
@@ -48,6 +49,11 @@
     assert ended.stderr == "kelpfront.platform: no-such-file.json: No such file or directory\n"
 
 
+async def test_a_placer_in_service_prints_where_it_is_reached() -> None:
+    async with cluster(1) as (_, service, _client):
+        assert printed_addresses(service) == {"url": f"http://127.0.0.1:{service.http.port}"}
+
+
 def test_the_library_gives_its_scheduler() -> None:
     import kelpfront
     from kelpfront import Scheduler
--- a/tests/surfaces/test_surface_wires.py
+++ b/tests/surfaces/test_surface_wires.py
@@ -18,6 +18,7 @@
 
 NAMES = [
     "platform-dialogue.txt",
+    "platform-words-read.json",
     "machine-messages.txt",
     "machine-grpc-messages.hex",
     "simulator-batch.hex",
