--- /dev/null
+++ b/tests/surfaces/surface_folders.py
@@ -0,0 +1,123 @@
+"""Samples of folders on disk: the store's journal and an agent's state."""
+
+from __future__ import annotations
+
+import asyncio
+import shutil
+import sqlite3
+import tempfile
+from collections.abc import Callable
+from pathlib import Path
+
+from surface_golden import BOOT, GOLDEN, SEED, as_json
+from surface_machines import OFFER, PLAIN_OFFER
+
+from kelpfront.agent import evidence, folders
+from kelpfront.agent import state as agent_state
+from kelpfront.machine import messages as machine
+from kelpfront.store.journal import Journal, OsFiles
+
+JOURNAL, AGENT_STATE = GOLDEN / "journal", GOLDEN / "agent-state"
+
+
+def write_journal(folder: Path) -> None:
+    """A store's folder: a snapshot, and records behind it."""
+    files = OsFiles(folder)
+    journal = Journal(files, lambda: SEED)
+    journal.open()
+    for number in range(3):
+        journal.append(f"record {number}".encode())
+    journal.snapshot([b"part 1", b"part 2"])
+    for number in range(3, 5):
+        journal.append(f"record {number}".encode())
+        journal.commit()
+    journal.close()
+    files.release()
+    (folder / "lock").unlink()
+
+
+def read_journal(folder: Path) -> bytes:
+    files = OsFiles(folder)
+    journal = Journal(files, lambda: SEED)
+    opened = journal.open()
+    journal.close()
+    files.release()
+    records = [[record.sequence, record.durable, record.payload.decode()] for record in opened.records]
+    snapshot = [part.decode() for part in opened.snapshot or ()]
+    return as_json([snapshot, records, opened.torn])
+
+
+def write_agent_state(folder: Path) -> None:
+    """An agent's folder: its state with a task that runs and one that is over, and the folders of both."""
+    asyncio.run(_write_state(folder))
+    for name in ("uid-a-2@1", "uid-b-0@0"):
+        (folder / "tasks" / name).mkdir(parents=True)
+    ended, running = folder / "tasks" / "uid-a-2@1", folder / "tasks" / "uid-b-0@0"
+    identity = {"pid": 4_000_001, "ticks": 77, "boot": BOOT}
+    request = machine.OfferRequest("p0", "life-1", OFFER)
+    log = {"log_bytes": 4096, "log_files": 1}
+    folders.write_once(ended, folders.TASK, evidence.task_record(request, BOOT, 1e9, {"PATH": "/bin"}, log))
+    folders.write_once(ended, folders.CLAIM, {"by": "supervisor", **identity})
+    folders.write_once(ended, folders.STARTED, {**identity, "at": 1e9})
+    folders.write_once(ended, folders.RUNNING, {"at": 1e9})
+    folders.write_once(ended, folders.watch_name(1), identity)
+    folders.write_once(ended, folders.STOP, {"cause": "evicted", "grace_ms": 2500.0})
+    folders.write_once(ended, folders.EXIT, {"ran": True, "at": 1e9, "code": 3, "cpu_s": 0.25})
+    evidence.void_start(running)
+
+
+async def _write_state(folder: Path) -> None:
+    state = agent_state.State(folder)
+    state.open()
+    state.start()
+    ended = agent_state.Recorded(machine.OfferRequest("p0", "life-1", OFFER), BOOT, 1e9, 1)
+    await state.intend(ended)
+    ended.end = agent_state.End("failed", True, 3, 0.25, "exit status 3")
+    ended.seq = 13
+    await state.ended(ended)
+    await state.heard([ended.key])
+    await state.intend(agent_state.Recorded(machine.OfferRequest("p1", "life-2", PLAIN_OFFER), BOOT, 2e9, 0))
+    await state.set_meta("unschedulable", "1")
+    await state.close()
+
+
+def dump_state(folder: Path) -> bytes:
+    """The state file as SQL: its bytes depend on the library's version."""
+    db = sqlite3.connect(f"file:{folder / 'state.db'}?mode=ro", uri=True)
+    try:
+        return "\n".join([*db.iterdump(), ""]).encode()
+    finally:
+        db.close()
+
+
+def read_agent_state(folder: Path) -> bytes:
+    """All that an agent that comes up makes of such a folder, which is changed by it: give it a copy."""
+    state = agent_state.State(folder)
+    opened = state.open()
+    asyncio.run(state.close())
+    found = [evidence.look(path, "boot-2", BOOT) for path in sorted((folder / "tasks").iterdir())]
+    task = folders.read(folder / "tasks" / "uid-a-2@1", folders.TASK)
+    assert task is not None
+    return as_json([opened, found, evidence.request_of(task)])
+
+
+def journal_read() -> bytes:
+    return _of_copy(JOURNAL, read_journal)
+
+
+def agent_state_read() -> bytes:
+    return _of_copy(AGENT_STATE, read_agent_state)
+
+
+def agent_state_dump() -> bytes:
+    return _of_copy(AGENT_STATE, dump_state)
+
+
+def _of_copy(folder: Path, read: Callable[[Path], bytes]) -> bytes:
+    with tempfile.TemporaryDirectory() as place:
+        return read(Path(shutil.copytree(folder, Path(place) / "copy")))
+
+
+def files_of(folder: Path) -> dict[str, bytes]:
+    paths = sorted(path for path in folder.rglob("*") if path.is_file())
+    return {str(path.relative_to(folder)): path.read_bytes() for path in paths}
--- /dev/null
+++ b/tests/surfaces/surface_published.py
@@ -0,0 +1,133 @@
+"""Samples of what people and clients are given: the APIs, settings files and commands."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+import click
+import msgspec
+from google.protobuf import text_format
+from google.protobuf.descriptor_pb2 import FileDescriptorProto
+from surface_golden import as_json, golden
+
+from kelpfront import cli
+from kelpfront.cli.serve import addresses
+from kelpfront.config import agent as agent_settings
+from kelpfront.config import reader as settings
+from kelpfront.fronts.rest import discovery
+from kelpfront.platform import config as platform_config
+from kelpfront.platform import directory as platform_directory
+from kelpfront.service.app import PlacerService
+from kelpfront.v1 import api_pb2, node_pb2, resources_pb2
+from kelpfront.watch import config as watch_config
+
+
+def openapi() -> bytes:
+    return msgspec.json.encode(discovery.openapi())
+
+
+def discovery_documents() -> bytes:
+    """What clients find their way by, beside the OpenAPI document; `/version` tells of the host."""
+    documents = (discovery.core_versions, discovery.groups, discovery.group, discovery.resources)
+    return as_json([document() for document in documents])
+
+
+def descriptors() -> bytes:
+    parts = []
+    for module in (api_pb2, node_pb2, resources_pb2):
+        parts.append(
+            text_format.MessageToString(FileDescriptorProto.FromString(module.DESCRIPTOR.serialized_pb))
+        )
+    return "\n".join(parts).encode()
+
+
+def keys_of(example: str) -> bytes:
+    """Sections and keys of a commented example, without its explanations, which are for people."""
+    lines = [line for line in example.splitlines() if line.startswith("[") or _is_key(line)]
+    return "\n".join([*lines, ""]).encode()
+
+
+def _is_key(line: str) -> bool:
+    key, equals, _ = line.removeprefix("# ").partition(" =")
+    return bool(equals) and key.isidentifier()
+
+
+def settings_keys() -> bytes:
+    return keys_of(settings.example())
+
+
+def agent_settings_keys() -> bytes:
+    return keys_of(agent_settings.agent_example())
+
+
+def settings_read() -> bytes:
+    """The golden keys with their defaults written out, as they are read."""
+    return as_json(settings.parse_config(_written_out("settings-keys.ini"), "golden"))
+
+
+def agent_settings_read() -> bytes:
+    return as_json(agent_settings.parse_agent_config(_written_out("agent-settings-keys.ini"), "golden"))
+
+
+def _written_out(name: str) -> str:
+    lines = (line.removeprefix("# ") for line in golden(name).decode().splitlines())
+    return "\n".join(line for line in lines if not line.endswith("="))
+
+
+def platform_config_full_read() -> bytes:
+    """Every key of a placer's file, each with a value that is not its default."""
+    return as_json(platform_config.config_of(json.loads(golden("platform-config-full.json"))))
+
+
+def platform_config_least_read() -> bytes:
+    """Only the keys that must be there: the defaults of all others."""
+    return as_json(platform_config.config_of(json.loads(golden("platform-config-least.json"))))
+
+
+def watch_config_full_read() -> bytes:
+    return as_json(watch_config.watch_config_of(json.loads(golden("platform-config-full.json"))))
+
+
+def directory_read() -> bytes:
+    """The coordinator's answer, as `known` in the configuration has it too."""
+    raw = json.loads(golden("platform-config-full.json"))
+    return as_json(platform_directory.events_of(raw["known"], platform_config.config_of(raw)))
+
+
+def commands() -> bytes:
+    return as_json(_command(cli.main, click.Context(cli.main)))
+
+
+def _command(command: click.Command, context: click.Context) -> dict[str, Any]:
+    shown: dict[str, Any] = {"parameters": [_parameter(item) for item in command.params]}
+    if isinstance(command, click.Group):
+        names = command.list_commands(context)
+        found = {name: command.get_command(context, name) for name in names}
+        shown["commands"] = {name: _command(its, context) for name, its in found.items() if its is not None}
+    return shown
+
+
+def _parameter(item: click.Parameter) -> dict[str, Any]:
+    shown: dict[str, Any] = {"kind": item.param_type_name, "names": [*item.opts, *item.secondary_opts]}
+    if isinstance(item, click.Argument):
+        shown["names"] = [item.human_readable_name]
+    default = None if repr(item.default).startswith("Sentinel") or callable(item.default) else item.default
+    choices = list(item.type.choices) if isinstance(item.type, click.Choice) else None
+    bounds = [getattr(item.type, name, None) for name in ("min", "max")]
+    return shown | {
+        "type": item.type.name,
+        "default": default,
+        "choices": choices,
+        "bounds": bounds,
+        "required": item.required,
+        "multiple": item.multiple,
+        "nargs": item.nargs,
+        "flag": getattr(item, "is_flag", False),
+        "environment": item.envvar,
+    }
+
+
+def printed_addresses(service: PlacerService) -> dict[str, str]:
+    """What `kelpfront serve` prints as JSON once it serves."""
+    return addresses(service)
--- a/tests/surfaces/test_surface_api.py
+++ b/tests/surfaces/test_surface_api.py
@@ -8,7 +8,8 @@
 
 import pytest
 from clusters import cluster
-from surface_samples import SAMPLES, golden
+from surface_golden import golden
+from surface_samples import SAMPLES
 
 from kelpfront.http.client import HttpConnection
 
--- a/tests/surfaces/test_surface_commands.py
+++ b/tests/surfaces/test_surface_commands.py
@@ -12,7 +12,9 @@
 
 import pytest
 from clusters import cluster
-from surface_samples import SAMPLES, golden, printed_addresses
+from surface_golden import golden
+from surface_published import printed_addresses
+from surface_samples import SAMPLES
 
 
 def test_commands_and_flags_are_as_they_were() -> None:
--- a/tests/surfaces/test_surface_folders.py
+++ b/tests/surfaces/test_surface_folders.py
@@ -10,16 +10,9 @@
 
 import pytest
 from agents import agent
-from surface_samples import (
-    AGENT_STATE,
-    JOURNAL,
-    SAMPLES,
-    dump_state,
-    files_of,
-    golden,
-    write_agent_state,
-    write_journal,
-)
+from surface_folders import AGENT_STATE, JOURNAL, dump_state, files_of, write_agent_state, write_journal
+from surface_golden import golden
+from surface_samples import SAMPLES
 from waiting import until
 
 STATE_FILE = "state.db"  # its bytes depend on the library's version; its content is compared
--- a/tests/surfaces/test_surface_settings.py
+++ b/tests/surfaces/test_surface_settings.py
@@ -8,7 +8,8 @@
 from __future__ import annotations
 
 import pytest
-from surface_samples import SAMPLES, golden
+from surface_golden import golden
+from surface_samples import SAMPLES
 
 NAMES = [
     "settings-keys.ini",
--- a/tests/surfaces/test_surface_wires.py
+++ b/tests/surfaces/test_surface_wires.py
@@ -7,14 +7,10 @@
 from __future__ import annotations
 
 import pytest
-from surface_samples import (
-    MACHINE_MESSAGES,
-    SAMPLES,
-    coordinator_request,
-    from_hex,
-    golden,
-    machine_grpc_read,
-)
+from surface_golden import from_hex, golden
+from surface_machines import MACHINE_MESSAGES, machine_grpc_read
+from surface_platform import coordinator_request
+from surface_samples import SAMPLES
 
 NAMES = [
     "platform-dialogue.txt",
