--- a/Makefile
+++ b/Makefile
@@ -17,6 +17,7 @@
 	$(BIN)/ruff check .
 	$(BIN)/ruff format --check .
 	$(BIN)/mypy
+	$(BIN)/lint-imports --no-logo
 	$(BIN)/python tools/policy_limits.py
 	$(BIN)/python tools/protos.py --check
 
