--- a/kelpfront/background/__init__.py
+++ b/kelpfront/background/__init__.py
@@ -1,1 +1,4 @@
-"""Background work: which piece of it may run now, within its budget. Not in use yet (issue 16)."""
+"""Background work: which of it may run now, within a budget. Nothing uses it yet (it waits for issue 16).
+
+`planner` decides; running the steps is left to whoever holds the planner.
+"""
--- a/kelpfront/background/planner.py
+++ b/kelpfront/background/planner.py
@@ -1,13 +1,15 @@
-"""Which piece of background work runs next, and when: priorities, budgets, nothing left out for ever. No I/O.
+"""Decides which background task runs next, and when. No I/O: whoever holds the planner runs the steps.
 
-Work comes in pieces that are short against a tick. Each piece is paid from two token buckets, of CPU
-milliseconds and of bytes, after it has run and at what it cost: a piece that was dearer than thought leaves a
-debt, and nothing runs until it is paid. Under foreground load buckets fill more slowly, never at less than
-LEAST_SHARE of their rate.
+Background work is done in steps that are short compared with a placer's timer interval. Each step is paid
+from two token buckets, of CPU milliseconds and of bytes, after it has run and at its actual cost: a step
+that costs more than expected leaves a debt, and nothing runs until the debt is paid. Under foreground load
+the buckets fill more slowly, but never at less than `MIN_BUDGET_SHARE` of their rate.
 
-Of what is due the dearest priority comes first; what has waited past its deadline comes before all, in the
-order in which the deadlines passed. So each piece runs at the latest its deadline and one turn of all others
-late, as fast as the least share pays for them (`latest_ms`).
+Of the tasks that are due, the one with the highest priority runs first. A task that waited past its deadline
+goes before all others, in the order of the deadlines. So every task starts at the latest one round of all
+others after its deadline, as fast as the minimum share pays for them (`max_start_delay_ms`).
+
+Nothing uses the planner yet: it waits for issue 16 (durable state of the placer).
 """
 
 from __future__ import annotations
@@ -16,178 +18,281 @@
 import random
 from collections.abc import Iterable
 from dataclasses import dataclass
+from enum import StrEnum
+
+MIN_BUDGET_SHARE = 0.1
+"""Share of the budget that is left under full foreground load: background work must end at some time."""
+INTERVAL_JITTER = 0.1
+"""Random share of an interval, either way: placers that started together must not compact together."""
+MS_PER_S = 1000.0
+PAYMENT_SLACK_MS = 1e-6
+"""Added to the time at which a debt is paid, so that rounding does not leave a bucket at exactly zero."""
+
 
-LEAST_SHARE = 0.1  # of the budget that is left to background work under full load: it must end some time
-JITTER = 0.1  # of a period, either way: placers that started together must not compact together
+def _require_positive(owner: str, field_name: str, value: float) -> None:
+    if not 0.0 < value < math.inf:
+        raise ValueError(f"{owner}{field_name}: {value!r} is not a number over 0")
+
+
+def _require_not_negative(owner: str, field_name: str, value: float) -> None:
+    if not 0.0 <= value < math.inf:
+        raise ValueError(f"{owner}{field_name}: {value!r} is not a number of 0 or more")
 
 
 @dataclass(frozen=True, slots=True)
-class Chore:
-    """One kind of work. Times in milliseconds; `most_cpu_ms` and `most_bytes` bound one piece."""
+class BackgroundTask:
+    """One kind of background work, which is repeated at an interval.
+
+    Raises:
+        ValueError: a time or a cost is out of range; the message names the task and the field.
+    """
 
     name: str
-    priority: int  # the lower goes first
-    every_ms: float
-    deadline_ms: float  # past being due: then it goes before all others
-    most_cpu_ms: float
-    most_bytes: float = 0.0
+    priority: int
+    """The lowest number runs first."""
+    interval_ms: float
+    deadline_ms: float
+    """Time after being due from which the task goes before all others."""
+    max_cpu_ms: float
+    """The most CPU time that one step costs."""
+    max_bytes: float = 0.0
+    """The most bytes that one step reads and writes."""
 
     def __post_init__(self) -> None:
-        for name in ("every_ms", "most_cpu_ms"):
-            if not 0.0 < getattr(self, name) < math.inf:
-                raise ValueError(f"{self.name}: {name}: {getattr(self, name)!r} is not a number over 0")
-        for name in ("deadline_ms", "most_bytes"):
-            if not 0.0 <= getattr(self, name) < math.inf:
-                raise ValueError(f"{self.name}: {name}: {getattr(self, name)!r} is not a number of 0 or more")
+        owner = f"{self.name}: "
+        _require_positive(owner, "interval_ms", self.interval_ms)
+        _require_positive(owner, "max_cpu_ms", self.max_cpu_ms)
+        _require_not_negative(owner, "deadline_ms", self.deadline_ms)
+        _require_not_negative(owner, "max_bytes", self.max_bytes)
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """A second's worth of CPU milliseconds and of bytes; as much may be saved up."""
+    """What background work may cost per second; one second's worth can be saved up.
+
+    Raises:
+        ValueError: a rate is not a number over 0.
+    """
 
     cpu_ms: float
     bytes: float
 
     def __post_init__(self) -> None:
-        for name in ("cpu_ms", "bytes"):
-            if not 0.0 < getattr(self, name) < math.inf:
-                raise ValueError(f"{name}: {getattr(self, name)!r} is not a number over 0")
+        _require_positive("", "cpu_ms", self.cpu_ms)
+        _require_positive("", "bytes", self.bytes)
+
 
+@dataclass(frozen=True, slots=True)
+class StepCost:
+    """What one step cost."""
+
+    cpu_ms: float
+    bytes: float = 0.0
+
+
+class TaskPhase(StrEnum):
+    """Where a background task is in its interval."""
+
+    WAITING = "waiting"
+    DUE = "due"
+    RUNNING = "running"
+
+
+@dataclass(frozen=True, slots=True)
+class TaskReport:
+    """One background task as operators read it."""
+
+    name: str
+    priority: int
+    phase: TaskPhase
+    due_in_ms: float
+    step_count: int
+    cpu_ms: float
+    bytes: int
+    max_delay_ms: float
+    """The longest time that a step began after it was due."""
 
-class Bucket:
-    """Tokens that come in at a rate, at most a second's worth; may be in debt."""
 
-    def __init__(self, a_second: float, at: float) -> None:
-        self._rate = a_second / 1000.0
-        self._most = a_second
-        self.tokens = a_second
-        self._at = at
+class TokenBucket:
+    """Tokens that arrive at a rate, one second's worth at most. The balance may be negative: a debt."""
 
-    def fill(self, now: float, share: float) -> None:
-        """`share` of the rate came in since the last call."""
-        passed = max(0.0, now - self._at)
-        self._at = max(self._at, now)
-        self.tokens = min(self._most, self.tokens + passed * self._rate * share)
+    def __init__(self, tokens_per_s: float, now: float) -> None:
+        self.tokens = tokens_per_s
+        self._tokens_per_ms = tokens_per_s / MS_PER_S
+        self._capacity = tokens_per_s
+        self._filled_at = now
 
-    def take(self, amount: float) -> None:
-        self.tokens -= amount
+    def fill(self, now: float, rate_share: float) -> None:
+        """Add the tokens that arrived since the last call at a share of the rate."""
+        elapsed_ms = max(0.0, now - self._filled_at)
+        self._filled_at = max(self._filled_at, now)
+        self.tokens = min(self._capacity, self.tokens + elapsed_ms * self._tokens_per_ms * rate_share)
 
-    def ready_in(self, share: float) -> float:
-        """Milliseconds until there is something in it."""
-        return 0.0 if self.tokens > 0.0 else -self.tokens / (self._rate * share) + 1e-6
+    def spend(self, tokens: float) -> None:
+        """Take tokens out, into debt if need be."""
+        self.tokens -= tokens
+
+    def available_in_ms(self, rate_share: float) -> float:
+        """Return the time until the balance is positive, at a share of the rate."""
+        if self.tokens > 0.0:
+            return 0.0
+        return -self.tokens / (self._tokens_per_ms * rate_share) + PAYMENT_SLACK_MS
 
 
 @dataclass(slots=True)
-class _State:
-    chore: Chore
+class _TaskState:
+    """Where a task is, and what it has cost so far."""
+
+    task: BackgroundTask
     due_at: float
-    running: bool = False
-    runs: int = 0
+    is_running: bool = False
+    step_count: int = 0
     cpu_ms: float = 0.0
     bytes: float = 0.0
-    latest_ms: float = 0.0  # how late it ever began
+    max_delay_ms: float = 0.0
+
+    @property
+    def deadline_at(self) -> float:
+        return self.due_at + self.task.deadline_ms
+
+    def phase(self, now: float) -> TaskPhase:
+        if self.is_running:
+            return TaskPhase.RUNNING
+        return TaskPhase.DUE if self.due_at <= now else TaskPhase.WAITING
+
+
+def _deadline_order(state: _TaskState) -> tuple[float, str]:
+    return state.deadline_at, state.task.name
+
+
+def _priority_order(state: _TaskState) -> tuple[int, float, str]:
+    return state.task.priority, state.due_at, state.task.name
 
 
 class Planner:
-    """Call `choose` when `next_at` has come, run the piece that it names, then call `done`. One at a time."""
+    """Runs one step at a time: `start_next` when `next_start_at` has come, then `complete` or `cancel`.
+
+    Raises:
+        ValueError: two tasks have the same name.
+    """
 
-    def __init__(self, chores: Iterable[Chore], budget: Budget, seed: int, now: float) -> None:
-        self._chance = random.Random(seed)
-        self._cpu, self._bytes = Bucket(budget.cpu_ms, now), Bucket(budget.bytes, now)
+    def __init__(self, tasks: Iterable[BackgroundTask], budget: Budget, seed: int, now: float) -> None:
+        self._random = random.Random(seed)
         self._budget = budget
-        self._load = 0.0
-        self._states: dict[str, _State] = {}
-        for chore in chores:
-            if chore.name in self._states:
-                raise ValueError(f"{chore.name}: is there twice")
-            # The first come spread over their period.
-            self._states[chore.name] = _State(chore, now + chore.every_ms * self._chance.random())
+        self._cpu_bucket = TokenBucket(budget.cpu_ms, now)
+        self._bytes_bucket = TokenBucket(budget.bytes, now)
+        self._foreground_load = 0.0
+        self._states: dict[str, _TaskState] = {}
+        for task in tasks:
+            if task.name in self._states:
+                raise ValueError(f"{task.name}: is there twice")
+            first_due_at = now + task.interval_ms * self._random.random()
+            self._states[task.name] = _TaskState(task, first_due_at)
 
     @property
-    def _share(self) -> float:
-        return max(LEAST_SHARE, 1.0 - self._load)
-
-    def _fill(self, now: float) -> None:
-        self._cpu.fill(now, self._share)
-        self._bytes.fill(now, self._share)
-
-    def load(self, now: float, busy: float) -> None:
-        """Share of its time that the placer spends on its owners' work; background work gives way to it."""
-        self._fill(now)
-        self._load = min(1.0, max(0.0, busy))
-
-    def hurry(self, now: float, name: str) -> None:
-        """A piece is wanted now, such as a snapshot before a stop; it still keeps to the budget."""
-        self._states[name].due_at = min(self._states[name].due_at, now)
-
-    def choose(self, now: float) -> str | None:
-        """The piece that runs now; None while nothing is due, the budget is spent, or one still runs."""
-        self._fill(now)
-        if self._cpu.tokens <= 0.0 or self._bytes.tokens <= 0.0:
-            return None
-        if any(state.running for state in self._states.values()):
+    def _budget_share(self) -> float:
+        return max(MIN_BUDGET_SHARE, 1.0 - self._foreground_load)
+
+    @property
+    def _is_running(self) -> bool:
+        return any(state.is_running for state in self._states.values())
+
+    def _fill_buckets(self, now: float) -> None:
+        self._cpu_bucket.fill(now, self._budget_share)
+        self._bytes_bucket.fill(now, self._budget_share)
+
+    def set_foreground_load(self, now: float, busy_share: float) -> None:
+        """Set the share of time that foreground work takes; background work gives way to it."""
+        self._fill_buckets(now)
+        self._foreground_load = min(1.0, max(0.0, busy_share))
+
+    def expedite(self, now: float, name: str) -> None:
+        """Make a task due now, such as a snapshot before a shutdown; it still keeps to the budget."""
+        state = self._states[name]
+        state.due_at = min(state.due_at, now)
+
+    def start_next(self, now: float) -> str | None:
+        """Start a step and return its task's name.
+
+        Returns None while nothing is due, the budget is spent, or a step still runs.
+        """
+        self._fill_buckets(now)
+        is_paid = self._cpu_bucket.tokens > 0.0 and self._bytes_bucket.tokens > 0.0
+        if not is_paid or self._is_running:
             return None
         due = [state for state in self._states.values() if state.due_at <= now]
         if not due:
             return None
-        late = [state for state in due if state.due_at + state.chore.deadline_ms <= now]
-        if late:
-            chosen = min(late, key=lambda s: (s.due_at + s.chore.deadline_ms, s.chore.name))
-        else:
-            chosen = min(due, key=lambda s: (s.chore.priority, s.due_at, s.chore.name))
-        chosen.running = True
-        chosen.latest_ms = max(chosen.latest_ms, now - chosen.due_at)
-        return chosen.chore.name
-
-    def done(self, now: float, name: str, cpu_ms: float, bytes_: float = 0.0, *, more: bool = False) -> None:
-        """What the piece cost. `more`: it is not at its end, and its next piece is due at once."""
+        overdue = [state for state in due if state.deadline_at <= now]
+        chosen = min(overdue, key=_deadline_order) if overdue else min(due, key=_priority_order)
+        chosen.is_running = True
+        chosen.max_delay_ms = max(chosen.max_delay_ms, now - chosen.due_at)
+        return chosen.task.name
+
+    def complete(self, now: float, name: str, cost: StepCost, *, has_more: bool = False) -> None:
+        """Account for the step that ended.
+
+        Arguments:
+            now: the present time.
+            name: the task whose step ended.
+            cost: what the step cost.
+            has_more: the task is not finished; its next step is due at once.
+
+        Raises:
+            ValueError: no step of the task runs.
+        """
         state = self._states[name]
-        if not state.running:
+        if not state.is_running:
             raise ValueError(f"{name}: does not run")
-        self._fill(now)
-        self._cpu.take(cpu_ms)
-        self._bytes.take(bytes_)
-        state.running = False
-        state.runs += 1
-        state.cpu_ms += cpu_ms
-        state.bytes += bytes_
-        jitter = 1.0 + JITTER * (2.0 * self._chance.random() - 1.0)
-        state.due_at = now if more else now + state.chore.every_ms * jitter
-
-    def cancelled(self, now: float, name: str) -> None:
-        """The piece was broken off before it did anything: due again at once, and not paid."""
+        self._fill_buckets(now)
+        self._cpu_bucket.spend(cost.cpu_ms)
+        self._bytes_bucket.spend(cost.bytes)
+        state.is_running = False
+        state.step_count += 1
+        state.cpu_ms += cost.cpu_ms
+        state.bytes += cost.bytes
+        jitter = 1.0 + INTERVAL_JITTER * (2.0 * self._random.random() - 1.0)
+        state.due_at = now if has_more else now + state.task.interval_ms * jitter
+
+    def cancel(self, now: float, name: str) -> None:
+        """Take back a step that was cancelled before it did anything: it is due again, and costs nothing."""
         state = self._states[name]
-        state.running = False
+        state.is_running = False
         state.due_at = min(state.due_at, now)
 
-    def next_at(self, now: float) -> float:
-        """When `choose` may have something, if load stays; infinity while one runs."""
-        if any(state.running for state in self._states.values()) or not self._states:
+    def next_start_at(self, now: float) -> float:
+        """Return when `start_next` may find something if the load stays; infinity while a step runs."""
+        if self._is_running or not self._states:
             return math.inf
-        self._fill(now)
-        paid = now + max(self._cpu.ready_in(self._share), self._bytes.ready_in(self._share))
-        return max(paid, min(state.due_at for state in self._states.values()))
-
-    def latest_ms(self, name: str) -> float:
-        """The bound on how late a chore begins, while no piece costs more than its most."""
-        own = self._states[name].chore
-        others = [state.chore for state in self._states.values() if state.chore.name != name]
-        cpu = sum(chore.most_cpu_ms for chore in (own, *others)) / (self._budget.cpu_ms * LEAST_SHARE)
-        bytes_ = sum(chore.most_bytes for chore in (own, *others)) / (self._budget.bytes * LEAST_SHARE)
-        return own.deadline_ms + 2.0 * 1000.0 * (cpu + bytes_)
-
-    def explain(self, now: float) -> list[dict[str, float | int | str]]:
-        """A row for each chore, as operators read it."""
+        self._fill_buckets(now)
+        share = self._budget_share
+        payment_ms = max(self._cpu_bucket.available_in_ms(share), self._bytes_bucket.available_in_ms(share))
+        first_due_at = min(state.due_at for state in self._states.values())
+        return max(now + payment_ms, first_due_at)
+
+    def max_start_delay_ms(self, name: str) -> float:
+        """Return the longest time that a task can wait after it is due.
+
+        It holds as long as no step costs more than its maximum.
+        """
+        own = self._states[name].task
+        tasks = [own, *(state.task for state in self._states.values() if state.task.name != name)]
+        cpu_s = sum(task.max_cpu_ms for task in tasks) / (self._budget.cpu_ms * MIN_BUDGET_SHARE)
+        bytes_s = sum(task.max_bytes for task in tasks) / (self._budget.bytes * MIN_BUDGET_SHARE)
+        return own.deadline_ms + 2.0 * MS_PER_S * (cpu_s + bytes_s)
+
+    def report(self, now: float) -> list[TaskReport]:
+        """Return a report on each task, by name."""
         return [
-            {
-                "name": name,
-                "priority": state.chore.priority,
-                "state": "running" if state.running else "due" if state.due_at <= now else "waiting",
-                "due_in_ms": round(state.due_at - now, 3),
-                "runs": state.runs,
-                "cpu_ms": round(state.cpu_ms, 3),
-                "bytes": round(state.bytes),
-                "latest_ms": round(state.latest_ms, 3),
-            }
+            TaskReport(
+                name=name,
+                priority=state.task.priority,
+                phase=state.phase(now),
+                due_in_ms=round(state.due_at - now, 3),
+                step_count=state.step_count,
+                cpu_ms=round(state.cpu_ms, 3),
+                bytes=round(state.bytes),
+                max_delay_ms=round(state.max_delay_ms, 3),
+            )
             for name, state in sorted(self._states.items())
         ]
--- a/kelpfront/backoff.py
+++ b/kelpfront/backoff.py
@@ -1,31 +1,37 @@
-"""When to try again to reach something. Pure: chance comes from the caller."""
+"""Exponential backoff with jitter, for retries of connections and requests.
+
+Pure: chance comes from the caller, who also waits and retries.
+"""
 
 from __future__ import annotations
 
 import random
 from dataclasses import dataclass
 
-FIRST_MS = 50.0
-MOST_MS = 2_000.0
+INITIAL_MS = 50.0
+"""The first delay, before jitter."""
+MAX_MS = 2_000.0
+"""The longest delay, before jitter: a peer that returns is found again within this time."""
 
 
 @dataclass(slots=True)
 class Backoff:
-    """Pauses that double from `first_ms` to `most_ms`, each drawn between half and whole of its length.
+    """Delays that double from `initial_ms` to `max_ms`, each drawn from the upper half of its length.
 
-    The draw parts placers that lost the same machine at the same instant.
+    The draw spreads clients that lost the same peer at the same moment.
     """
 
     rng: random.Random
-    first_ms: float = FIRST_MS
-    most_ms: float = MOST_MS
-    failures: int = 0
-
-    def failed(self) -> float:
-        """How long to wait before the next try."""
-        pause = min(self.most_ms, self.first_ms * 2.0**self.failures)
-        self.failures += 1
-        return pause * (0.5 + self.rng.random() / 2)
-
-    def worked(self) -> None:
-        self.failures = 0
+    initial_ms: float = INITIAL_MS
+    max_ms: float = MAX_MS
+    failure_count: int = 0
+
+    def next_delay_ms(self) -> float:
+        """Count a failure and return the time to wait before the next attempt."""
+        delay_ms = min(self.max_ms, self.initial_ms * 2.0**self.failure_count)
+        self.failure_count += 1
+        return delay_ms * (0.5 + self.rng.random() / 2)
+
+    def reset(self) -> None:
+        """Start again from the initial delay, after a success."""
+        self.failure_count = 0
--- a/kelpfront/client/client.py
+++ b/kelpfront/client/client.py
@@ -203,7 +203,7 @@
                     )
                     for event in informer.listed(items, revision):
                         yield event
-                backoff.worked()
+                backoff.reset()
                 async for data in self.watch_lines(resource, namespace, selectors, informer):
                     event_ = informer.line(data)
                     if event_ is not None:
@@ -214,9 +214,9 @@
                     continue
                 if error.code not in (429, 500, 503, 504):
                     raise
-                pause = max(error.retry_after_s * 1000.0, backoff.failed())
+                pause = max(error.retry_after_s * 1000.0, backoff.next_delay_ms())
             except (ServerUnreachableError, TimeoutError):
-                pause = backoff.failed()
+                pause = backoff.next_delay_ms()
             await asyncio.sleep(pause / 1000.0)
 
     async def watch_lines(
--- a/kelpfront/clock.py
+++ b/kelpfront/clock.py
@@ -1,9 +1,10 @@
-"""The common clock that placers share without talking: the wall clock, made to go forward only.
+"""The clock that placers share without communicating: the wall clock, made monotonic.
 
-Cold machines are protected by turns that all placers read off one clock (docs/design.md), so `now` must be
-near the wall clock; deadlines need a clock that never jumps. `CommonClock` starts at the wall clock, goes on
-by the monotonic one, and is slewed towards the wall clock as slowly as NTP slews, so that a step of the wall
-clock neither fires every deadline nor moves one by more than half a millisecond a second.
+Replicas that share nothing take turns in slow start by reading one common clock (docs/design.md), so `now`
+must be near the wall clock; deadlines need a clock that never jumps. `CommonClock` starts at the wall clock,
+advances with the monotonic clock, and is slewed towards the wall clock as slowly as NTP slews. So a step of
+the wall clock neither fires every deadline nor moves one by more than half a millisecond per second. The
+module also formats and parses the timestamps of the API.
 """
 
 from __future__ import annotations
@@ -13,47 +14,65 @@
 from datetime import UTC, datetime
 from functools import lru_cache
 
-SLEW = 0.0005  # of elapsed time: the rate at which NTP slews, far under the slack of any deadline
+MAX_SLEW = 0.0005
+"""Largest correction as a share of the elapsed time: the rate at which NTP slews, far below what deadlines
+tolerate."""
+MS_PER_S = 1000.0
+US_PER_MS = 1000.0
+US_PER_S = 1_000_000
+CACHED_SECONDS = 256
+"""Formatted seconds that are cached: formatting them is the expensive part of a timestamp."""
 
 
 class CommonClock:
-    """Milliseconds since the epoch, never going back. `wall` and `steady` return seconds."""
+    """Milliseconds since the epoch that never go back.
+
+    Arguments:
+        wall: returns the wall clock in seconds since the epoch.
+        monotonic: returns a monotonic clock in seconds.
+    """
 
     def __init__(
-        self, wall: Callable[[], float] = time.time, steady: Callable[[], float] = time.monotonic
+        self, wall: Callable[[], float] = time.time, monotonic: Callable[[], float] = time.monotonic
     ) -> None:
-        self._wall, self._steady = wall, steady
-        self._steady_at = steady()
-        self._now = wall() * 1000.0
+        self._wall = wall
+        self._monotonic = monotonic
+        self._read_at_s = monotonic()
+        self._now_ms = wall() * MS_PER_S
 
     def now(self) -> float:
-        steady = self._steady()
-        elapsed = (steady - self._steady_at) * 1000.0
-        if elapsed <= 0:
-            return self._now
-        self._steady_at = steady
-        straight = self._now + elapsed
-        most = elapsed * SLEW
-        self._now = straight + min(most, max(-most, self._wall() * 1000.0 - straight))
-        return self._now
-
-    def error(self) -> float:
-        """Milliseconds by which the wall clock is ahead of this one: large after it was stepped."""
-        return self._wall() * 1000.0 - self.now()
-
-
-@lru_cache(maxsize=256)
-def _second(second: int) -> str:
-    """The part of a time that all within one second share: making it is the dear part of a timestamp."""
+        """Return the present time in milliseconds since the epoch."""
+        monotonic_s = self._monotonic()
+        elapsed_ms = (monotonic_s - self._read_at_s) * MS_PER_S
+        if elapsed_ms <= 0:
+            return self._now_ms
+        self._read_at_s = monotonic_s
+        unslewed_ms = self._now_ms + elapsed_ms
+        max_correction_ms = elapsed_ms * MAX_SLEW
+        offset_ms = self._wall() * MS_PER_S - unslewed_ms
+        self._now_ms = unslewed_ms + min(max_correction_ms, max(-max_correction_ms, offset_ms))
+        return self._now_ms
+
+    def wall_clock_offset_ms(self) -> float:
+        """Return by how much the wall clock is ahead of this one; the value is large after a step."""
+        return self._wall() * MS_PER_S - self.now()
+
+
+@lru_cache(maxsize=CACHED_SECONDS)
+def _format_second(second: int) -> str:
     return datetime.fromtimestamp(second, UTC).strftime("%Y-%m-%dT%H:%M:%S")
 
 
 def timestamp(ms: float) -> str:
-    """RFC 3339 with microseconds, as the API writes times; `ms` since the epoch."""
-    second, micros = divmod(round(ms * 1000.0), 1_000_000)
-    return f"{_second(second)}.{micros:06d}Z"
+    """Format milliseconds since the epoch as RFC 3339 with microseconds, the form of times in the API."""
+    second, microseconds = divmod(round(ms * US_PER_MS), US_PER_S)
+    return f"{_format_second(second)}.{microseconds:06d}Z"
 
 
 def parse_timestamp(text: str) -> float:
-    """Milliseconds since the epoch of an RFC 3339 time."""
-    return datetime.fromisoformat(text).timestamp() * 1000.0
+    """Return the milliseconds since the epoch of an RFC 3339 time.
+
+    Raises:
+        ValueError: the text is no such time.
+    """
+    return datetime.fromisoformat(text).timestamp() * MS_PER_S
--- a/kelpfront/controller/machine_registry.py
+++ b/kelpfront/controller/machine_registry.py
@@ -15,7 +15,7 @@
 from kelpfront.controller.cluster import Cluster
 from kelpfront.inventory.model import Host, Inventory
 from kelpfront.machine.messages import Heartbeat, Hello, LoadReport
-from kelpfront.numbers import Places, machine_number
+from kelpfront.numbers import FailureDomainNumbers, machine_number
 from kelpfront.scheduling.events import Endpoint, EndpointList, EndpointListKind, MachineId, MachineState
 
 MISSED_BEATS = 4  # heartbeats a machine may miss: one late by a stall is ordinary, four in a row are not
@@ -81,7 +81,7 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._places = Places()
+        self._places = FailureDomainNumbers()
         self.entries: dict[str, Entry] = {}
         self.by_number: dict[MachineId, Entry] = {}
         self._sizes: set[tuple[int, float, float]] | None = None  # kind, cores, memory of what there is
@@ -131,8 +131,8 @@
     def _describe(self, entry: Entry, host: Host) -> None:
         entry.host = host
         entry.kind = self._cluster.kind_numbers[host.kind]
-        entry.cell = self._places.cell(host.room, host.rack)
-        entry.zone = self._places.zone(host.room)
+        entry.cell = self._places.rack_number(host.room, host.rack)
+        entry.zone = self._places.zone_number(host.room)
 
     def cordon(self, now: float, name: str, on: bool) -> Changes:
         """An operator drains the machine, or takes that back."""
--- a/kelpfront/logs.py
+++ b/kelpfront/logs.py
@@ -1,4 +1,7 @@
-"""The log: structlog on standard error, as JSON lines or for people."""
+"""Configures the log of a process: structlog on standard error, as JSON lines or for people.
+
+Each program calls it once at its start. What is logged is up to the modules that log.
+"""
 
 from __future__ import annotations
 
@@ -12,23 +15,30 @@
 
 
 def configure_logs(level: str, form: str, stream: TextIO | None = None, **bound: Any) -> None:
-    """Sets up structlog for this process; `bound` is on every line. `form` is auto, json or console."""
-    out = stream or sys.stderr
+    """Configure structlog for this process.
+
+    Arguments:
+        level: one of `LEVELS`; lines below it are dropped.
+        form: json, console, or auto: console on a terminal and json elsewhere.
+        stream: where lines go; None for standard error.
+        bound: fields that are on every line.
+    """
+    output = stream or sys.stderr
     if form == "auto":
-        form = "console" if out.isatty() else "json"
-    shared: list[Any] = [
+        form = "console" if output.isatty() else "json"
+    processors: list[Any] = [
         structlog.contextvars.merge_contextvars,
         structlog.processors.add_log_level,
         structlog.processors.TimeStamper(fmt="iso", utc=True),
     ]
     if form == "json":
-        shared += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
+        processors += [structlog.processors.format_exc_info, structlog.processors.JSONRenderer()]
     else:
-        shared.append(structlog.dev.ConsoleRenderer(colors=out.isatty()))
+        processors.append(structlog.dev.ConsoleRenderer(colors=output.isatty()))
     structlog.configure(
-        processors=shared,
+        processors=processors,
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
-        logger_factory=structlog.WriteLoggerFactory(out),
+        logger_factory=structlog.WriteLoggerFactory(output),
         cache_logger_on_first_use=True,
     )
     structlog.contextvars.clear_contextvars()
--- a/kelpfront/platform/pacing.py
+++ b/kelpfront/platform/pacing.py
@@ -52,11 +52,11 @@
         """What the service was slow by, beyond the wait that was asked for, it may be slow by twice again."""
         slow = max(0.0, took_ms - POLL_WAIT_MS)
         self.patience_ms = min(PATIENCE_MOST_MS, max(PATIENCE_MS, POLL_WAIT_MS + 2.0 * slow))
-        self._backoff.worked()
+        self._backoff.reset()
 
     def failed(self, busy: bool = False, retry_after_s: float = 0.0) -> float:
         """Milliseconds until the next ask. `busy`: the service said itself that it is too much."""
-        pause = self._backoff.failed()
+        pause = self._backoff.next_delay_ms()
         if not busy:
             return pause
         wanted = min(RETRY_AFTER_MOST_MS, max(BUSY_PAUSE_MS, 1_000.0 * retry_after_s))
@@ -65,4 +65,4 @@
     def worked(self) -> None:
         """Another address: nothing is known of it."""
         self.patience_ms = PATIENCE_MS
-        self._backoff.worked()
+        self._backoff.reset()
--- a/kelpfront/service/grpclinks.py
+++ b/kelpfront/service/grpclinks.py
@@ -203,8 +203,8 @@
                     error = f"{type(caught).__name__}: {text}"
                 finally:
                     await self._broken()
-                pause = self._backoff.failed()
-                level = log.info if self._backoff.failures == 1 else log.debug
+                pause = self._backoff.next_delay_ms()
+                level = log.info if self._backoff.failure_count == 1 else log.debug
                 level("stream broke", machine=self.host, error=error, again_ms=round(pause))
                 await asyncio.sleep(pause / 1000.0)
         finally:
@@ -277,7 +277,7 @@
         if told is None:
             return  # of a later version
         if isinstance(told, Hello):
-            self._backoff.worked()
+            self._backoff.reset()
             log.info("stream up", machine=self.host, boot=told.boot, resumed=told.resumed)
             self._up.set()
         if not self._position.take(told):
--- a/kelpfront/service/links.py
+++ b/kelpfront/service/links.py
@@ -215,8 +215,8 @@
                 error = f"{type(caught).__name__}: {caught}"
             self._heart.link_down(self._now(), self.host)
             self._changed()
-            pause = self._backoff.failed()
-            level = log.info if self._backoff.failures == 1 else log.debug
+            pause = self._backoff.next_delay_ms()
+            level = log.info if self._backoff.failure_count == 1 else log.debug
             level("stream broke", machine=self.host, error=error, again_ms=round(pause))
             await asyncio.sleep(pause / 1000.0)
             self._pool.sweep()
@@ -252,7 +252,7 @@
     def _take(self, line: bytes) -> None:
         message = decode_stream_message(line)
         if isinstance(message, Hello):
-            self._backoff.worked()
+            self._backoff.reset()
             log.info("stream up", machine=self.host, boot=message.boot, resumed=message.resumed)
         if not self._position.take(message):
             return
--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -189,7 +189,7 @@
         steady[0] += 2.0
         passed = clock.now() - before
         assert passed == pytest.approx(2000.0, abs=1.0 + 1e-6), step
-    assert clock.error() < -3_500_000.0
+    assert clock.wall_clock_offset_ms() < -3_500_000.0
     assert clock.now() == clock.now()
 
 
