--- a/kelpfront/degradation/load_shedder.py
+++ b/kelpfront/degradation/load_shedder.py
@@ -260,14 +260,14 @@
         return Rejection(RejectionReason.CANNOT_BE_IN_TIME, text, retry_ms)
 
     def _reject_over_share(self, queue: _Queue, request: AdmissionRequest) -> Rejection | None:
-        """Reject a job of an owner that holds more than its fair share of a well filled queue."""
+        """Reject a job of an owner that holds more than its fair share of a queue that fills up."""
         backlog = self._inputs.backlog
         own_tasks = backlog.count_of_owner(request.owner, queue.classes)
         owner_share = self.owners.share(request.owner)
         fair_count = queue.limit * owner_share
-        is_well_filled = backlog.count_of_classes(queue.classes) >= FAIR_SHARE_FROM * queue.limit
+        fair_shares_apply = backlog.count_of_classes(queue.classes) >= FAIR_SHARE_FROM * queue.limit
         is_over_share = own_tasks >= max(1.0, fair_count)
-        if not (is_well_filled and is_over_share):
+        if not (fair_shares_apply and is_over_share):
             return None
         text = (
             f"level {self._level.api_name}: {own_tasks} tasks of {request.owner} wait, "
