--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -11,8 +11,8 @@
 import pytest
 from clusters import cluster, spec
 from command_line import ran
-from kubernetes import client as stock
-from kubernetes import watch as stock_watch
+from kubernetes import client as kubernetes_client
+from kubernetes import watch as kubernetes_watch
 from rest_calls import BASE, JOB, JOBS_PATH, told
 from waiting import until
 
@@ -26,11 +26,11 @@
 SLACK_MS = 400.0
 
 
-def shown(service: PlacerService) -> Any:
+def level_object(service: PlacerService) -> Any:
     return service.store.get(LEVELS, ("", "placer-0")).body
 
 
-async def pinned(service: PlacerService, level: str, for_: str = "10m") -> Any:
+async def pin_level(service: PlacerService, level: str, for_: str = "10m") -> Any:
     patch = {"spec": {"pin": {"level": level, "for": for_}}}
     status, body = await told(service, "PATCH", PATH, patch, kind="application/merge-patch+json")
     assert status == 200, body
@@ -42,11 +42,11 @@
         await until(lambda: service.store.find(LEVELS, ("", "placer-0")))
         status, listed = await told(service, "GET", f"{BASE}/levels")
         assert (status, listed["kind"], len(listed["items"])) == (200, "LevelList", 1)
-        its = Level.model_validate(listed["items"][0]).status
-        assert its is not None
-        assert its.level == "full"
-        assert its.given_up == []
-        assert [(cls.name, cls.rank, cls.essential) for cls in its.classes] == [
+        level_status = Level.model_validate(listed["items"][0]).status
+        assert level_status is not None
+        assert level_status.level == "full"
+        assert level_status.given_up == []
+        assert [(cls.name, cls.rank, cls.essential) for cls in level_status.classes] == [
             ("web", 0, False),
             ("ingest", 1, True),
             ("blend", 1, True),
@@ -58,7 +58,7 @@
 
 async def test_holding_rejects_other_classes_with_a_reason_and_places_essential_ones() -> None:
     async with cluster(2) as (_, service, client):
-        body = await pinned(service, "holding")
+        body = await pin_level(service, "holding")
         assert body["status"]["level"] == "holding"
         assert body["status"]["pinnedUntil"]
         assert "web: nothing is taken" in body["status"]["givenUp"]
@@ -81,19 +81,19 @@
 
 async def test_a_repeated_pin_restarts_its_time_and_one_written_back_does_not() -> None:
     async with cluster(1) as (_, service, _client):
-        first = await pinned(service, "careful")
+        first = await pin_level(service, "careful")
         await asyncio.sleep(0.01)
         status, back = await told(service, "PUT", PATH, first)
         assert (status, back["status"]["pinnedUntil"]) == (200, first["status"]["pinnedUntil"])
-        again = await pinned(service, "careful")
+        again = await pin_level(service, "careful")
         assert again["status"]["pinnedUntil"] > first["status"]["pinnedUntil"]
 
 
 async def test_a_pin_expires_and_can_be_removed() -> None:
     async with cluster(1) as (_, service, _client):
-        await pinned(service, "essential", "1s")
-        await until(lambda: shown(service)["spec"] == {})
-        body = await pinned(service, "holding")
+        await pin_level(service, "essential", "1s")
+        await until(lambda: level_object(service)["spec"] == {})
+        body = await pin_level(service, "holding")
         generation = body["metadata"]["generation"]
         patch = {"spec": {"pin": None}}
         status, body = await told(service, "PATCH", PATH, patch, kind="application/merge-patch+json")
@@ -116,50 +116,50 @@
         )
         assert status == 422
         assert body["details"]["causes"][0]["field"] == field
-        assert shown(service)["status"]["level"] == "full"
+        assert level_object(service)["status"]["level"] == "full"
 
 
 async def test_answers_are_published_at_once_at_every_level() -> None:
-    """Progress may wait for the next showing; an answer is owed by its deadline."""
+    """Progress may wait for the next publication; an answer must arrive by its deadline."""
     async with cluster(1) as (_, service, client):
-        await pinned(service, "holding")
+        await pin_level(service, "holding")
         service.heart.flush(service.clock.now())
-        seen: list[str] = []
+        observed_states: list[str] = []
         job = await client.submit("climate", spec("blend"), name="a")
 
         async def follow() -> None:
             async for state in client.follow(job):
                 assert state.status is not None
-                seen.append(state.status.tasks[0].state)
+                observed_states.append(state.status.tasks[0].state)
                 if state.status.tasks[0].answer:
                     return
 
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         await asyncio.wait_for(follow(), 10)
-        assert seen[-1] in ("Placed", "Running")
-        assert asyncio.get_running_loop().time() - began < 5
+        assert observed_states[-1] in ("Placed", "Running")
+        assert asyncio.get_running_loop().time() - started_at < 5
 
 
 async def test_the_kubernetes_client_lists_watches_and_pins() -> None:
     async with cluster(1) as (_, service, _client):
         await until(lambda: service.store.find(LEVELS, ("", "placer-0")))
-        configuration = stock.Configuration()
+        configuration = kubernetes_client.Configuration()
         configuration.host = service.url
 
         def work() -> list[str]:
-            with stock.ApiClient(configuration) as api_client:
-                its = stock.CustomObjectsApi(api_client)
+            with kubernetes_client.ApiClient(configuration) as api_client:
+                objects_api = kubernetes_client.CustomObjectsApi(api_client)
                 where = {"group": "kelpfront.dev", "version": "v1", "plural": "levels"}
-                listed = its.list_cluster_custom_object(**where)
-                its.patch_cluster_custom_object(
+                listed = objects_api.list_cluster_custom_object(**where)
+                objects_api.patch_cluster_custom_object(
                     **where,
                     name="placer-0",
                     body={"spec": {"pin": {"level": "careful", "for": "5m"}}},
                     _content_type="application/merge-patch+json",
                 )
                 levels = []
-                events = stock_watch.Watch().stream(
-                    its.list_cluster_custom_object,
+                events = kubernetes_watch.Watch().stream(
+                    objects_api.list_cluster_custom_object,
                     **where,
                     resource_version=listed["metadata"]["resourceVersion"],
                     timeout_seconds=20,
@@ -181,9 +181,9 @@
         assert status.code == 0, status.err
         assert "placer-0  full" in status.out, status.err
         assert "2 Ready" in status.out, status.err
-        told_as = json.loads((await ran("status", "--json", url=url)).out)
-        assert told_as["level"] == "full"
-        assert told_as["jobs"]
+        status_object = json.loads((await ran("status", "--json", url=url)).out)
+        assert status_object["level"] == "full"
+        assert status_object["jobs"]
         watching = asyncio.create_task(ran("watch", "levels", "--seconds", "5", url=url))
         pin = await ran("levels", "pin", "essential", "--for", "3m", url=url)
         assert pin.out.startswith("level/placer-0 essential, pinned until"), pin.err
@@ -196,65 +196,67 @@
         assert "0 of 12 in the hour" in table.out
         assert "essential" in (await watching).out
         assert (await ran("levels", "unpin", url=url)).out == "level/placer-0 essential\n"
-        wrong = await ran("levels", "pin", "essential", "--for", "soon", url=url)
-        assert wrong.code == 2
-        assert "--for" in wrong.err
+        invalid = await ran("levels", "pin", "essential", "--for", "soon", url=url)
+        assert invalid.code == 2
+        assert "--for" in invalid.err
 
 
 async def test_lost_machines_raise_the_level_with_evidence() -> None:
-    """Most of the machines die: careful, then essential, with the evidence in the log's words."""
-    async with cluster(4) as (its, service, _client):
-        await until(lambda: shown_level(service) == "full")
+    """Most of the machines crash: careful, then essential, with the evidence by the signal's name."""
+    async with cluster(4) as (test_cluster, service, _client):
+        await until(lambda: level_name(service) == "full")
         for name in ("n0", "n1", "n2"):
-            its.fleet.machines[name].crash()
-        await until(lambda: shown_level(service) == "essential")
-        change = shown(service)["status"]["changes"][-1]
+            test_cluster.fleet.machines[name].crash()
+        await until(lambda: level_name(service) == "essential")
+        change = level_object(service)["status"]["changes"][-1]
         assert {one["symptom"] for one in change["evidence"]} == {"cores-lost"}
         assert change["evidence"][0]["value"] == 0.75
-        assert any("cores-lost must fall under" in line for line in shown(service)["status"]["leavesWhen"])
+        assert any(
+            "cores-lost must fall under" in line for line in level_object(service)["status"]["leavesWhen"]
+        )
 
 
-def shown_level(service: PlacerService) -> str:
+def level_name(service: PlacerService) -> str:
     with contextlib.suppress(ApiError):
-        level: str = shown(service)["status"]["level"]
-        return level
+        name: str = level_object(service)["status"]["level"]
+        return name
     return ""
 
 
 async def test_memory_and_timer_lag_are_signals_of_the_process() -> None:
     async with cluster(1, "levels.memory=16 MiB") as (_, service, _client):
         await until(lambda: service.heart.levelling.sight.memory_share > 1.0)
-        await until(lambda: shown_level(service) == "holding")
-        assert "memory" in shown(service)["status"]["why"]
+        await until(lambda: level_name(service) == "holding")
+        assert "memory" in level_object(service)["status"]["why"]
     controller = service.heart.levelling.governor
     observation = OverloadObservation(timer_lag_ms=300.0)
     assert controller.signals.readings(controller.elapsed_ms, observation)["lag"] == 300.0
 
 
 async def test_during_a_flood_drains_hold_and_admitted_tasks_are_answered_in_time() -> None:
-    """Jobs, watches and connections that break, far more than the placer can look at, while one drains."""
-    async with cluster(4, "limits.open_tasks=400") as (its, service, client):
+    """Far more jobs, watches and broken connections than a placer can handle, while a machine drains."""
+    async with cluster(4, "limits.open_tasks=400") as (test_cluster, service, client):
         host, port = "127.0.0.1", service.http.port
         flooding = True
-        taken: list[str] = []
-        turned = 0
+        admitted: list[str] = []
+        rejected_count = 0
 
         async def flood(number: int) -> None:
-            nonlocal turned
+            nonlocal rejected_count
             count = 0
             while flooding:
                 count += 1
                 name = f"f{number}-{count}"
                 try:
                     await client.submit("climate", spec(cores=0.5, patience="4s"), name=name)
-                    taken.append(name)
+                    admitted.append(name)
                 except ApiError as error:
                     if error.code not in (429, 503):
                         raise
-                    turned += 1
+                    rejected_count += 1
                 await asyncio.sleep(0)
 
-        async def break_off() -> None:
+        async def abort_watches() -> None:
             while flooding:
                 reader, writer = await asyncio.open_connection(host, port)
                 writer.write(f"GET {BASE}/jobs?watch=true HTTP/1.1\r\nhost: x\r\n\r\n".encode())
@@ -263,20 +265,24 @@
                 await asyncio.sleep(0.005)
 
         work = [asyncio.create_task(flood(number)) for number in range(40)]
-        work += [asyncio.create_task(break_off()) for _ in range(4)]
+        work += [asyncio.create_task(abort_watches()) for _ in range(4)]
         await asyncio.sleep(3.0)
-        its.fleet.machines["n0"].drain(on=True)
+        test_cluster.fleet.machines["n0"].drain(on=True)
         await asyncio.sleep(3.0)
         flooding = False
         await asyncio.gather(*work)
-        assert taken
-        assert turned
+        assert admitted
+        assert rejected_count
         await until(lambda: service.heart.open_tasks == 0)
-        told_at = its.events("told", machine="n0", state="draining")[0]["t"]
-        # Flood, machines and placer share this process: what they owe is measured with some slack.
-        late = [o for o in its.events("offer", machine="n0") if o["t"] > told_at + 500.0 + SLACK_MS]
-        assert late == []
-        for name in taken:
+        drain_sent_at = test_cluster.events("told", machine="n0", state="draining")[0]["t"]
+        # Flood, machines and placer share this process, so that times are measured with some slack.
+        late_offers = [
+            offer
+            for offer in test_cluster.events("offer", machine="n0")
+            if offer["t"] > drain_sent_at + 500.0 + SLACK_MS
+        ]
+        assert late_offers == []
+        for name in admitted:
             task = service.store.get(JOBS, ("climate", name)).body["status"]["tasks"][0]
             assert task.get("answer"), name
             waited = _ms(task["answeredAt"]) - _ms(task["createdAt"])
