--- a/kelpfront/agent/copies.py
+++ b/kelpfront/agent/copies.py
@@ -14,6 +14,8 @@
 
 import xxhash
 
+from kelpfront.machine.idempotency_records import RecordHolder
+
 
 class FileCopies:
     """Copies of one machine's view; `folder` is shared with the others of its groups."""
@@ -22,16 +24,16 @@
         self._folder = folder
         folder.mkdir(parents=True, exist_ok=True)
 
-    def holder(self, group: str, key: str) -> tuple[str, str] | None:
+    def holder(self, group: str, key: str) -> RecordHolder | None:
         try:
             found = json.loads(self._path(group, key).read_bytes())
-            return str(found["machine"]), str(found["task"])
+            return RecordHolder(str(found["machine"]), str(found["task"]))
         except FileNotFoundError:
             return None
         except (OSError, ValueError, KeyError, TypeError):
-            return "an unreadable entry", ""  # somebody may hold it: err to the safe side
+            return RecordHolder("an unreadable entry", "")  # somebody may hold it: err to the safe side
 
-    def claim(self, group: str, key: str, machine: str, task: str) -> tuple[str, str] | None:
+    def claim(self, group: str, key: str, machine: str, task: str) -> RecordHolder | None:
         path = self._path(group, key)
         part = path.with_name(f".{path.name}.{os.getpid()}")
         record = {"group": group, "key": key, "machine": machine, "task": task}
@@ -40,9 +42,9 @@
             os.link(part, path)
         except FileExistsError:
             stands = self.holder(group, key)
-            return None if stands == (machine, task) else stands or ("another machine", "")
+            return None if stands == (machine, task) else stands or RecordHolder("another machine", "")
         except OSError as error:
-            return f"none that can be told: {path}: {error.strerror}", ""
+            return RecordHolder(f"none that can be told: {path}: {error.strerror}", "")
         finally:
             with contextlib.suppress(OSError):
                 part.unlink(missing_ok=True)
@@ -71,17 +73,17 @@
 
     def __init__(self, own_group: str) -> None:
         self._own_group = own_group
-        self._holders: dict[str, tuple[str, str]] = {}
+        self._holders: dict[str, RecordHolder] = {}
 
-    def holder(self, group: str, key: str) -> tuple[str, str] | None:
+    def holder(self, group: str, key: str) -> RecordHolder | None:
         if group != self._own_group:
-            return "no machine that can be told: this one has no `copies` folder to share", ""
+            return RecordHolder("no machine that can be told: this one has no `copies` folder to share", "")
         return self._holders.get(key)
 
-    def claim(self, group: str, key: str, machine: str, task: str) -> tuple[str, str] | None:
+    def claim(self, group: str, key: str, machine: str, task: str) -> RecordHolder | None:
         if group != self._own_group:
             return self.holder(group, key)
-        stands = self._holders.setdefault(key, (machine, task))
+        stands = self._holders.setdefault(key, RecordHolder(machine, task))
         return None if stands == (machine, task) else stands
 
     def remove(self, group: str, key: str, machine: str, task: str) -> None:
--- a/kelpfront/agent/runtime.py
+++ b/kelpfront/agent/runtime.py
@@ -27,8 +27,8 @@
 from kelpfront.agent.spawner import Spawned, Spawner, SpawnError
 from kelpfront.agent.state import End, Recorded, State, StateError
 from kelpfront.agent.supervisor import request_stop
+from kelpfront.machine.effects import StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.messages import GoneCause, Offer, OfferRequest
-from kelpfront.machine.model import Begin, Halt, TakeOver
 from kelpfront.machine.node import Node
 
 log = structlog.get_logger("kelpfront.agent")
@@ -111,8 +111,8 @@
 
     # ---- What the node wants --------------------------------------------------------------------------
 
-    def begin(self, begin: Begin) -> None:
-        offer = begin.offer
+    def start_task(self, start: StartTask) -> None:
+        offer = start.offer
         held = self.node.tasks[offer.task]
         request = OfferRequest(held.placer, held.incarnation, offer)
         record = Recorded(request, self._boot, self._now(), offer.attempt)
@@ -120,31 +120,31 @@
         self.runs[offer.task] = self._by_folder[run.folder.name] = run
         self._spawn(self._start(run))
 
-    def halt(self, halt: Halt) -> None:
+    def stop_task(self, stop: StopTask) -> None:
         """Written down before this returns: whoever asked may rely on it from then on."""
-        run = self.runs.get(halt.task)
+        run = self.runs.get(stop.task)
         if run is None or run.stop is not None:
             return
-        run.stop = halt.cause
+        run.stop = stop.cause
         self._at("stop")
         if run.made:
             self._write_stop(run)
 
-    def take_over(self, copy: TakeOver) -> None:
-        self._spawn(self._take_over(copy))
+    def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
+        self._spawn(self._supersede_attempt(superseding))
 
-    async def _take_over(self, copy: TakeOver) -> None:
-        offer = copy.offer
+    async def _supersede_attempt(self, superseding: SupersedeAttempt) -> None:
+        offer = superseding.offer
         run = self.runs.get(offer.task)
         if run is not None and not run.over:
             old = run.record
-            request = OfferRequest(copy.placer, copy.incarnation, offer)
+            request = OfferRequest(superseding.placer, superseding.incarnation, offer)
             run.record = Recorded(request, old.boot, old.since, old.began)
             try:
                 await self._state.taken_over(old.key, run.record)
             except StateError as error:  # it runs, whatever the disk says; a restart would tell of `old`
                 log.error("a copy that was taken over is not on record", task=run.task, error=str(error))
-        self.node.taken_over(self._now(), offer.task, offer.attempt)
+        self.node.attempt_superseded(self._now(), offer.task, offer.attempt)
         self._changed()
 
     # ---- Starts ---------------------------------------------------------------------------------------
--- a/kelpfront/agent/server.py
+++ b/kelpfront/agent/server.py
@@ -14,7 +14,7 @@
 from kelpfront.http.server import HttpLimits, Request, Response
 from kelpfront.machine.messages import NOT_HERE, Answer, OfferRequest, encode
 from kelpfront.machine.node import Node
-from kelpfront.machine.server import MachineServer, Runtime
+from kelpfront.machine.server import MachineServer, TaskRuntime
 
 LOG_MOST = 16 << 20  # bytes of output in one answer
 LOG_USUAL = 1 << 20
@@ -26,7 +26,7 @@
     def __init__(
         self,
         node: Node,
-        runtime: Runtime,
+        runtime: TaskRuntime,
         now: Callable[[], float],
         *,
         heard: Callable[[list[str]], None],
@@ -38,17 +38,12 @@
         super().__init__(node, runtime, now, limits)
         self._heard, self._drain, self._views, self._folder_of = heard, drain, views, folder_of
 
-    @property
-    def connected(self) -> frozenset[str]:
-        """Placers whose stream is open."""
-        return frozenset(self._streams)
-
-    async def answer_of(self, offered: OfferRequest, request: Request) -> Answer:
+    async def decide_offer(self, offered: OfferRequest, request: Request) -> Answer:
         if why := fits(offered.offer):
             return Answer("refused", NOT_HERE, why)
-        return await super().answer_of(offered, request)
+        return await super().decide_offer(offered, request)
 
-    def acknowledged(self, placer: str, tasks: list[str]) -> None:
+    def on_acknowledged(self, placer: str, tasks: list[str]) -> None:
         if tasks:
             self._heard(tasks)
 
--- a/kelpfront/agent/service.py
+++ b/kelpfront/agent/service.py
@@ -34,7 +34,7 @@
 from kelpfront.http.server import HttpLimits
 from kelpfront.machine.admission import Capacity
 from kelpfront.machine.idempotency_records import IdempotencyRecords
-from kelpfront.machine.model import NodeSettings
+from kelpfront.machine.model import Incarnation, NodeSettings
 from kelpfront.machine.node import Node
 from kelpfront.machine.slow_start import SlowStart
 
@@ -138,7 +138,7 @@
             )
             self.takeup.run(self.clock.now(), opened)
             if opened.meta.get("draining") == "yes":
-                self.node.drain(self.clock.now(), True)
+                self.node.set_draining(self.clock.now(), draining=True)
             host, _, port = self.config.agent.listen.rpartition(":")
             try:
                 await self.server.start(host, int(port))
@@ -256,24 +256,24 @@
             name=its.name,
             kind=its.kind,
             rack=its.rack,
-            room=its.room,
+            zone=its.room,
             capacity=Capacity(
                 host.cores if host.cores is not None else float(cores),
                 host.memory if host.memory is not None else memory / host.memory_unit,
                 host.accepts_cores,
                 host.accepts_memory,
             ),
-            line=starts.line,
-            tasks_most=self.config.tasks.most,
-            parallel_starts=starts.parallel,
-            answers=starts.answer,
-            pushes_out=starts.pushes_out,
-            drain=self.config.drain.evicts,
-            drain_pace_ms=self.config.drain.pace,
-            kept_programs=0,
+            max_pending_offers=starts.line,
+            max_tasks=self.config.tasks.most,
+            max_parallel_starts=starts.parallel,
+            answer_mode=starts.answer,
+            preempts=starts.pushes_out,
+            drain_mode=self.config.drain.evicts,
+            drain_interval_ms=self.config.drain.pace,
+            max_cached_programs=0,
             heartbeat_ms=its.heartbeat,
-            warmup=SlowStart(host.cold_from, host.cold_for),
-            start_rate=None if starts.rate is None else starts.rate / 1000.0,
+            slow_start=SlowStart(host.cold_from, host.cold_for),
+            starts_per_ms=None if starts.rate is None else starts.rate / 1000.0,
         )
         boot, age_ms = self.facts.boot, self.facts.uptime_ms
         if host.warm_from == "agent":  # each of its starts is a new life in the placers' eyes
@@ -286,7 +286,8 @@
             self._copies = None
             copies = NoCopies(f"{its.room}/{its.rack}/{its.name}")
         now = self.clock.now()
-        return Node(settings, boot, now - age_ms, lambda: starts.weigh, copies, first_seq)
+        incarnation = Incarnation(boot, now - age_ms, first_seq)
+        return Node(settings, incarnation, lambda: starts.weigh, copies)
 
     # ---- While it runs --------------------------------------------------------------------------------
 
@@ -296,7 +297,7 @@
     def drain(self, on: bool) -> None:
         """Take nothing new, and send tasks away as set; also after a restart, until it is taken back."""
         self._state.set_meta("draining", "yes" if on else "no")
-        self.node.drain(self.clock.now(), on)
+        self.node.set_draining(self.clock.now(), draining=on)
         log.info("drain", on=on)
         self._changed()
 
@@ -322,7 +323,7 @@
             now = self.clock.now()
             owners = {held.placer for held in self.node.tasks.values()}
             for placer in self._orphans.left(now, owners, self.server.connected):
-                count = self.node.give_up(now, placer, "lost")
+                count = self.node.stop_tasks_of(now, placer, "lost")
                 if count:
                     self.orphaned += count
                     log.warning("placer is away for good; its tasks are stopped", placer=placer, tasks=count)
@@ -333,7 +334,7 @@
     def status(self) -> dict[str, Any]:
         phases: dict[str, int] = {}
         for held in self.node.tasks.values():
-            phases[held.phase] = phases.get(held.phase, 0) + 1
+            phases[held.phase.value] = phases.get(held.phase.value, 0) + 1
         node, its = self.node, self.config.agent
         age_ms = self.clock.now() - node.started_at
         orphans = self.config.tasks.orphans
@@ -345,7 +346,7 @@
             "pid": os.getpid(),
             "boot": node.boot,
             "state": "draining" if node.draining else "ready",
-            "warm": round(node.settings.warmup.share(age_ms), 3),
+            "warm": round(node.settings.slow_start.share_at(age_ms), 3),
             "tasks": phases,
             "load": node.load(),
             "placers": sorted(self.server.connected),
@@ -371,7 +372,7 @@
                     "job": f"{offer.job.namespace}/{offer.job.name}",
                     "index": offer.job.index,
                     "placer": held.placer,
-                    "phase": held.phase,
+                    "phase": held.phase.value,
                     "since": held.since,
                     "cores": None if use is None else round(use.cores, 3),
                     "memoryBytes": None if use is None else round(use.memory),
--- a/kelpfront/agent/takeup.py
+++ b/kelpfront/agent/takeup.py
@@ -16,7 +16,9 @@
 from kelpfront.agent.recovery import Fate, cause_of, judge
 from kelpfront.agent.runtime import UNSEEN, Runtime
 from kelpfront.agent.state import End, Opened, Recorded, State
+from kelpfront.machine.model import Phase
 from kelpfront.machine.node import Node
+from kelpfront.machine.restoration import RestoredTask
 
 log = structlog.get_logger("kelpfront.agent")
 
@@ -107,9 +109,9 @@
                 self._take_exit(record, folder, found, stopped_for)
             case _:
                 runs = fate in (Fate.RUNNING, Fate.UNWATCHED)
-                phase: Any = "stopping" if stopped_for else "running" if runs else "starting"
+                phase = Phase.STOPPING if stopped_for else Phase.RUNNING if runs else Phase.STARTING
                 cause: Any = stopped_for or "ended"
-                self.node.restore(now, record.request, phase, record.since, cause)
+                self.node.restore(now, RestoredTask(record.request, phase, record.since, cause))
                 self._runtime.resume(record, folder, fate, found)
 
     def _take_exit(self, record: Recorded, folder: Path, found: Found, stopped_for: str | None) -> None:
@@ -120,7 +122,10 @@
 
     def end(self, record: Recorded, folder: Path, end: End) -> None:
         """It was over before this agent started: told of in the next snapshot."""
-        record.end, record.seq = end, self.node.first_seq - 1  # the number of this agent's first snapshots
+        record.end, record.seq = (
+            end,
+            self.node.incarnation.first_seq - 1,
+        )  # the number of this agent's first snapshots
         self.node.restore_ended(record.request.placer, record.report(), record.seq)
         self._state.ended(record)
         self._runtime.keep(record.key, folder)
--- a/kelpfront/agent/useloop.py
+++ b/kelpfront/agent/useloop.py
@@ -14,8 +14,9 @@
 from kelpfront.agent.usage import Smoothing, Use, next_period_ms, trees
 from kelpfront.config.agent import AgentConfig
 from kelpfront.machine.messages import Note
+from kelpfront.machine.model import Phase, ResourceUsage
 from kelpfront.machine.node import Node
-from kelpfront.machine.report_log import worth_telling
+from kelpfront.machine.usage_reporting import is_significant_change
 
 log = structlog.get_logger("kelpfront.agent")
 
@@ -39,7 +40,7 @@
         self._over_ms = config.tasks.use_smoothing
         self._counts_others = config.host.counts_others
         self._smoothing: dict[str, Smoothing] = {}
-        self._told: dict[str, tuple[float, float]] = {}
+        self._told: dict[str, ResourceUsage] = {}
         self._host: HostSample | None = None
         self._took_ms, self._samples, self._spent_ms = 0.0, 0, 0.0
 
@@ -63,23 +64,23 @@
         now = self._now()
         self._took_ms, self._samples = took_ms, self._samples + 1
         self._spent_ms += took_ms
-        used: dict[str, tuple[float, float]] = {}
+        used: dict[str, ResourceUsage] = {}
         cpu_s = 0.0
         for task, tree in trees(samples, roots).items():
             held = self._node.tasks.get(task)
-            if held is None or held.phase != "running":
+            if held is None or held.phase is not Phase.RUNNING:
                 continue
             use = self._smoothing.setdefault(task, Smoothing(self._over_ms)).take(now, tree)
-            used[task] = use.cores, use.memory / self._unit
+            used[task] = ResourceUsage(use.cores, use.memory / self._unit)
             cpu_s += use.cores
         for gone in self._smoothing.keys() - self._node.tasks.keys():
             del self._smoothing[gone]
             self._told.pop(gone, None)
         if self._counts_others:
             self._take_host(cpu_s, sum(memory for _, memory in used.values()))
-        self._node.used(now, used)
-        for task, (cores, memory) in used.items():
-            self._tell(task, cores, memory)
+        self._node.record_usage(now, used)
+        for task, usage in used.items():
+            self._tell(task, usage)
         self._server.changed()
 
     def _take_host(self, cores: float, memory: float) -> None:
@@ -88,16 +89,16 @@
         self._host = host
         if before is not None and host.at_s > before.at_s:
             busy = (host.busy_s - before.busy_s) / (host.at_s - before.at_s)
-            self._node.other_cores = max(0.0, busy - cores)
-        self._node.other_memory = max(0.0, host.memory / self._unit - memory)
+            self._node.other_programs.cores = max(0.0, busy - cores)
+        self._node.other_programs.memory = max(0.0, host.memory / self._unit - memory)
 
-    def _tell(self, task: str, cores: float, memory: float) -> None:
+    def _tell(self, task: str, usage: ResourceUsage) -> None:
         held, before = self._node.tasks[task], self._told.get(task)
-        if not worth_telling((cores, memory), before):
+        if not is_significant_change(usage, before):
             return
-        self._told[task] = cores, memory
-        self._node.note(Note(task, held.offer.attempt, "cores", round(cores, 4)))
-        self._node.note(Note(task, held.offer.attempt, "memory", round(memory, 4)))
+        self._told[task] = usage
+        self._node.report_status(Note(task, held.offer.attempt, "cores", round(usage.cores, 4)))
+        self._node.report_status(Note(task, held.offer.attempt, "memory", round(usage.memory, 4)))
 
     def of(self, task: str) -> Use | None:
         smoothing = self._smoothing.get(task)
--- a/kelpfront/lab/agents.py
+++ b/kelpfront/lab/agents.py
@@ -80,7 +80,7 @@
     def record(self, ev: str, **fields: object) -> None:
         self.recorder.write(ev, machine=self.node.settings.name, **fields)
 
-    async def answer_of(self, offered: OfferRequest, request: Request) -> Answer:
+    async def decide_offer(self, offered: OfferRequest, request: Request) -> Answer:
         offer, settings = offered.offer, self.node.settings
         self.record(
             "offer",
@@ -91,20 +91,20 @@
             cls=offer.cls,
             service=offer.service,
             key=offer.key,
-            room=settings.room,
+            room=settings.zone,
             rack=settings.rack,
         )
         key = {"task": offer.task, "attempt": offer.attempt}
         forget = request.peer.on_change(lambda: self.record("left", **key))
         try:
-            answer = await super().answer_of(offered, request)
+            answer = await super().decide_offer(offered, request)
         finally:
             forget()
         there = not (request.peer.gone or request.peer.half_closed)
         self.record("answer", **key, answer=answer.answer, reason=answer.reason, delivered=there)
         return answer
 
-    def streamed(self, placer: str, message: Heartbeat | Sequenced) -> None:
+    def on_streamed(self, placer: str, message: Heartbeat | Sequenced) -> None:
         match message:
             case Heartbeat(state):
                 self.record("told", placer=placer, state=state)
@@ -143,19 +143,19 @@
     service = kind(config, clock=clock, facts=facts, at=death.at)
     await service.start()
     if recorder is not None and its.records_boot:
-        warmup, settings = service.node.settings.warmup, service.node.settings
-        cold = service.clock.now() - service.node.started_at < warmup.cold_ms
+        slow_start, settings = service.node.settings.slow_start, service.node.settings
+        cold = service.clock.now() - service.node.started_at < slow_start.duration_ms
         recorder.write(
             "boot",
             machine=config.agent.name,
             boot=service.node.boot,
             cold=cold,
             rack=settings.rack,
-            room=settings.room,
+            room=settings.zone,
             kind=settings.kind,
-            rate=settings.start_rate or settings.parallel_starts / 100.0,
-            cold_from=warmup.cold_from,
-            cold_ms=warmup.cold_ms,
+            rate=settings.starts_per_ms or settings.max_parallel_starts / 100.0,
+            cold_from=slow_start.initial_share,
+            cold_ms=slow_start.duration_ms,
         )
     sys.stdout.write(
         json.dumps({"url": service.url, "grpc": service.grpc_target, "readyMs": service.ready_ms}) + "\n"
--- a/kelpfront/lab/checker.py
+++ b/kelpfront/lab/checker.py
@@ -441,13 +441,13 @@
             until = lives[position + 1]["t"] if position + 1 < len(lives) else float("inf")
             warm_at = boot["t"] + boot["cold_ms"]
             offers = [t for t in self._offers_of[machine] if boot["t"] <= t < min(until, warm_at)]
-            warmup = SlowStart(boot["cold_from"], boot["cold_ms"])
+            slow_start = SlowStart(boot["cold_from"], boot["cold_ms"])
             first = 0
             for last, t in enumerate(offers):
                 while offers[first] <= t - figures.cold_window_ms:
                     first += 1
                 age = t - boot["t"]
-                bears = figures.cold_multiple * warmup.starts(
+                bears = figures.cold_multiple * slow_start.starts_between(
                     max(0.0, age - figures.cold_window_ms), max(figures.cold_window_ms, age), boot["rate"]
                 )
                 count = last - first + 1
--- a/kelpfront/lab/placersim.py
+++ b/kelpfront/lab/placersim.py
@@ -27,9 +27,10 @@
 from kelpfront.inventory import Host, Inventory
 from kelpfront.lab.recording import Recorder
 from kelpfront.machine.admission import Capacity
+from kelpfront.machine.effects import AnswerOffer, StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.idempotency_records import SharedIdempotencyRecords
 from kelpfront.machine.messages import Answer, Gone, Heartbeat, OfferRequest, StreamMessage
-from kelpfront.machine.model import Begin, Halt, NodeSettings, Reply, TakeOver
+from kelpfront.machine.model import Incarnation, NodeSettings
 from kelpfront.machine.node import Node
 from kelpfront.machine.slow_start import SlowStart
 from kelpfront.scheduling.actions import SchedulerAction
@@ -109,15 +110,15 @@
             host.rack,
             host.room,
             Capacity(host.cores, host.memory, 1.0, 1.0),
-            line=50,
-            parallel_starts=6,
-            answers="running",
-            pushes_out=False,
-            drain="none",
-            drain_pace_ms=0.0,
-            kept_programs=20,
+            max_pending_offers=50,
+            max_parallel_starts=6,
+            answer_mode="running",
+            preempts=False,
+            drain_mode="none",
+            drain_interval_ms=0.0,
+            max_cached_programs=20,
             heartbeat_ms=BEAT_MS,
-            warmup=SlowStart(1.0, 0.0),
+            slow_start=SlowStart(1.0, 0.0),
         )
         self.placer: Placer | None = None
         self.node: Node | None = None
@@ -138,7 +139,8 @@
     def boot(self) -> None:
         self.lives += 1
         name = f"{self.host.name}-{self.lives}"
-        node = Node(self.settings, name, self.world.now - 3_600_000.0, lambda: 4.0, self._copies)
+        incarnation = Incarnation(name, self.world.now - 3_600_000.0)
+        node = Node(self.settings, incarnation, lambda: 4.0, self._copies)
         self.node, self._sent = node, 0
         self.record(
             "boot", boot=name, cold=False, rack=self.host.rack, room=self.host.room, kind=self.host.kind
@@ -199,7 +201,7 @@
         node, placer = self.node, self.placer
         if node is None or placer is None:
             return
-        for message in node.outbox(placer.name).since(self._sent + 1):
+        for message in node.outbox(placer.name).messages_from(self._sent + 1):
             self._sent = message.seq
             self.tell(message)
 
@@ -256,16 +258,16 @@
         node = self.node
         if node is None:
             return
-        for effect in node.take_effects():
+        for effect in node.pop_effects():
             match effect:
-                case Reply(task, attempt, answer):
+                case AnswerOffer(task, attempt, answer):
                     self._answer(task, attempt, answer)
-                case Begin():
+                case StartTask():
                     self._begin(effect)
-                case Halt(task):
+                case StopTask(task):
                     self.world.after(20.0, lambda task=task: self._exit(self.lives, task))  # type: ignore[misc]
-                case TakeOver(offer):
-                    node.taken_over(self.world.now, offer.task, offer.attempt)
+                case SupersedeAttempt(offer):
+                    node.attempt_superseded(self.world.now, offer.task, offer.attempt)
         due = node.next_timer()
         if due < float("inf"):
             life = self.lives
@@ -276,11 +278,11 @@
             self.node.advance(self.world.now)
             self.work()
 
-    def _begin(self, begin: Begin) -> None:
-        offer, life = begin.offer, self.lives
+    def _begin(self, start: StartTask) -> None:
+        offer, life = start.offer, self.lives
         behaviour = self._behaviour.get(offer.cls, Behaviour())
-        ms = behaviour.start_ms * (2.0 if begin.dear else 1.0) * self.rng.uniform(0.8, 1.3)
-        self.record("start", task=offer.task, attempt=offer.attempt, placer=begin.placer, key=offer.key)
+        ms = behaviour.start_ms * (2.0 if start.needs_program else 1.0) * self.rng.uniform(0.8, 1.3)
+        self.record("start", task=offer.task, attempt=offer.attempt, placer=start.placer, key=offer.key)
         lives_ms = min(self.rng.expovariate(1.0 / behaviour.life_ms), 6 * behaviour.life_ms)
 
         def started() -> None:
@@ -294,7 +296,7 @@
     def _exit(self, life: int, task: str) -> None:
         node = self.node
         held = None if node is None or self.lives != life else node.tasks.get(task)
-        if node is None or held is None or not held.ran:
+        if node is None or held is None or not held.has_begun:
             return
         self.record("end", task=task, attempt=held.offer.attempt, cause=held.cause)
         node.exited(self.world.now, task, 0 if held.cause == "ended" else None)
--- a/kelpfront/lab/standin.py
+++ b/kelpfront/lab/standin.py
@@ -15,9 +15,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Literal
 
-from kelpfront.http.server import Abort, HttpLimits, Peer, Request, Response
+from kelpfront.http.server import Abort, HttpLimits, Request, Response
 from kelpfront.lab.recording import Recorder
+from kelpfront.machine.effects import StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.idempotency_records import MachineIdempotencyRecords
+from kelpfront.machine.message_stream import PlacerStream
 from kelpfront.machine.messages import (
     Answer,
     Gone,
@@ -27,10 +29,10 @@
     Sequenced,
     StreamMessage,
 )
-from kelpfront.machine.model import Begin, Halt, NodeSettings, TakeOver
+from kelpfront.machine.model import Incarnation, NodeSettings, Phase, ResourceUsage
 from kelpfront.machine.node import Node
-from kelpfront.machine.report_log import worth_telling
 from kelpfront.machine.server import MachineServer
+from kelpfront.machine.usage_reporting import is_significant_change
 
 if TYPE_CHECKING:
     from kelpfront.machine.grpc_server import GrpcNode
@@ -91,7 +93,7 @@
         super().__init__(node, standin, standin.now, limits)
         self._standin = standin
 
-    async def offer_answer(self, offered: OfferRequest, request: Request) -> Answer:
+    async def answer_offer(self, offered: OfferRequest, request: Request) -> Answer:
         standin, offer = self._standin, offered.offer
         standin.offered(offered)
         key = offer.task, offer.attempt
@@ -107,7 +109,7 @@
         if (refusal := standin.says_full(offer.cls)) is not None:
             answer = refusal
         else:
-            answer = await self.answer_of(offered, request)
+            answer = await self.decide_offer(offered, request)
         troubles = standin.troubles
         if troubles.late_ms:
             await asyncio.sleep(troubles.late_ms / 1000.0)
@@ -126,7 +128,7 @@
         )
         return answer
 
-    async def until_probed(self) -> None:
+    async def before_health_check_answer(self) -> None:
         await self._standin.until_heard()
 
     async def handle(self, request: Request) -> Response:
@@ -137,22 +139,15 @@
     def heartbeat(self) -> Heartbeat:
         return self._standin.lagging(super().heartbeat())
 
-    def streamed(self, placer: str, message: Heartbeat | Sequenced) -> None:
+    def on_streamed(self, placer: str, message: Heartbeat | Sequenced) -> None:
         match message:
             case Heartbeat(state):
                 self._standin.record("told", placer=placer, state=state)
             case Gone(_, task, attempt, cause):
                 self._standin.record("gone-told", placer=placer, task=task, attempt=attempt, cause=cause)
 
-    async def _messages(
-        self,
-        placer: str,
-        first: int | None,
-        wake: asyncio.Event,
-        peer: Peer,
-        stop_watching: Callable[[], None],
-    ) -> AsyncGenerator[list[StreamMessage], None]:
-        messages = super()._messages(placer, first, wake, peer, stop_watching)
+    async def message_batches(self, stream: PlacerStream) -> AsyncGenerator[list[StreamMessage], None]:
+        messages = super().message_batches(stream)
         async with contextlib.aclosing(messages) as batches:
             async for batch in batches:
                 await self._standin.until_heard()
@@ -191,8 +186,8 @@
         self._left: dict[tuple[str, int], None] = {}
         self._closing: set[asyncio.Task[None]] = set()
         self._timers: dict[asyncio.TimerHandle, None] = {}
-        self._use: dict[str, tuple[float, float]] = {}
-        self._told_use: dict[str, tuple[float, float]] = {}
+        self._use: dict[str, ResourceUsage] = {}
+        self._told_use: dict[str, ResourceUsage] = {}
         self._holder: socket.socket | None = None  # keeps the port for this machine while it is down
 
     @property
@@ -227,23 +222,23 @@
         self._lives += 1
         self._cold = cold
         now = self.now()
-        age = 0.0 if cold else max(self.settings.warmup.cold_ms * 10, 3_600_000.0)
+        age = 0.0 if cold else max(self.settings.slow_start.duration_ms * 10, 3_600_000.0)
         boot = f"{self.name}-{self._lives}"
-        node = Node(self.settings, boot, now - age, self._weigh_ms, self._copies)
+        node = Node(self.settings, Incarnation(boot, now - age), self._weigh_ms, self._copies)
         self.troubles = Troubles()
         self._heard.set()
         self.server = _Server(self, node, HttpLimits())
-        warmup, settings = self.settings.warmup, self.settings
+        slow_start, settings = self.settings.slow_start, self.settings
         self.record(
             "boot",
             boot=boot,
             cold=cold,
             rack=settings.rack,
-            room=settings.room,
+            room=settings.zone,
             kind=settings.kind,
             rate=self.start_rate(),
-            cold_from=warmup.cold_from,
-            cold_ms=warmup.cold_ms,
+            cold_from=slow_start.initial_share,
+            cold_ms=slow_start.duration_ms,
         )
         if self.protocol == "grpc":
             from kelpfront.machine.grpc_server import GrpcNode
@@ -284,7 +279,7 @@
     def start_rate(self) -> float:
         """Starts a millisecond that it can do when warm: ordinary ones of its classes in the mean."""
         models = list(self.model.classes.values()) or [TaskModel()]
-        return self.settings.parallel_starts / (sum(model.start_ms for model in models) / len(models))
+        return self.settings.max_parallel_starts / (sum(model.start_ms for model in models) / len(models))
 
     def _weigh_ms(self) -> float:
         return self.model.weigh_ms * (0.7 + 0.6 * self.rng.random())
@@ -304,14 +299,14 @@
 
     def drain(self, on: bool) -> None:
         if self.server is not None:
-            self.node.drain(self.now(), on)
+            self.node.set_draining(self.now(), draining=on)
             self.server.changed()
 
     def neighbour(self, share: float) -> None:
         """Another program takes a share of the machine."""
         if self.server is not None:
-            self.node.other_cores = share * self.settings.capacity.cores
-            self.node.other_memory = 0.3 * share * self.settings.capacity.memory
+            self.node.other_programs.cores = share * self.settings.capacity.cores
+            self.node.other_programs.memory = 0.3 * share * self.settings.capacity.memory
 
     def lagging(self, beat: Heartbeat) -> Heartbeat:
         """The heartbeat of some time ago, where the list lags."""
@@ -333,18 +328,18 @@
             cls=offer.cls,
             service=offer.service,
             key=offer.key,
-            room=self.settings.room,
+            room=self.settings.zone,
             rack=self.settings.rack,
         )
         self._class_offers.setdefault(offer.cls, deque()).append(now)
         age = now - self.node.started_at
-        if not self._cold or age >= self.settings.warmup.cold_ms:
+        if not self._cold or age >= self.settings.slow_start.duration_ms:
             return
         self._offers.append(now)
         window = self.model.cold_window_ms
         while self._offers[0] <= now - window:
             self._offers.popleft()
-        bears = self.model.cold_multiple * self.settings.warmup.starts(
+        bears = self.model.cold_multiple * self.settings.slow_start.starts_between(
             max(0.0, age - window), max(window, age), self.start_rate()
         )
         if len(self._offers) > max(bears, self.model.cold_offers):
@@ -384,9 +379,9 @@
         handle = asyncio.get_running_loop().call_later(seconds, run)
         self._timers[handle] = None
 
-    def begin(self, begin: Begin) -> None:
+    def start_task(self, start: StartTask) -> None:
         """The node begins a start."""
-        offer = begin.offer
+        offer = start.offer
         model = self.model.task(offer.cls)
         chance = random.Random(f"{self.rng.random()}/{offer.task}")
         share, how = self.troubles.failing.get(offer.cls, (0.0, ""))
@@ -394,9 +389,14 @@
             if how == "error":
                 self._later(0.02, self._fail, offer.task)
             return  # silence: it hangs until its placer gives it up
-        pace = self.settings.warmup.share(self.now() - self.node.started_at)
-        work = model.start_ms * (self.model.dear if begin.dear else 1.0) / pace * chance.uniform(0.8, 1.3)
-        self.record("start", task=offer.task, attempt=offer.attempt, placer=begin.placer, key=offer.key)
+        pace = self.settings.slow_start.share_at(self.now() - self.node.started_at)
+        work = (
+            model.start_ms
+            * (self.model.dear if start.needs_program else 1.0)
+            / pace
+            * chance.uniform(0.8, 1.3)
+        )
+        self.record("start", task=offer.task, attempt=offer.attempt, placer=start.placer, key=offer.key)
         life = min(chance.expovariate(1.0 / model.life_ms), 6 * model.life_ms)
         heavy, times = self.troubles.heavy.get(offer.cls, (0.0, 1.0))
         life *= times if heavy and chance.random() < heavy else 1.0
@@ -405,10 +405,10 @@
     def _started(self, task: str, life_ms: float) -> None:
         assert self.server is not None
         held = self.node.tasks.get(task)
-        if held is None or held.phase != "starting":
+        if held is None or held.phase is not Phase.STARTING:
             return
         model = self.model.task(held.offer.cls)
-        self._use[task] = (
+        self._use[task] = ResourceUsage(
             held.offer.cores * model.cores_use * self.rng.uniform(0.6, 1.4),
             held.offer.memory * model.memory_use * self.rng.uniform(0.7, 1.3),
         )
@@ -418,7 +418,7 @@
 
     def _fail(self, task: str) -> None:
         assert self.server is not None
-        self.node.failed(self.now(), task, "the class fails here")
+        self.node.start_unconfirmed(self.now(), task, "the class fails here")
         self.server.changed()
 
     def _exit(self, task: str) -> None:
@@ -426,17 +426,18 @@
         held = self.node.tasks.get(task)
         self._use.pop(task, None)
         self._told_use.pop(task, None)
-        if held is None or not held.ran:
+        if held is None or not held.has_begun:
             return
         self.record("end", task=task, attempt=held.offer.attempt, cause=held.cause)
         self.node.exited(self.now(), task, 0 if held.cause == "ended" else None)
         self.server.changed()
 
-    def take_over(self, copy: TakeOver) -> None:
-        self.node.taken_over(self.now(), copy.offer.task, copy.offer.attempt)
+    def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
+        offer = superseding.offer
+        self.node.attempt_superseded(self.now(), offer.task, offer.attempt)
 
-    def halt(self, halt: Halt) -> None:
-        self._later(self.model.stop_ms / 1000.0, self._exit, halt.task)
+    def stop_task(self, stop: StopTask) -> None:
+        self._later(self.model.stop_ms / 1000.0, self._exit, stop.task)
 
     def _use_tick(self) -> None:
         """Use that moves, told where it changed; the worst served task of each placer is told of."""
@@ -447,20 +448,20 @@
         for task, (cores, memory) in list(self._use.items()):
             drift = self.rng.uniform(0.97, 1.03)
             offer = tasks[task].offer
-            self._use[task] = (
+            self._use[task] = ResourceUsage(
                 min(cores * drift, 2.0 * offer.cores),
                 min(memory * self.rng.uniform(0.99, 1.015), 1.5 * offer.memory),
             )
-        self.node.used(now, self._use)
+        self.node.record_usage(now, self._use)
         for task, use in self._use.items():
             held = tasks.get(task)
-            if held is None or held.phase != "running":
+            if held is None or held.phase is not Phase.RUNNING:
                 continue
             before = self._told_use.get(task)
-            if worth_telling(use, before):
+            if is_significant_change(use, before):
                 self._told_use[task] = use
-                self.node.note(Note(task, held.offer.attempt, "cores", round(use[0], 3)))
-                self.node.note(Note(task, held.offer.attempt, "memory", round(use[1], 3)))
+                self.node.report_status(Note(task, held.offer.attempt, "cores", round(use[0], 3)))
+                self.node.report_status(Note(task, held.offer.attempt, "memory", round(use[1], 3)))
         self._note_service()
         self.server.changed()
 
@@ -474,13 +475,13 @@
             held = self.node.tasks[task]
             model = self.model.task(held.offer.cls)
             above = sum(cores for priority, cores in used.items() if priority >= held.offer.priority)
-            busy = (above + self.node.other_cores) / capacity.cores
+            busy = (above + self.node.other_programs.cores) / capacity.cores
             share = 1.0 if busy <= model.calm else max(0.0, 1.0 - (busy - model.calm) / model.fade)
             if share < TOLD_WELL and share < worst.get(held.placer, (1.0, ""))[0]:
                 worst[held.placer] = share, task
         for share, task in worst.values():
             held = self.node.tasks[task]
-            self.node.note(Note(task, held.offer.attempt, "service", round(share, 3)))
+            self.node.report_status(Note(task, held.offer.attempt, "service", round(share, 3)))
 
 
 async def boot_again(standin: StandIn, after_s: float, cold: bool = True) -> None:
--- a/kelpfront/lab/timeline/emulation.py
+++ b/kelpfront/lab/timeline/emulation.py
@@ -229,11 +229,11 @@
         bad = {cls for cls, (share, _) in standin.troubles.failing.items() if share > 0.1}
         bad |= {cls for cls, rate in standin.troubles.full.items() if standin.class_rate(cls) >= rate}
         return Truth(
-            its.cores * its.over_cores - sum(offer.cores for offer in held),
-            its.memory * its.over_memory - sum(offer.memory for offer in held),
+            its.cores * its.cores_overcommit - sum(offer.cores for offer in held),
+            its.memory * its.memory_overcommit - sum(offer.memory for offer in held),
             its.cores,
             frozenset(bad),
-            frozenset(service_number(*name.split("/", 1)) for name in standin.node.programs),
+            frozenset(service_number(*name.split("/", 1)) for name in standin.node.cached_programs),
         )
 
     async def _observe(self, began: float) -> None:
--- a/kelpfront/lab/wrongagents.py
+++ b/kelpfront/lab/wrongagents.py
@@ -9,7 +9,9 @@
 from kelpfront.agent.service import AgentService
 from kelpfront.agent.state import End, Opened, Recorded
 from kelpfront.agent.takeup import TakeUp
-from kelpfront.machine.model import Begin
+from kelpfront.machine.effects import StartTask
+from kelpfront.machine.model import Phase
+from kelpfront.machine.restoration import RestoredTask
 
 
 class _ForgetfulTakeUp(TakeUp):
@@ -81,7 +83,8 @@
 class _DeafTakeUp(TakeUp):
     def end(self, record: Recorded, folder: Path, end: End) -> None:
         if end.ran and not hash_of(record.key[0]) % 3:
-            self.node.restore(record.since, record.request, "running", record.since)
+            restored = RestoredTask(record.request, Phase.RUNNING, record.since)
+            self.node.restore(record.since, restored)
         else:
             super().end(record, folder, end)
 
@@ -94,9 +97,9 @@
 
 
 class _DoubleRuntime(Runtime):
-    def begin(self, begin: Begin) -> None:
-        super().begin(begin)
-        run = self.runs[begin.offer.task]
+    def start_task(self, start: StartTask) -> None:
+        super().start_task(start)
+        run = self.runs[start.offer.task]
         twin = Run(run.record, run.folder.with_name(f"{run.folder.name}.twin"))
         self._spawn(self._start(twin))
 
--- a/kelpfront/machine/__init__.py
+++ b/kelpfront/machine/__init__.py
@@ -1,5 +1,5 @@
 """The machine side: the protocol between placers and machines, and how a machine decides on what it is asked.
 
-`messages` is shared with the placer. `node` (admission, starts, drain) and `outbox` (what placers are told)
-do no I/O; `server` puts them on a socket.
+`messages` and `stream_offset` are shared with the placer. `node` decides without any I/O; `server` puts it on
+HTTP and `grpc_server` on gRPC. Running processes is left to whoever gives the server its `TaskRuntime`.
 """
--- a/kelpfront/machine/grpc_conversion.py
+++ b/kelpfront/machine/grpc_conversion.py
@@ -1,7 +1,12 @@
-"""The machines' protocol between its messages and those of node.proto. Both say the same."""
+"""Converts the messages of the machines' protocol to those of node.proto and back. Both carry the same.
+
+Names of fields and values here are those of node.proto. A value that this version does not know raises
+UnknownValueError where it may not be guessed; messages of unknown kinds are ignored by the callers.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from typing import Any
 
 from kelpfront.machine import messages as m
@@ -10,48 +15,41 @@
 EFFECTS: dict[str, Any] = {"safe": 1, "keyed": 2, "unsafe": 3}
 GROUPS: dict[str, Any] = {"none": 1, "machine": 2, "cell": 3, "zone": 4, "all": 5}
 ANSWERS: dict[str, Any] = {"running": 1, "accepted": 2, "refused": 3, "error": 4}
-_EFFECT = {number: word for word, number in EFFECTS.items()}
-_GROUP = {number: word for word, number in GROUPS.items()}
-_ANSWER = {number: word for word, number in ANSWERS.items()}
+_EFFECT_BY_NUMBER = {number: name for name, number in EFFECTS.items()}
+_GROUP_BY_NUMBER = {number: name for name, number in GROUPS.items()}
+_ANSWER_BY_NUMBER = {number: name for name, number in ANSWERS.items()}
 PHASES = ("waiting", "starting", "running", "ended")
 CAUSES = ("ended", "stopped", "failed", "evicted", "pushed-out", "sent-away", "lost")
 TOPICS = ("cores", "memory", "service", "pressure")
+STATES = ("ready", "draining")
 
 
-class UnknownWordError(ValueError):
-    """A message says something that this version does not know, and that cannot be passed over."""
+class UnknownValueError(ValueError):
+    """A message has a value that this version does not know and that cannot be ignored."""
 
 
-def _one_of(words: tuple[str, ...], word: str, what: str) -> Any:
-    if word not in words:
-        raise UnknownWordError(f"{what}: {word!r} is not one of {', '.join(words)}")
-    return word
+def _one_of(values: tuple[str, ...], value: str, field: str) -> Any:
+    if value not in values:
+        raise UnknownValueError(f"{field}: {value!r} is not one of {', '.join(values)}")
+    return value
 
 
-def _known(words: dict[Any, str], number: int, what: str) -> Any:
-    if number not in words:
-        raise UnknownWordError(f"{what}: {number} is none that this version knows")
-    return words[number]
+def _by_number(names: dict[Any, str], number: int, field: str) -> Any:
+    if number not in names:
+        raise UnknownValueError(f"{field}: {number} is none that this version knows")
+    return names[number]
 
 
 # ---- Offers and answers -----------------------------------------------------------------------------------
 
 
 def offer_message(offer: m.Offer) -> pb.OfferTask:
-    job, run = offer.job, offer.run
+    """Convert an offer."""
     return pb.OfferTask(
         **{"class": offer.cls},
         task=offer.task,
         attempt=offer.attempt,
-        job=pb.JobRef(
-            namespace=job.namespace,
-            name=job.name,
-            uid=job.uid,
-            index=job.index,
-            count=job.count,
-            token=job.token,
-            labels=job.labels,
-        ),
+        job=_job_message(offer.job),
         service=offer.service,
         cores=offer.cores,
         memory=offer.memory,
@@ -61,40 +59,59 @@
         needs_kind=offer.needs_kind,
         key=offer.key,
         group=GROUPS[offer.group],
-        run=None
-        if run is None
-        else pb.Command(argv=run.argv, env=run.env, workdir=run.workdir, grace_ms=run.grace_ms),
+        run=None if offer.run is None else _command_message(offer.run),
     )
 
 
+def _job_message(job: m.JobRef) -> pb.JobRef:
+    return pb.JobRef(
+        namespace=job.namespace,
+        name=job.name,
+        uid=job.uid,
+        index=job.index,
+        count=job.count,
+        token=job.token,
+        labels=job.labels,
+    )
+
+
+def _command_message(command: m.Command) -> pb.Command:
+    return pb.Command(argv=command.argv, env=command.env, workdir=command.workdir, grace_ms=command.grace_ms)
+
+
 def read_offer(offer: pb.OfferTask) -> m.Offer:
-    """UnknownWordError where its effect or group is none that is known: neither may be guessed."""
-    job = offer.job
-    run = None
-    if offer.HasField("run"):
-        its = offer.run
-        run = m.Command(tuple(its.argv), dict(its.env), its.workdir, its.grace_ms)
+    """Read an offer.
+
+    Raises UnknownValueError where its effect or group is none that is known: neither may be guessed.
+    """
     return m.Offer(
         task=offer.task,
         attempt=offer.attempt,
-        job=m.JobRef(
-            job.namespace, job.name, job.uid, job.index, job.count or 1, job.token, dict(job.labels)
-        ),
+        job=_read_job(offer.job),
         cls=getattr(offer, "class"),
         service=offer.service,
         cores=offer.cores,
         memory=offer.memory,
-        effect=_known(_EFFECT, offer.effect, "effect"),
+        effect=_by_number(_EFFECT_BY_NUMBER, offer.effect, "effect"),
         not_after=offer.not_after,
         priority=offer.priority,
         needs_kind=offer.needs_kind,
         key=offer.key,
-        group=_known(_GROUP, offer.group, "group"),
-        run=run,
+        group=_by_number(_GROUP_BY_NUMBER, offer.group, "group"),
+        run=_read_command(offer.run) if offer.HasField("run") else None,
     )
 
 
+def _read_job(job: pb.JobRef) -> m.JobRef:
+    return m.JobRef(job.namespace, job.name, job.uid, job.index, job.count or 1, job.token, dict(job.labels))
+
+
+def _read_command(command: pb.Command) -> m.Command:
+    return m.Command(tuple(command.argv), dict(command.env), command.workdir, command.grace_ms)
+
+
 def load_message(load: m.LoadReport) -> pb.Load:
+    """Convert a machine's load."""
     return pb.Load(
         free_cores=load.free_cores,
         free_memory=load.free_memory,
@@ -106,13 +123,15 @@
 
 
 def read_load(load: pb.Load) -> m.LoadReport:
+    """Read a machine's load."""
     return m.LoadReport(
         load.free_cores, load.free_memory, load.unused_cores, load.unused_memory, load.waiting, load.busy
     )
 
 
 def answer_message(task: str, attempt: int, answer: m.Answer) -> pb.NodeMessage:
-    its = pb.OfferAnswer(
+    """Convert the answer to an offer."""
+    offer_answer = pb.OfferAnswer(
         task=task,
         attempt=attempt,
         answer=ANSWERS[answer.answer],
@@ -120,12 +139,12 @@
         message=answer.message,
         load=None if answer.load is None else load_message(answer.load),
     )
-    return pb.NodeMessage(answer=its)
+    return pb.NodeMessage(answer=offer_answer)
 
 
 def read_answer(answer: pb.OfferAnswer) -> m.Answer:
-    """An answer of a kind that is not known proves nothing: it is an error."""
-    kind: Any = _ANSWER.get(answer.answer, "error")
+    """Read the answer to an offer. One of a kind that is not known proves nothing: it is an error."""
+    kind: Any = _ANSWER_BY_NUMBER.get(answer.answer, "error")
     load = read_load(answer.load) if answer.HasField("load") else None
     return m.Answer(kind, answer.reason, answer.message, load)
 
@@ -134,6 +153,7 @@
 
 
 def report_message(report: m.TaskReport) -> pb.TaskReport:
+    """Convert a task as a snapshot shows it."""
     return pb.TaskReport(
         offer=offer_message(report.offer),
         incarnation=report.incarnation,
@@ -147,6 +167,7 @@
 
 
 def read_report(report: pb.TaskReport) -> m.TaskReport:
+    """Read a task as a snapshot shows it; raises UnknownValueError for an unknown phase or cause."""
     return m.TaskReport(
         read_offer(report.offer),
         report.incarnation,
@@ -160,70 +181,105 @@
 
 
 def stream_message(message: m.StreamMessage) -> pb.NodeMessage:
+    """Convert a message of the stream."""
     match message:
         case m.Hello():
-            hello = pb.Hello(
-                boot=message.boot,
-                age_ms=message.age_ms,
-                kind=message.kind,
-                heartbeat_ms=message.heartbeat_ms,
-                resumed=message.resumed,
-                next_seq=message.next_seq,
-            )
-            return pb.NodeMessage(hello=hello)
+            return pb.NodeMessage(hello=_hello_message(message))
         case m.Snapshot(seq, tasks):
-            return pb.NodeMessage(snapshot=pb.Snapshot(seq=seq, tasks=[report_message(r) for r in tasks]))
+            reports = [report_message(report) for report in tasks]
+            return pb.NodeMessage(snapshot=pb.Snapshot(seq=seq, tasks=reports))
         case m.Heartbeat(state, load):
             return pb.NodeMessage(heartbeat=pb.Heartbeat(state=state, load=load_message(load)))
         case m.Taken(seq, task, attempt, running):
             return pb.NodeMessage(taken=pb.Taken(seq=seq, task=task, attempt=attempt, running=running))
         case m.Gone():
-            gone = pb.Gone(
-                seq=message.seq,
-                task=message.task,
-                attempt=message.attempt,
-                cause=message.cause,
-                ran=message.ran,
-                exit_code=message.exit_code,
-                message=message.message,
-                cpu_s=message.cpu_s,
-            )
-            return pb.NodeMessage(gone=gone)
+            return pb.NodeMessage(gone=_gone_message(message))
         case m.Note(task, attempt, topic, value):
             return pb.NodeMessage(note=pb.Note(task=task, attempt=attempt, topic=topic, value=value))
 
 
+def _hello_message(hello: m.Hello) -> pb.Hello:
+    return pb.Hello(
+        boot=hello.boot,
+        age_ms=hello.age_ms,
+        kind=hello.kind,
+        heartbeat_ms=hello.heartbeat_ms,
+        resumed=hello.resumed,
+        next_seq=hello.next_seq,
+    )
+
+
+def _gone_message(gone: m.Gone) -> pb.Gone:
+    return pb.Gone(
+        seq=gone.seq,
+        task=gone.task,
+        attempt=gone.attempt,
+        cause=gone.cause,
+        ran=gone.ran,
+        exit_code=gone.exit_code,
+        message=gone.message,
+        cpu_s=gone.cpu_s,
+    )
+
+
 def read_stream_message(message: pb.NodeMessage) -> m.StreamMessage | None:
-    """None for answers, which are no messages of the stream, and for kinds of later versions."""
-    match message.WhichOneof("message"):
-        case "hello":
-            its = message.hello
-            return m.Hello(its.boot, its.age_ms, its.kind, its.heartbeat_ms, its.resumed, its.next_seq)
-        case "snapshot":
-            tasks = tuple(read_report(report) for report in message.snapshot.tasks)
-            return m.Snapshot(message.snapshot.seq, tasks)
-        case "heartbeat":
-            beat = message.heartbeat
-            return m.Heartbeat(_one_of(("ready", "draining"), beat.state, "state"), read_load(beat.load))
-        case "taken":
-            taken = message.taken
-            return m.Taken(taken.seq, taken.task, taken.attempt, taken.running)
-        case "gone":
-            gone = message.gone
-            return m.Gone(
-                gone.seq,
-                gone.task,
-                gone.attempt,
-                _one_of(CAUSES, gone.cause, "cause"),
-                gone.ran,
-                gone.exit_code if gone.HasField("exit_code") else None,
-                gone.message,
-                gone.cpu_s if gone.HasField("cpu_s") else None,
-            )
-        case "note":
-            note = message.note
-            topic = note.topic
-            if topic in TOPICS:
-                its_topic: Any = topic
-                return m.Note(note.task, note.attempt, its_topic, note.value)
-    return None
+    """Read a message of the stream.
+
+    Returns None for answers, which are no messages of the stream, and for kinds of later versions. Raises
+    UnknownValueError for a value that may not be guessed.
+    """
+    kind = message.WhichOneof("message")
+    read = _STREAM_READERS.get(kind) if kind is not None else None
+    return None if read is None else read(message)
+
+
+def _read_hello(message: pb.NodeMessage) -> m.Hello:
+    hello = message.hello
+    return m.Hello(hello.boot, hello.age_ms, hello.kind, hello.heartbeat_ms, hello.resumed, hello.next_seq)
+
+
+def _read_snapshot(message: pb.NodeMessage) -> m.Snapshot:
+    reports = tuple(read_report(report) for report in message.snapshot.tasks)
+    return m.Snapshot(message.snapshot.seq, reports)
+
+
+def _read_heartbeat(message: pb.NodeMessage) -> m.Heartbeat:
+    heartbeat = message.heartbeat
+    return m.Heartbeat(_one_of(STATES, heartbeat.state, "state"), read_load(heartbeat.load))
+
+
+def _read_taken(message: pb.NodeMessage) -> m.Taken:
+    taken = message.taken
+    return m.Taken(taken.seq, taken.task, taken.attempt, taken.running)
+
+
+def _read_gone(message: pb.NodeMessage) -> m.Gone:
+    gone = message.gone
+    return m.Gone(
+        gone.seq,
+        gone.task,
+        gone.attempt,
+        _one_of(CAUSES, gone.cause, "cause"),
+        gone.ran,
+        gone.exit_code if gone.HasField("exit_code") else None,
+        gone.message,
+        gone.cpu_s if gone.HasField("cpu_s") else None,
+    )
+
+
+def _read_note(message: pb.NodeMessage) -> m.Note | None:
+    note = message.note
+    if note.topic not in TOPICS:
+        return None  # of a later version: the next report says as much
+    topic: Any = note.topic
+    return m.Note(note.task, note.attempt, topic, note.value)
+
+
+_STREAM_READERS: dict[str, Callable[[pb.NodeMessage], m.StreamMessage | None]] = {
+    "hello": _read_hello,
+    "snapshot": _read_snapshot,
+    "heartbeat": _read_heartbeat,
+    "taken": _read_taken,
+    "gone": _read_gone,
+    "note": _read_note,
+}
--- /dev/null
+++ b/kelpfront/machine/message_stream.py
@@ -0,0 +1,97 @@
+"""What a placer's stream carries: a greeting, a snapshot where it cannot resume, then messages as they come.
+
+`StreamReader` decides which messages come next, without any I/O. Waiting for them, and for the end of the
+connection, is left to the server.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from kelpfront.http.server import Peer
+from kelpfront.machine.messages import Heartbeat, Sequenced, StreamMessage
+from kelpfront.machine.node import Node
+
+
+@dataclass(frozen=True, slots=True, eq=False)
+class PlacerStream:
+    """One stream of a placer. `wake` is set when there may be something to send, or an end to notice.
+
+    `first_seq` is the first message that the placer has not received; None where it asks for all.
+    `stop_watching` ends the watch over `peer`.
+    """
+
+    placer: str
+    first_seq: int | None
+    peer: Peer
+    wake: asyncio.Event
+    stop_watching: Callable[[], None]
+
+
+@dataclass(frozen=True, slots=True)
+class StreamHooks:
+    """Where the heartbeats come from, and what is told of each message that is about to be sent."""
+
+    heartbeat: Callable[[], Heartbeat]
+    on_streamed: Callable[[str, Heartbeat | Sequenced], None]
+
+
+class StreamReader:
+    """Reads the messages to one placer, batch by batch. Times are seconds of the event loop's clock."""
+
+    def __init__(
+        self, node: Node, stream: PlacerStream, hooks: StreamHooks, now_ms: float, loop_s: float
+    ) -> None:
+        self._node = node
+        self._placer = stream.placer
+        self._hooks = hooks
+        self.outbox = node.outbox(stream.placer)
+        self.outbox.on_change = stream.wake.set
+        hello = node.hello(now_ms, stream.placer, stream.first_seq)
+        self._batch: list[StreamMessage] = [hello]
+        if hello.resumed:
+            self._next_seq = hello.next_seq
+        else:
+            self._add_snapshot()
+        self._was_draining = node.draining
+        self.heartbeat_at_s = loop_s
+
+    @property
+    def has_more(self) -> bool:
+        """Whether a numbered message waits to be read."""
+        return self._next_seq < self.outbox.next_seq
+
+    def next_batch(self, loop_s: float) -> list[StreamMessage]:
+        """Return what is to be sent now, in order; it may be nothing."""
+        if self.outbox.reaches(self._next_seq):
+            self._add_numbered()
+        else:  # the placer read too slowly: what it missed is no longer retained
+            self._add_snapshot()
+        self._batch += self.outbox.pop_status_reports()
+        state_changed = self._node.draining != self._was_draining
+        if loop_s >= self.heartbeat_at_s or state_changed:
+            self._add_heartbeat(loop_s)
+        batch = self._batch
+        self._batch = []
+        return batch
+
+    def _add_snapshot(self) -> None:
+        snapshot = self._node.snapshot(self._placer)
+        self._batch.append(snapshot)
+        self._next_seq = snapshot.seq + 1
+
+    def _add_numbered(self) -> None:
+        messages = self.outbox.messages_from(self._next_seq)
+        self._batch += messages
+        for message in messages:
+            self._hooks.on_streamed(self._placer, message)
+        self._next_seq += len(messages)
+
+    def _add_heartbeat(self, loop_s: float) -> None:
+        self._was_draining = self._node.draining
+        self.heartbeat_at_s = loop_s + self._node.settings.heartbeat_ms / 1000.0
+        heartbeat = self._hooks.heartbeat()
+        self._batch.append(heartbeat)
+        self._hooks.on_streamed(self._placer, heartbeat)
--- a/kelpfront/machine/messages.py
+++ b/kelpfront/machine/messages.py
@@ -6,8 +6,10 @@
 the deployment.
 
 On the stream, `Taken` and `Gone` carry sequence numbers of one placer at one machine. A placer that comes
-back names the first one that it has not seen; the machine sends what was missed, or, where it no longer can
-or the placer is new, a `Snapshot` of all that it holds for that placer, which stands for all before it.
+back names the first one that it has not received; the machine sends what was missed, or, where it no longer
+can or the placer is new, a `Snapshot` of all that it holds for that placer, which replaces all before it.
+
+The names of the classes and fields are those of the wire.
 """
 
 from __future__ import annotations
@@ -20,19 +22,21 @@
 TaskPhase = Literal["waiting", "starting", "running", "ended"]
 GoneCause = Literal["ended", "stopped", "failed", "evicted", "pushed-out", "sent-away", "lost"]
 
-# Why a machine refuses, word for word as owners read it.
+# Why a machine refuses, or cannot answer otherwise, word for word as clients read it.
 NO_CORES = "NO_CORES"
 NO_MEMORY = "NO_MEMORY"
 QUEUE_FULL = "QUEUE_FULL"
 NOT_HERE = "NOT_HERE"
+START_FAILED = "START_FAILED"  # the task's process could not be made: it never ran
+RAN_HERE = "RAN_HERE"  # a non-idempotent task is offered again that ran here: an error, not a refusal
 
 
 class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=False, omit_defaults=True):
-    """Base: unknown fields of later versions are passed over."""
+    """The base of all messages: unknown fields of later versions are ignored."""
 
 
 class JobRef(Message, frozen=True):
-    """The job that a task is of: enough for a placer that starts anew to show it again."""
+    """The job of a task: enough for a placer that restarts without a store to show it again."""
 
     namespace: str
     name: str
@@ -60,8 +64,9 @@
     """One attempt to place one task.
 
     `task` is the task's uid, the same in all attempts; `attempt` counts them. `not_after` is when the placer
-    will have given up: a machine starts nothing for it later. `key` names keyed work; of one key one copy
-    stands in a `group` of machines. `run` is there where the job says what its tasks run.
+    will have given up: a machine starts nothing for it later. `key` is the idempotency key of a task whose
+    `effect` is `keyed`: one task of a key runs in its scope, the `group` of machines. `run` is set where the
+    job says what its tasks run.
     """
 
     task: str
@@ -81,13 +86,18 @@
 
 
 class OfferRequest(Message, frozen=True):
+    """An offer with the placer that sends it; `incarnation` is of the placer's process."""
+
     placer: str
     incarnation: str
     offer: Offer
 
 
 class LoadReport(Message, frozen=True):
-    """What a machine tells of itself: cores and memory that nobody asked for, and that are not in use."""
+    """A machine's load: cores and memory that no task requests (`free`), and that are not in use (`unused`).
+
+    `waiting` counts tasks before and in their start; `busy` is the share of the cores in use.
+    """
 
     free_cores: float
     free_memory: float
@@ -107,7 +117,7 @@
 
 
 class StopRequest(Message, frozen=True):
-    """The placer no longer wants a task: not for its owner, or because it moves."""
+    """The placer no longer wants a task, because its client said so or because it moves."""
 
     placer: str
     task: str
@@ -116,13 +126,13 @@
 
 
 class StopReply(Message, frozen=True):
-    """`unknown` where the machine holds no such attempt: it never came, or it is over."""
+    """What the machine found: `unknown` where it has no such attempt, which never came or is over."""
 
     found: Literal["stopped", "stopping", "unknown"]
 
 
 class TaskReport(Message, frozen=True):
-    """A task as a machine holds it; of an ended one, whether it ran and the CPU seconds that it used."""
+    """A task on a machine; of an ended one, whether it ran and the CPU seconds that it used."""
 
     offer: Offer
     incarnation: str
@@ -135,7 +145,7 @@
 
 
 class Hello(Message, frozen=True, tag_field="t", tag="hello"):
-    """First on each stream. `boot` names one life of the machine; `age_ms` is how long ago that began."""
+    """The first message of each stream. `boot` names the machine's incarnation, `age_ms` its age."""
 
     boot: str
     age_ms: float
@@ -146,13 +156,15 @@
 
 
 class Snapshot(Message, frozen=True, tag_field="t", tag="snapshot"):
-    """All that the machine holds for this placer, and what ended not long ago. Stands for all up to `seq`."""
+    """All tasks of this placer on the machine, and those ended recently. Replaces all up to `seq`."""
 
     seq: int
     tasks: tuple[TaskReport, ...]
 
 
 class Heartbeat(Message, frozen=True, tag_field="t", tag="heartbeat"):
+    """Sent at regular intervals on each stream, and at once when the state changes."""
+
     state: Literal["ready", "draining"]
     load: LoadReport
 
@@ -180,7 +192,7 @@
 
 
 class Note(Message, frozen=True, tag_field="t", tag="note"):
-    """How a running task fares: cores or memory in use, or the share of full service it gets."""
+    """A status report of a running task: cores or memory in use, or the share of full service it gets."""
 
     task: str
     attempt: int
--- a/kelpfront/machine/model.py
+++ b/kelpfront/machine/model.py
@@ -1,97 +1,127 @@
-"""What a node is made of: its settings, the tasks that it holds, and what it wants done."""
+"""The records that a node works on: its settings, its incarnation, and the tasks that it holds or has held.
+
+They carry no decisions; `task_table` owns the tasks and the modules around it change them.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import StrEnum
+from typing import NamedTuple
 
-from kelpfront.machine.admission import Capacity
-from kelpfront.machine.messages import Answer, GoneCause, Offer, TaskReport
+from kelpfront.machine.admission import Capacity, Claim
+from kelpfront.machine.messages import GoneCause, Offer, TaskPhase, TaskReport
 from kelpfront.machine.slow_start import SlowStart
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a machine is and how it takes tasks."""
+    """What a machine is and how it accepts tasks."""
 
     name: str
     kind: str
     rack: str
-    room: str
+    zone: str
     capacity: Capacity
-    line: int  # asks that may wait
-    parallel_starts: int
-    answers: str  # "running" or "accepted": when an offer is answered
-    pushes_out: bool
-    drain: str  # "none", "paced" or "at_once": whether a draining machine sends its tasks away
-    drain_pace_ms: float
-    kept_programs: int  # services whose program stays for a while after their last task
+    max_pending_offers: int  # offers that may wait for their evaluation
+    max_parallel_starts: int
+    answer_mode: str  # "running" or "accepted": when an offer is answered
+    preempts: bool  # tasks of lower priority are stopped to make room for others
+    drain_mode: str  # "none", "paced" or "at_once": whether a draining machine evicts its tasks
+    drain_interval_ms: float  # between evictions of a paced drain
+    max_cached_programs: int  # services whose program is kept for a while after their last task
     heartbeat_ms: float
-    warmup: SlowStart
-    tasks_most: int | None = None  # tasks at a time, however little they ask for
-    start_rate: float | None = None  # starts a millisecond that are begun at the most when warm
+    slow_start: SlowStart
+    max_tasks: int | None = None  # at a time, however little they request
+    starts_per_ms: float | None = None  # the rate at which starts begin at the most when warm
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """Answer the offer of this attempt, on each connection that waits for it."""
+class Incarnation:
+    """One life of a machine, from its boot to its end. Times are milliseconds of the common clock.
 
-    task: str
-    attempt: int
-    answer: Answer
+    `first_seq` is above all message numbers that an earlier process gave out in this life.
+    """
 
+    boot: str
+    started_at: float
+    first_seq: int = 1
 
-@dataclass(frozen=True, slots=True)
-class Begin:
-    """Start the task. `dear` where the machine holds none of its service and has not kept the program."""
 
-    offer: Offer
-    placer: str
-    dear: bool
+class ResourceUsage(NamedTuple):
+    """Cores and memory in use, in the units of the deployment."""
 
+    cores: float = 0.0
+    memory: float = 0.0
 
-@dataclass(frozen=True, slots=True)
-class Halt:
-    """Stop a task that starts or runs; `exited` is told when it has gone."""
 
-    task: str
-    cause: GoneCause
+@dataclass(slots=True)
+class OtherPrograms:
+    """Cores and memory in use by programs of the host that are not tasks."""
 
+    cores: float = 0.0
+    memory: float = 0.0
 
-@dataclass(frozen=True, slots=True)
-class TakeOver:
-    """A copy that starts or runs is a later attempt's from now on; `taken_over` is told once it is noted."""
 
-    offer: Offer
-    placer: str
-    incarnation: str
+class Phase(StrEnum):
+    """Where a task is between its offer and its end. The values are shown by the agent's list of tasks."""
+
+    PENDING = "line"  # its offer waits for its evaluation
+    QUEUED = "queued"  # admitted, and waits for its start
+    STARTING = "starting"
+    RUNNING = "running"
+    STOPPING = "stopping"
 
 
-Effect = Reply | Begin | Halt | TakeOver
+ADMITTED_PHASES = frozenset({Phase.QUEUED, Phase.STARTING, Phase.RUNNING})  # that hold capacity
+LIVE_PHASES = frozenset({Phase.STARTING, Phase.RUNNING})  # with a process that nobody has stopped
+
+_REPORTED_PHASES: dict[Phase, TaskPhase] = {
+    Phase.PENDING: "waiting",
+    Phase.QUEUED: "waiting",
+    Phase.STARTING: "starting",
+    Phase.RUNNING: "running",
+    Phase.STOPPING: "running",
+}
 
 
 @dataclass(slots=True, eq=False)
-class Held:
+class ActiveTask:
     """A task of which an offer came in and which is not over."""
 
     offer: Offer
     placer: str
-    incarnation: str
-    phase: str  # "line", "queued", "starting", "running" or "stopping"
-    since: float
-    replied: bool = False
-    cause: GoneCause = "ended"  # told when it has gone
-    used_cores: float = 0.0
-    used_memory: float = 0.0
-    blocked_by: set[str] = field(default_factory=set)  # tasks pushed out for it that have not gone yet
+    incarnation: str  # of the placer, when it sent the offer
+    phase: Phase
+    since: float  # when its offer came, and from its admission on when that was
+    answered: bool = False
+    cause: GoneCause = "ended"  # reported when it has ended
+    usage: ResourceUsage = field(default_factory=ResourceUsage)
+    blocked_by: set[str] = field(default_factory=set)  # tasks preempted for it that have not ended yet
 
     @property
-    def ran(self) -> bool:
-        return self.phase not in ("line", "queued")
+    def uid(self) -> str:
+        """The task's uid, the same in all attempts."""
+        return self.offer.task
+
+    @property
+    def has_begun(self) -> bool:
+        """Whether its start has begun: from then on it may run."""
+        return self.phase not in (Phase.PENDING, Phase.QUEUED)
+
+    def claim(self) -> Claim:
+        """Return what it requests and uses, for decisions on admission."""
+        offer = self.offer
+        return Claim(offer.task, offer.priority, offer.cores, offer.memory, self.since, self.usage.memory)
+
+    def report(self) -> TaskReport:
+        """Return the task as a snapshot shows it."""
+        return TaskReport(self.offer, self.incarnation, _REPORTED_PHASES[self.phase])
 
 
 @dataclass(slots=True, eq=False)
-class Ended:
-    """A task that is over and may still be told of: `seq` is the number of the message that told it."""
+class EndedTask:
+    """A task that is over and may still be reported; `seq` is the number of the message that reported it."""
 
     placer: str
     report: TaskReport
--- a/kelpfront/machine/outbox.py
+++ b/kelpfront/machine/outbox.py
@@ -1,7 +1,8 @@
-"""What a machine still has to tell its placers: numbered messages, kept until they can be sent again.
+"""Messages from a machine to one placer: numbered, and retained until they can be sent again.
 
-A placer's stream may break at any byte. Messages stay in a bounded history; a placer that comes back names
-the first number that it has not seen and gets the rest, or is told that the history no longer reaches so far.
+A placer's stream may break at any byte. A placer that comes back names the first number that it has not
+received and gets the rest, or learns that the outbox no longer reaches so far. Sending is left to
+`message_stream`.
 """
 
 from __future__ import annotations
@@ -13,54 +14,77 @@
 
 from kelpfront.machine.messages import Gone, Note, Sequenced, Taken
 
-HISTORY = 5_000  # messages to one placer: minutes of work, while a broken stream is back within seconds
-NOTES = 500  # to one placer: later ones say the same of the same tasks
+MAX_RETAINED_MESSAGES = 5_000  # minutes of work, while a broken stream is back within seconds
+MAX_STATUS_REPORTS = 500  # later ones report the same of the same tasks
+MAX_BATCH = 1_000  # messages that are sent at once, so that a long backlog does not hold the loop
 
 M = TypeVar("M", bound=Sequenced)
 
 
-class Outbox:
-    """To one placer. Numbers start at `first` and grow by one."""
+def _ignore_change() -> None:
+    """Stand for `on_change` while no stream listens."""
+
 
-    def __init__(self, first: int = 1, history: int = HISTORY, notes: int = NOTES) -> None:
-        self._kept: deque[Sequenced] = deque(maxlen=history)
-        self._next = first
-        self._notes: deque[Note] = deque(maxlen=notes)
-        self.on_change: Callable[[], None] = lambda: None
+class Outbox:
+    """The messages to one placer. Numbers start at `first_seq` and grow by one.
+
+    `on_change` is called after each message; a stream sets it while it is open.
+    """
+
+    def __init__(
+        self,
+        first_seq: int = 1,
+        max_messages: int = MAX_RETAINED_MESSAGES,
+        max_status_reports: int = MAX_STATUS_REPORTS,
+    ) -> None:
+        self._retained: deque[Sequenced] = deque(maxlen=max_messages)
+        self._next_seq = first_seq
+        self._status_reports: deque[Note] = deque(maxlen=max_status_reports)
+        self.on_change: Callable[[], None] = _ignore_change
 
     @property
     def next_seq(self) -> int:
-        return self._next
+        """The number of the next message."""
+        return self._next_seq
+
+    def reset_on_change(self) -> None:
+        """Stop calling a stream that has ended."""
+        self.on_change = _ignore_change
 
-    def taken(self, task: str, attempt: int, running: bool) -> Taken:
-        return self._keep(Taken(self._next, task, attempt, running))
+    def append_accepted(self, task: str, attempt: int, *, running: bool) -> Taken:
+        """Number and retain the message that an attempt was accepted, or runs."""
+        return self._append(Taken(self._next_seq, task, attempt, running))
 
-    def gone(self, make: Callable[[int], Gone]) -> Gone:
-        """Numbers and keeps what `make` returns for the number."""
-        return self._keep(make(self._next))
+    def append_ended(self, make: Callable[[int], Gone]) -> Gone:
+        """Number and retain what `make` returns for the number: the message that a task is over."""
+        return self._append(make(self._next_seq))
 
-    def note(self, note: Note) -> None:
-        """Kept until sent, but not numbered: a lost note is followed by the next."""
-        self._notes.append(note)
+    def add_status_report(self, status_report: Note) -> None:
+        """Keep a status report until it is sent. It has no number: a lost one is followed by the next."""
+        self._status_reports.append(status_report)
         self.on_change()
 
-    def _keep(self, message: M) -> M:
-        self._kept.append(message)
-        self._next += 1
+    def _append(self, message: M) -> M:
+        self._retained.append(message)
+        self._next_seq += 1
         self.on_change()
         return message
 
     def reaches(self, seq: int) -> bool:
-        """Whether all from number `seq` on is still kept, and `seq` is not beyond what will come next."""
-        return self._next - len(self._kept) <= seq <= self._next
-
-    def since(self, seq: int, most: int = 1000) -> list[Sequenced]:
-        """Messages from number `seq` on, at most so many; what `reaches` denies starts later."""
-        first = self._next - len(self._kept)
-        start = max(0, seq - first)
-        return list(islice(self._kept, start, start + most))
-
-    def take_notes(self) -> list[Note]:
-        notes = list(self._notes)
-        self._notes.clear()
-        return notes
+        """Return whether all from number `seq` on is retained, and `seq` is not beyond the next number."""
+        return self._first_retained <= seq <= self._next_seq
+
+    def messages_from(self, seq: int, limit: int = MAX_BATCH) -> list[Sequenced]:
+        """Return messages from number `seq` on, or from the first that is retained where that is later."""
+        start = max(0, seq - self._first_retained)
+        return list(islice(self._retained, start, start + limit))
+
+    def pop_status_reports(self) -> list[Note]:
+        """Return the status reports that wait, and forget them."""
+        status_reports = list(self._status_reports)
+        self._status_reports.clear()
+        return status_reports
+
+    @property
+    def _first_retained(self) -> int:
+        return self._next_seq - len(self._retained)
--- /dev/null
+++ b/kelpfront/machine/program_cache.py
@@ -0,0 +1,41 @@
+"""Which services have their program on the machine.
+
+A program is there while a task of its service starts, runs or stops, and for the services used last also for
+a while after. The first start of another service takes longer, since its program has to be fetched.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from kelpfront.machine.bounded_cache import BoundedCache
+
+
+class ProgramCache:
+    """Programs in use, and up to `max_idle` programs that no task uses."""
+
+    def __init__(self, max_idle: int) -> None:
+        self._task_counts: Counter[str] = Counter()
+        self._idle: BoundedCache[str, None] = BoundedCache(max_idle)
+
+    def services(self) -> set[str]:
+        """Return the services whose program is there."""
+        return {service for service, count in self._task_counts.items() if count} | set(self._idle)
+
+    def has(self, service: str) -> bool:
+        """Return whether the program of a service is there."""
+        return bool(self._task_counts[service]) or service in self._idle
+
+    def acquire(self, service: str) -> None:
+        """Count a task of a service that begins."""
+        self._task_counts[service] += 1
+        self._idle.discard(service)
+
+    def release(self, service: str, *, keep_idle: bool) -> None:
+        """Count a task of a service that is over; after the last one the program may be kept."""
+        self._task_counts[service] -= 1
+        if self._task_counts[service]:
+            return
+        del self._task_counts[service]
+        if keep_idle:
+            self._idle.put(service, None)
--- a/kelpfront/machine/report_log.py
+++ b/kelpfront/machine/report_log.py
@@ -1,52 +1,60 @@
-"""What a machine tells its placers: an outbox to each, and what ended that they may not have heard of."""
+"""What a machine reports to its placers: one outbox for each, and the ended tasks they may not know of yet.
+
+It numbers and retains; what is worth reporting is decided by the node, and `message_stream` sends it.
+"""
 
 from __future__ import annotations
 
-from collections import OrderedDict
 from collections.abc import Callable
-from typing import TypeVar
 
+from kelpfront.machine.bounded_cache import BoundedCache
 from kelpfront.machine.messages import Gone, Snapshot, TaskReport
-from kelpfront.machine.model import Ended
+from kelpfront.machine.model import EndedTask
 from kelpfront.machine.outbox import Outbox
 
-K = TypeVar("K")
-V = TypeVar("V")
-
-ENDED_KEPT = 2_000  # ended tasks that a snapshot still tells of
-NOTE_CHANGE = 0.1  # of what was told before: smaller changes of use are not told
-PLACERS_MOST = 1_000  # placers that this machine keeps an outbox for
+MAX_ENDED_TASKS = 2_000  # that a snapshot still reports; a placer reads its stream long before
+MAX_PLACERS = 1_000  # outboxes that are kept, which bounds their memory
 
 
 class ReportLog:
     """All outboxes of a machine. Message numbers of this process start at `first_seq`.
 
-    `busy` names the placers that have tasks here: their numbers must go on.
+    `placers_with_tasks` names the placers that have tasks here: their outboxes are never dropped, since their
+    numbers must go on.
     """
 
-    def __init__(self, first_seq: int, busy: Callable[[], set[str]]) -> None:
-        self._busy = busy
-        self.ended: OrderedDict[str, Ended] = OrderedDict()
+    def __init__(self, first_seq: int, placers_with_tasks: Callable[[], set[str]]) -> None:
+        self.ended: BoundedCache[str, EndedTask] = BoundedCache(MAX_ENDED_TASKS)
         self._first_seq = first_seq
+        self._placers_with_tasks = placers_with_tasks
         self._outboxes: dict[str, Outbox] = {}
 
     def outbox(self, placer: str) -> Outbox:
+        """Return the outbox to a placer, made at its first use.
+
+        Raises OverflowError where it would be one too many and every placer has tasks here.
+        """
         outbox = self._outboxes.get(placer)
         if outbox is None:
-            if len(self._outboxes) >= PLACERS_MOST:
-                busy = self._busy()
-                idle = next((name for name in self._outboxes if name not in busy), None)
-                if idle is None:
-                    raise OverflowError(f"{PLACERS_MOST} placers have tasks here, which is the most")
-                del self._outboxes[idle]
-            outbox = self._outboxes[placer] = Outbox(self._first_seq)
+            if len(self._outboxes) >= MAX_PLACERS:
+                self._drop_idle_outbox()
+            outbox = Outbox(self._first_seq)
+            self._outboxes[placer] = outbox
         return outbox
 
-    def gone(self, placer: str, report: TaskReport) -> None:
-        """Numbers and keeps the news that a task is over."""
+    def _drop_idle_outbox(self) -> None:
+        with_tasks = self._placers_with_tasks()
+        idle = next((placer for placer in self._outboxes if placer not in with_tasks), None)
+        if idle is None:
+            raise OverflowError(f"{MAX_PLACERS} placers have tasks here, which is the most")
+        del self._outboxes[idle]
+
+    def append_ended(self, placer: str, report: TaskReport) -> None:
+        """Number and retain the message that a task is over."""
         offer = report.offer
-        gone = self.outbox(placer).gone(
-            lambda seq: Gone(
+
+        def message(seq: int) -> Gone:
+            return Gone(
                 seq,
                 offer.task,
                 offer.attempt,
@@ -56,40 +64,36 @@
                 report.message,
                 report.cpu_s,
             )
-        )
-        self.keep(Ended(placer, report, gone.seq))
 
-    def keep(self, ended: Ended) -> None:
-        keep(self.ended, ended.report.offer.task, ended, ENDED_KEPT)
+        ended_message = self.outbox(placer).append_ended(message)
+        self.add_ended(EndedTask(placer, report, ended_message.seq))
+
+    def add_ended(self, ended: EndedTask) -> None:
+        """Remember an ended task for the snapshots of its placer."""
+        self.ended.put(ended.report.offer.task, ended)
 
-    def snapshot(self, placer: str, held: list[TaskReport]) -> Snapshot:
-        over = [
+    def snapshot(self, placer: str, active: list[TaskReport]) -> Snapshot:
+        """Return the snapshot for a placer: its unacknowledged ended tasks, and those that are active."""
+        ended_reports = [
             ended.report for ended in self.ended.values() if ended.placer == placer and not ended.acknowledged
         ]
-        return Snapshot(self.outbox(placer).next_seq - 1, (*over, *held))
+        return Snapshot(self.outbox(placer).next_seq - 1, (*ended_reports, *active))
 
     def acknowledge(self, placer: str, next_seq: int) -> list[str]:
-        """Marks what a placer has seen that asks for messages from `next_seq` on."""
-        seen = [
-            task
-            for task, ended in self.ended.items()
-            if ended.placer == placer and ended.seq < next_seq and not ended.acknowledged
-        ]
-        for task in seen:
-            self.ended[task].acknowledged = True
-        return seen
-
-
-def worth_telling(now: tuple[float, ...], before: tuple[float, ...] | None) -> bool:
-    """Whether figures of use differ enough from what was told of them."""
-    if before is None:
-        return True
-    return any(abs(value - told) > NOTE_CHANGE * told for value, told in zip(now, before, strict=True))
-
-
-def keep(kept: OrderedDict[K, V], key: K, value: V, most: int) -> None:
-    """Puts in a bounded memory; the oldest go."""
-    kept[key] = value
-    kept.move_to_end(key)
-    while len(kept) > most:
-        kept.popitem(last=False)
+        """Mark the ended tasks that a placer knows of which asks for messages from `next_seq` on.
+
+        Returns those that were not marked before.
+        """
+        newly_acknowledged = []
+        for task, ended in self.ended.items():
+            is_known = ended.placer == placer and ended.seq < next_seq
+            if is_known and not ended.acknowledged:
+                ended.acknowledged = True
+                newly_acknowledged.append(task)
+        return newly_acknowledged
+
+    def acknowledge_task(self, task: str) -> None:
+        """Mark one ended task, by what an earlier process knew."""
+        ended = self.ended.get(task)
+        if ended is not None:
+            ended.acknowledged = True
--- a/kelpfront/machine/server.py
+++ b/kelpfront/machine/server.py
@@ -1,21 +1,25 @@
 """A machine on a socket: the protocol of `messages` over HTTP, around a `Node`.
 
-Who serves real processes or stand-ins gives a `Runtime`, which begins and halts tasks, tells the node what
-comes of them and then calls `changed`.
+It carries out the node's effects, keeps its timer and serves the placers' offers, stops and streams. Running
+tasks is left to a `TaskRuntime`: it reports to the node what becomes of them and then calls `changed`.
 """
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
+import math
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
 from typing import Protocol
 
 import msgspec
 
 from kelpfront.http.server import HttpLimits, HttpServer, Peer, Request, Response
+from kelpfront.machine.effects import AnswerOffer, Effect, StartTask, StopTask, SupersedeAttempt
+from kelpfront.machine.message_stream import PlacerStream, StreamHooks, StreamReader
 from kelpfront.machine.messages import (
     Answer,
+    AnswerKind,
     Heartbeat,
     OfferRequest,
     Sequenced,
@@ -26,265 +30,242 @@
     decode_stop_request,
     encode,
 )
-from kelpfront.machine.model import Begin, Effect, Halt, Reply, TakeOver
 from kelpfront.machine.node import Node
+from kelpfront.machine.offer_waiters import OfferKey, OfferWaiters
 
-STATUS_OF_ANSWER = {"running": 200, "accepted": 200, "refused": 409, "error": 500}
+STATUS_OF_ANSWER: dict[AnswerKind, int] = {"running": 200, "accepted": 200, "refused": 409, "error": 500}
 
 
-class Runtime(Protocol):
-    """Runs tasks. Both calls return at once; what comes of them is told to the node later."""
+class TaskRuntime(Protocol):
+    """Runs tasks. All calls return at once; what comes of them is reported to the node later."""
 
-    def begin(self, begin: Begin) -> None: ...
+    def start_task(self, start: StartTask) -> None:
+        """Begin to start a task."""
 
-    def halt(self, halt: Halt) -> None: ...
+    def stop_task(self, stop: StopTask) -> None:
+        """Begin to stop a task."""
 
-    def take_over(self, copy: TakeOver) -> None:
-        """The node is to be told `taken_over`; this may be done at once."""
+    def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
+        """Record that a task is a later attempt's, then (it may be at once) call `Node.attempt_superseded`."""
 
 
 class MachineServer:
     """Serves one node. All calls are from the event loop's thread."""
 
     def __init__(
-        self, node: Node, runtime: Runtime, now: Callable[[], float], limits: HttpLimits | None = None
+        self, node: Node, runtime: TaskRuntime, now: Callable[[], float], limits: HttpLimits | None = None
     ) -> None:
-        self.node, self._runtime, self._now = node, runtime, now
+        self.node = node
+        self._runtime = runtime
+        self._now = now
         self.http = HttpServer(self.handle, limits)
-        self._answers: dict[tuple[str, int], list[asyncio.Future[Answer]]] = {}
-        self._streams: dict[str, asyncio.Event] = {}  # of each placer the latest; a new one ends the old
-        self._draining = node.draining
+        self._waiters = OfferWaiters()
+        self._streams: dict[str, PlacerStream] = {}  # of each placer the latest; a new one ends the old
+        self._was_draining = node.draining
         self._timer: asyncio.TimerHandle | None = None
         self.closed = asyncio.Event()
 
-    async def start(self, host: str, port: int, reuse_port: bool = False) -> None:
+    @property
+    def connected(self) -> frozenset[str]:
+        """Placers whose stream is open."""
+        return frozenset(self._streams)
+
+    async def start(self, host: str, port: int, *, reuse_port: bool = False) -> None:
+        """Listen for connections."""
         await self.http.start(host, port, reuse_port=reuse_port)
 
     def abort(self) -> None:
         """Vanish as a machine that loses its power does."""
         self.closed.set()
-        if self._timer is not None:
-            self._timer.cancel()
-        for futures in self._answers.values():
-            for future in futures:
-                future.cancel()
+        self._cancel_timer()
+        self._waiters.cancel_all()
         self.http.abort()
 
     async def close(self) -> None:
         """End the streams and stop serving; tasks go on."""
         self.closed.set()
-        if self._timer is not None:
-            self._timer.cancel()
-        for wake in self._streams.values():
-            wake.set()
+        self._cancel_timer()
+        self._wake_streams()
         await self.http.close()
 
+    # ---- The node's effects and timer ---------------------------------------------------------------------
+
     def changed(self) -> None:
-        """Carry out the node's effects; to be called after anything was told to the node."""
-        while effects := self.node.take_effects():  # a runtime may tell the node something at once
-            self._carry_out(effects)
-        if self.node.draining != self._draining:
-            self._draining = self.node.draining
-            for wake in self._streams.values():
-                wake.set()  # placers must not hear of a drain a heartbeat late
+        """Carry out the node's effects; to be called after anything was reported to the node."""
+        while effects := self.node.pop_effects():  # a runtime may report something to the node at once
+            for effect in effects:
+                self._carry_out(effect)
+        if self.node.draining != self._was_draining:
+            self._was_draining = self.node.draining
+            self._wake_streams()  # placers must not learn of a drain a heartbeat late
         self._set_timer()
 
-    def _carry_out(self, effects: list[Effect]) -> None:
-        for effect in effects:
-            match effect:
-                case Reply(task, attempt, answer):
-                    for future in self._answers.pop((task, attempt), ()):
-                        if not future.done():
-                            future.set_result(answer)
-                case Begin():
-                    self._runtime.begin(effect)
-                case Halt():
-                    self._runtime.halt(effect)
-                case TakeOver():
-                    self._runtime.take_over(effect)
+    def _carry_out(self, effect: Effect) -> None:
+        match effect:
+            case AnswerOffer(task, attempt, answer):
+                self._waiters.resolve(OfferKey(task, attempt), answer)
+            case StartTask():
+                self._runtime.start_task(effect)
+            case StopTask():
+                self._runtime.stop_task(effect)
+            case SupersedeAttempt():
+                self._runtime.supersede_attempt(effect)
+
+    def _wake_streams(self) -> None:
+        for stream in self._streams.values():
+            stream.wake.set()
 
     def _set_timer(self) -> None:
+        self._cancel_timer()
+        due_ms = self.node.next_timer()
+        if due_ms != math.inf and not self.closed.is_set():
+            delay_s = max(0.0, due_ms - self._now()) / 1000.0
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self._advance)
+
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        at = self.node.next_timer()
-        if at != float("inf") and not self.closed.is_set():
-            loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(max(0.0, at - self._now()) / 1000.0, self._advance)
 
     def _advance(self) -> None:
         self._timer = None
         self.node.advance(self._now())
         self.changed()
 
-    # ---- Requests -------------------------------------------------------------------------------------
+    # ---- Requests -----------------------------------------------------------------------------------------
 
     async def handle(self, request: Request) -> Response:
+        """Answer an HTTP request."""
         try:
             match request.method, request.path:
                 case "POST", "/v1/offers":
-                    return await self.take_offer(decode_offer_request(request.body), request)
+                    answer = await self.answer_offer(decode_offer_request(request.body), request)
+                    return Response(STATUS_OF_ANSWER[answer.answer], encode(answer))
                 case "POST", "/v1/stops":
                     return Response(200, encode(self.stop(decode_stop_request(request.body))))
                 case "GET", "/v1/probe":
                     return Response(200, encode(self.node.load()))
                 case "GET", "/v1/stream":
-                    return self.open_stream(request)
+                    return self._serve_stream(request)
         except msgspec.DecodeError as error:
             return Response(400, encode({"error": str(error)}))
         return Response(404, encode({"error": f"{request.method} {request.path}: no such call"}))
 
     def stop(self, request: StopRequest) -> StopReply:
+        """Stop a task for its placer."""
         reply = self.node.stop(self._now(), request)
         self.changed()
         return reply
 
-    async def until_probed(self) -> None:
-        """A hook: a probe came in; its answer waits for this."""
-
-    async def take_offer(self, offered: OfferRequest, request: Request) -> Response:
-        answer = await self.offer_answer(offered, request)
-        return Response(STATUS_OF_ANSWER[answer.answer], encode(answer))
+    async def answer_offer(self, offered: OfferRequest, request: Request) -> Answer:
+        """Return the answer to an offer as it goes out; a hook around `decide_offer`.
 
-    async def offer_answer(self, offered: OfferRequest, request: Request) -> Answer:
-        """The answer to an offer, as it goes out; Abort where it is lost with its connection."""
-        return await self.answer_of(offered, request)
+        Raises Abort where the answer is lost with its connection.
+        """
+        return await self.decide_offer(offered, request)
 
-    async def answer_of(self, offered: OfferRequest, request: Request) -> Answer:
-        """The node's answer; an offer whose placer leaves meanwhile is abandoned."""
-        offer = offered.offer
-        key = offer.task, offer.attempt
-        future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self._answers.setdefault(key, []).append(future)
+    async def decide_offer(self, offered: OfferRequest, request: Request) -> Answer:
+        """Return the node's answer; an offer whose placer disconnects meanwhile is abandoned."""
+        key = OfferKey(offered.offer.task, offered.offer.attempt)
+        future = self._waiters.add(key)
         self.node.offer(self._now(), offered)
         self.changed()
         if future.done():
             return future.result()
-        stop_watching = request.peer.on_change(lambda: self._left(key, future))
+        stop_watching = request.peer.on_change(lambda: self._abandon(key, future))
         try:
             return await future
         finally:
             stop_watching()
 
-    def _left(self, key: tuple[str, int], future: asyncio.Future[Answer]) -> None:
-        waiting = self._answers.get(key, [])
-        if future not in waiting:
-            return
-        waiting.remove(future)
-        future.cancel()
-        if not waiting:
-            self._answers.pop(key, None)
-            self.node.abandon(self._now(), *key)
+    def _abandon(self, key: OfferKey, future: asyncio.Future[Answer]) -> None:
+        nobody_waits = self._waiters.cancel(key, future)
+        if nobody_waits:
+            self.node.abandon(self._now(), key.task, key.attempt)
             self.changed()
 
-    # ---- The stream -----------------------------------------------------------------------------------
+    # ---- The stream ---------------------------------------------------------------------------------------
 
-    def open_stream(self, request: Request) -> Response:
+    def _serve_stream(self, request: Request) -> Response:
         placer = request.query.get("placer", "")
         if not placer:
             return Response(400, encode({"error": "placer: is required"}))
         try:
-            first = int(request.query["from"]) if "from" in request.query else None
+            first_seq = int(request.query["from"]) if "from" in request.query else None
         except ValueError:
             return Response(400, encode({"error": "from: a whole number is expected"}))
-        messages = self.placer_messages(placer, request.query.get("boot", ""), first, request.peer)
-        return Response(200, content_type="application/jsonl", stream=_lines(messages))
+        messages = self.open_stream(placer, request.query.get("boot", ""), first_seq, request.peer)
+        return Response(200, content_type="application/jsonl", stream=_json_lines(messages))
 
-    def placer_messages(
-        self, placer: str, boot: str, first: int | None, peer: Peer
+    def open_stream(
+        self, placer: str, boot: str, first_seq: int | None, peer: Peer
     ) -> AsyncGenerator[list[StreamMessage], None]:
-        """What a placer is told, from number `first` of `boot` on, for as long as `peer` is there.
+        """Return the messages to a placer, from `first_seq` of `boot` on, for as long as `peer` is there.
 
         A new stream of a placer ends its older one.
         """
         if boot and boot != self.node.boot:
-            first = None  # numbers of an earlier life mean nothing now
-        elif first is not None:
-            self.acknowledged(placer, self.node.acknowledge(placer, first))
+            first_seq = None  # numbers of an earlier incarnation mean nothing now
+        elif first_seq is not None:
+            self.on_acknowledged(placer, self.node.acknowledge(placer, first_seq))
         wake = asyncio.Event()
         older = self._streams.get(placer)
-        self._streams[placer] = wake
-        if older is not None:
-            older.set()
         stop_watching = peer.on_change(wake.set)
-        return self._messages(placer, first, wake, peer, stop_watching)
-
-    async def _messages(
-        self,
-        placer: str,
-        first: int | None,
-        wake: asyncio.Event,
-        peer: Peer,
-        stop_watching: Callable[[], None],
-    ) -> AsyncGenerator[list[StreamMessage], None]:
-        node = self.node
-        outbox = node.outbox(placer)
-        outbox.on_change = wake.set
-        hello = node.hello(self._now(), placer, first)
-        out: list[StreamMessage] = [hello]
-        if hello.resumed:
-            at = hello.next_seq
-        else:
-            snapshot = node.snapshot(placer)
-            out.append(snapshot)
-            at = snapshot.seq + 1
+        stream = PlacerStream(placer, first_seq, peer, wake, stop_watching)
+        self._streams[placer] = stream
+        if older is not None:
+            older.wake.set()
+        return self.message_batches(stream)
+
+    async def message_batches(self, stream: PlacerStream) -> AsyncGenerator[list[StreamMessage], None]:
+        """Yield the messages of a stream, in batches, until it ends."""
         loop = asyncio.get_running_loop()
-        beat_at = loop.time()
-        draining = node.draining
+        hooks = StreamHooks(self.heartbeat, self.on_streamed)
+        reader = StreamReader(self.node, stream, hooks, self._now(), loop.time())
         try:
             while True:
-                wake.clear()
-                if outbox.reaches(at):
-                    missed = outbox.since(at)
-                    out += missed
-                    for message in missed:
-                        self.streamed(placer, message)
-                    at += len(missed)
-                else:  # the placer read too slowly: what it missed is no longer kept
-                    snapshot = node.snapshot(placer)
-                    out.append(snapshot)
-                    at = snapshot.seq + 1
-                out += outbox.take_notes()
-                if loop.time() >= beat_at or node.draining != draining:
-                    draining = node.draining
-                    beat_at = loop.time() + node.settings.heartbeat_ms / 1000.0
-                    beat = self.heartbeat()
-                    out.append(beat)
-                    self.streamed(placer, beat)
-                if out:
-                    yield out
-                    out = []
-                if self._streams.get(placer) is not wake or self.closed.is_set() or peer.gone:
+                stream.wake.clear()
+                batch = reader.next_batch(loop.time())
+                if batch:
+                    yield batch
+                if self._has_ended(stream):
                     return
-                if at < outbox.next_seq:
-                    continue
-                try:
-                    async with asyncio.timeout_at(beat_at):
-                        await wake.wait()
-                except TimeoutError:
-                    pass
+                if not reader.has_more:
+                    await _wait_until(stream.wake, reader.heartbeat_at_s)
         finally:
-            stop_watching()
-            if self._streams.get(placer) is wake:
-                del self._streams[placer]
-                outbox.on_change = _nothing
+            stream.stop_watching()
+            if self._streams.get(stream.placer) is stream:
+                del self._streams[stream.placer]
+                reader.outbox.reset_on_change()
+
+    def _has_ended(self, stream: PlacerStream) -> bool:
+        was_replaced = self._streams.get(stream.placer) is not stream
+        return was_replaced or self.closed.is_set() or stream.peer.gone
+
+    # ---- Hooks --------------------------------------------------------------------------------------------
+
+    async def before_health_check_answer(self) -> None:
+        """Do nothing; a hook: a health check came in over gRPC, and its answer waits for this."""
 
     def heartbeat(self) -> Heartbeat:
-        """What placers are told of the machine's state and room."""
+        """Return the heartbeat to placers; a hook for those that alter it."""
         return self.node.heartbeat()
 
-    def acknowledged(self, placer: str, tasks: list[str]) -> None:
-        """A hook: the placer has heard that these tasks are over."""
+    def on_acknowledged(self, placer: str, tasks: list[str]) -> None:
+        """Do nothing; a hook: the placer knows that these tasks are over."""
+
+    def on_streamed(self, placer: str, message: Heartbeat | Sequenced) -> None:
+        """Do nothing; a hook: the placer's stream carries this message now."""
+
 
-    def streamed(self, placer: str, message: Heartbeat | Sequenced) -> None:
-        """A hook: the placer's stream carries this message now."""
+async def _wait_until(event: asyncio.Event, deadline_s: float) -> None:
+    """Wait for an event, at most until a time of the event loop's clock."""
+    with contextlib.suppress(TimeoutError):
+        async with asyncio.timeout_at(deadline_s):
+            await event.wait()
 
 
-async def _lines(messages: AsyncGenerator[list[StreamMessage], None]) -> AsyncIterator[bytes]:
+async def _json_lines(messages: AsyncGenerator[list[StreamMessage], None]) -> AsyncIterator[bytes]:
     async with contextlib.aclosing(messages) as batches:
         async for batch in batches:
             yield b"\n".join([encode(message) for message in batch]) + b"\n"
-
-
-def _nothing() -> None:
-    pass
--- a/kelpfront/service/grpclinks.py
+++ b/kelpfront/service/grpclinks.py
@@ -20,7 +20,7 @@
 from kelpfront.controller.controller import Controller
 from kelpfront.controller.intents import AbandonOffer, SendOffer, SendProbe, SendStop
 from kelpfront.machine.grpc_conversion import (
-    UnknownWordError,
+    UnknownValueError,
     offer_message,
     read_answer,
     read_load,
@@ -198,7 +198,7 @@
                 try:
                     await self._stream()
                     error = "ended"
-                except (grpc.aio.AioRpcError, TimeoutError, UnknownWordError, ValueError) as caught:
+                except (grpc.aio.AioRpcError, TimeoutError, UnknownValueError, ValueError) as caught:
                     text = caught.details() if isinstance(caught, grpc.aio.AioRpcError) else str(caught)
                     error = f"{type(caught).__name__}: {text}"
                 finally:
@@ -280,6 +280,6 @@
             self._backoff.worked()
             log.info("stream up", machine=self.host, boot=told.boot, resumed=told.resumed)
             self._up.set()
-        if not self._position.take(told):
+        if not self._position.accept(told):
             return
         heart.stream_message(now, self.host, told)
--- a/kelpfront/service/links.py
+++ b/kelpfront/service/links.py
@@ -254,6 +254,6 @@
         if isinstance(message, Hello):
             self._backoff.worked()
             log.info("stream up", machine=self.host, boot=message.boot, resumed=message.resumed)
-        if not self._position.take(message):
+        if not self._position.accept(message):
             return
         self._heart.stream_message(self._now(), self.host, message)
--- a/tests/agent/test_agent_decisions.py
+++ b/tests/agent/test_agent_decisions.py
@@ -21,7 +21,10 @@
 from kelpfront.agent.recovery import Claim, Evidence, Fate, cause_of, judge
 from kelpfront.agent.state import End, Recorded, State, StateError
 from kelpfront.agent.usage import ProcessSample, Smoothing, TreeSample, next_period_ms, trees
+from kelpfront.machine.effects import SupersedeAttempt
 from kelpfront.machine.messages import Gone, Hello, OfferRequest, Snapshot, Taken, TaskReport
+from kelpfront.machine.model import Phase
+from kelpfront.machine.restoration import RestoredTask
 from kelpfront.machine.stream_offset import StreamOffset
 
 # ---- Fates ------------------------------------------------------------------------------------------------
@@ -199,16 +202,16 @@
 def test_a_restored_task_counts_answers_and_is_never_begun() -> None:
     driver = NodeDriver()
     node = driver.node
-    node.restore(driver.now, request("t1", cores=15.0, memory=1.0), "running", 1e18)
-    node.restore(driver.now, request("t2", cores=1.0), "stopping", 0.0, "stopped")
+    node.restore(driver.now, RestoredTask(request("t1", cores=15.0, memory=1.0), Phase.RUNNING, 1e18))
+    node.restore(driver.now, RestoredTask(request("t2", cores=1.0), Phase.STOPPING, 0.0, "stopped"))
     assert node.load().free_cores == -5.0  # what is being stopped holds nothing
     answer = driver.offer("t1", cores=15.0, memory=1.0)
-    assert answer is not None and answer.answer == "running" and not driver.begun
+    assert answer is not None and answer.answer == "running" and not driver.starts
     refused = driver.offer("t3", cores=6.0)
     assert refused is not None and refused.reason == "NO_CORES"
-    assert driver.stop("t1") == "stopping" and [halt.task for halt in driver.halted] == ["t1"]
+    assert driver.stop("t1") == "stopping" and [halt.task for halt in driver.stops] == ["t1"]
     node.exited(driver.now, "t2", 143, 1.5)
-    told = node.outbox("p0").since(1)
+    told = node.outbox("p0").messages_from(1)
     assert [message.task for message in told] == ["t1", "t2"]
 
 
@@ -240,16 +243,16 @@
 def test_a_stream_is_taken_up_only_behind_what_was_read() -> None:
     position = StreamOffset()
     assert position.resume is None
-    assert position.take(Hello("b1", 0.0, "small", 500.0, False, 7))
+    assert position.accept(Hello("b1", 0.0, "small", 500.0, False, 7))
     assert position.resume is None, "its snapshot is not here yet"
-    assert position.take(Snapshot(6, ()))
+    assert position.accept(Snapshot(6, ()))
     assert position.resume == ("b1", 7)
-    assert position.take(Taken(7, "t", 0, True)) and not position.take(Taken(7, "t", 0, True))
+    assert position.accept(Taken(7, "t", 0, True)) and not position.accept(Taken(7, "t", 0, True))
     assert position.resume == ("b1", 8)
     with pytest.raises(ValueError, match="message 10 came where 8"):
-        position.take(Gone(10, "t", 0, "ended", True))
-    assert position.take(Hello("b1", 0.0, "small", 500.0, True, 8)) and position.resume == ("b1", 8)
-    assert position.take(Hello("b2", 0.0, "small", 500.0, False, 1)) and position.resume is None
+        position.accept(Gone(10, "t", 0, "ended", True))
+    assert position.accept(Hello("b1", 0.0, "small", 500.0, True, 8)) and position.resume == ("b1", 8)
+    assert position.accept(Hello("b2", 0.0, "small", 500.0, False, 1)) and position.resume is None
 
 
 def test_a_later_attempt_takes_a_copy_over_only_once_that_is_noted() -> None:
@@ -257,24 +260,24 @@
     driver.offer("t1")
     node = driver.node
     node.offer(driver.now, request("t1", 1))
-    effects = node.take_effects()
-    assert [type(effect).__name__ for effect in effects] == ["TakeOver"]
-    node.taken_over(driver.now, "t1", 0)
-    assert not node.take_effects()
-    node.taken_over(driver.now, "t1", 1)
+    effects = node.pop_effects()
+    assert [type(effect) for effect in effects] == [SupersedeAttempt]
+    node.attempt_superseded(driver.now, "t1", 0)
+    assert not node.pop_effects()
+    node.attempt_superseded(driver.now, "t1", 1)
     driver.run()
-    assert driver.answers["t1", 1].answer == "running" and len(driver.begun) == 1
+    assert driver.answers["t1", 1].answer == "running" and len(driver.starts) == 1
 
 
 def test_tasks_of_a_placer_that_is_gone_are_given_up_whatever_they_do() -> None:
-    driver = NodeDriver(at_once=False, parallel_starts=1)
+    driver = NodeDriver(starts_at_once=False, max_parallel_starts=1)
     driver.offer("starts", placer="x")
     node = driver.node
     node.offer(driver.now, OfferRequest("x", "life", offer("waits")))
     driver.run()
     node.offer(driver.now, OfferRequest("p1", "life", offer("stays")))
     driver.run()
-    assert node.give_up(driver.now, "p0", "lost") + node.give_up(driver.now, "x", "lost") == 2
+    assert node.stop_tasks_of(driver.now, "p0", "lost") + node.stop_tasks_of(driver.now, "x", "lost") == 2
     driver.run()
     assert set(node.tasks) == {"stays"}
 
--- a/tests/machine/test_node.py
+++ b/tests/machine/test_node.py
@@ -1,4 +1,4 @@
-"""A machine's decisions: what it accepts, in which order it starts, whom it stops, and what it tells."""
+"""A machine's decisions: what it admits, in which order it starts, what it stops, and what it reports."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 from waiting import until
 
 from kelpfront.http.client import HttpConnection, NoAnswerError
-from kelpfront.machine.admission import Capacity, Claim, evict, weigh
+from kelpfront.machine.admission import Capacity, Claim, Request, decide_admission, select_evictions
+from kelpfront.machine.effects import StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.idempotency_records import SharedIdempotencyRecords
 from kelpfront.machine.messages import (
     Answer,
@@ -27,7 +28,7 @@
     decode_stream_message,
     encode,
 )
-from kelpfront.machine.model import Begin, Halt, TakeOver
+from kelpfront.machine.model import Incarnation, Phase, ResourceUsage
 from kelpfront.machine.node import Node
 from kelpfront.machine.outbox import Outbox
 from kelpfront.machine.server import MachineServer
@@ -41,8 +42,8 @@
     return answer.answer, answer.reason
 
 
-def told(driver: NodeDriver, placer: str = "p0") -> list[Any]:
-    return list(driver.node.outbox(placer).since(1))
+def reported(driver: NodeDriver, placer: str = "p0") -> list[Any]:
+    return list(driver.node.outbox(placer).messages_from(1))
 
 
 # ---- Admission --------------------------------------------------------------------------------------------
@@ -66,11 +67,11 @@
         Claim("young", 0, 5, 1, since=2),
         Claim("dear", 2, 10, 1, since=3),
     ]
-    assert weigh(CAPACITY, held, 2, 5, 1, True).push_out == ("young",)
-    assert weigh(CAPACITY, held, 2, 10, 1, True).push_out == ("young", "old")
-    assert weigh(CAPACITY, held, 2, 11, 1, True).reason == "NO_CORES"
-    assert weigh(CAPACITY, held, 0, 5, 1, True).reason == "NO_CORES"
-    assert weigh(CAPACITY, held, 2, 5, 1, False).reason == "NO_CORES"
+    assert decide_admission(CAPACITY, held, Request(2, 5, 1), preempts=True).preempted == ("young",)
+    assert decide_admission(CAPACITY, held, Request(2, 10, 1), preempts=True).preempted == ("young", "old")
+    assert decide_admission(CAPACITY, held, Request(2, 11, 1), preempts=True).reason == "NO_CORES"
+    assert decide_admission(CAPACITY, held, Request(0, 5, 1), preempts=True).reason == "NO_CORES"
+    assert decide_admission(CAPACITY, held, Request(2, 5, 1), preempts=False).reason == "NO_CORES"
 
 
 @settings(derandomize=True, deadline=None)
@@ -84,14 +85,14 @@
     held: list[tuple[int, float, float]], priority: int, cores: float, memory: float
 ) -> None:
     claims = [Claim(str(n), p, c, m, since=n) for n, (p, c, m) in enumerate(held)]
-    verdict = weigh(CAPACITY, claims, priority, cores, memory, True)
-    left = [claim for claim in claims if claim.task not in verdict.push_out]
-    assert all(claim.priority < priority for claim in claims if claim.task in verdict.push_out)
+    decision = decide_admission(CAPACITY, claims, Request(priority, cores, memory), preempts=True)
+    left = [claim for claim in claims if claim.task not in decision.preempted]
+    assert all(claim.priority < priority for claim in claims if claim.task in decision.preempted)
     fits = sum(c.cores for c in left) + cores <= 20.001 and sum(c.memory for c in left) + memory <= 30.001
-    assert fits == (not verdict.reason)
+    assert fits == (not decision.reason)
     lasting = [claim for claim in claims if claim.priority >= priority]
     possible = sum(c.cores for c in lasting) + cores <= 20 and sum(c.memory for c in lasting) + memory <= 30
-    assert not possible or not verdict.reason
+    assert not possible or not decision.reason
 
 
 def test_eviction_takes_low_priorities_and_those_furthest_over_first() -> None:
@@ -100,16 +101,16 @@
         Claim("over", 0, 1, 2, 0, used_memory=8),
         Claim("under", 0, 1, 8, 0, used_memory=6),
     ]
-    assert evict(CAPACITY, claims) == ("over",)
-    assert evict(CAPACITY, claims, other_memory=10) == ("over", "under")
-    assert evict(CAPACITY, claims[:1]) == ()
+    assert select_evictions(CAPACITY, claims) == ("over",)
+    assert select_evictions(CAPACITY, claims, other_memory=10) == ("over", "under")
+    assert select_evictions(CAPACITY, claims[:1]) == ()
 
 
 # ---- Offers -----------------------------------------------------------------------------------------------
 
 
 def test_asks_are_weighed_one_at_a_time_and_only_so_many_wait() -> None:
-    driver = NodeDriver(weigh_ms=10.0, line=3)
+    driver = NodeDriver(evaluation_ms=10.0, max_pending_offers=3)
     answers = [driver.offer(name) for name in "abcd"]
     assert answers[:3] == [None, None, None]
     assert kind(answers[3]) == ("refused", "QUEUE_FULL")
@@ -120,7 +121,7 @@
 
 
 def test_an_offer_that_comes_again_gets_the_first_answer_and_starts_nothing() -> None:
-    driver = NodeDriver(at_once=False)
+    driver = NodeDriver(starts_at_once=False)
     assert driver.offer("a") is None
     assert driver.offer("a") is None, "not answered yet: both wait"
     driver.started("a")
@@ -128,11 +129,11 @@
     assert kind(driver.offer("a")) == ("running", "")
     driver.node.exited(driver.now, "a", 0)
     assert kind(driver.offer("a")) == ("running", "")
-    assert len(driver.begun) == 1
+    assert len(driver.starts) == 1
 
 
 def test_a_later_attempt_takes_the_copy_over() -> None:
-    driver = NodeDriver(at_once=False)
+    driver = NodeDriver(starts_at_once=False)
     driver.offer("a", 0)
     driver.offer("a", 1)
     driver.started("a")
@@ -140,8 +141,8 @@
     assert kind(driver.answers["a", 1])[0] == "running"
     assert kind(driver.offer("a", 2))[0] == "running"
     assert kind(driver.offer("a", 1))[0] == "running", "its first answer"
-    assert len(driver.begun) == 1
-    assert [(m.attempt, m.running) for m in told(driver)] == [(1, True), (2, True)]
+    assert len(driver.starts) == 1
+    assert [(m.attempt, m.running) for m in reported(driver)] == [(1, True), (2, True)]
 
 
 def test_an_earlier_attempt_is_refused_where_a_later_one_is() -> None:
@@ -151,30 +152,30 @@
 
 
 def test_an_ask_that_was_given_up_is_dropped_if_it_has_not_begun() -> None:
-    driver = NodeDriver(weigh_ms=10.0, at_once=False)
+    driver = NodeDriver(evaluation_ms=10.0, starts_at_once=False)
     driver.offer("a")
     driver.offer("b")
     driver.node.abandon(driver.now, "a", 0)
     driver.advance(10.0)
-    assert [begin.offer.task for begin in driver.begun] == ["b"]
+    assert [start.offer.task for start in driver.starts] == ["b"]
     driver.node.abandon(driver.now, "b", 0)
     driver.started("b")
     assert "b" in driver.node.tasks, "it had begun: its placer is told and decides"
-    assert [type(m) for m in told(driver)] == [Taken]
+    assert [type(m) for m in reported(driver)] == [Taken]
 
 
 def test_nothing_starts_for_a_placer_that_has_given_up_by_the_common_clock() -> None:
-    driver = NodeDriver(weigh_ms=50.0)
+    driver = NodeDriver(evaluation_ms=50.0)
     assert driver.offer("a", not_after=driver.now + 20) is None
     driver.advance(60.0)
     assert kind(driver.answers["a", 0]) == ("refused", "NOT_HERE")
-    slow = NodeDriver(at_once=False, parallel_starts=1)
+    slow = NodeDriver(starts_at_once=False, max_parallel_starts=1)
     slow.offer("x")
     slow.offer("late", not_after=slow.now + 20)
     slow.now += 30
     slow.started("x")
     assert kind(slow.answers["late", 0]) == ("refused", "NOT_HERE")
-    assert [begin.offer.task for begin in slow.begun] == ["x"]
+    assert [start.offer.task for start in slow.starts] == ["x"]
 
 
 def test_a_stop_that_overtakes_its_offer_is_kept() -> None:
@@ -185,7 +186,7 @@
 
 
 def test_stop_at_each_phase() -> None:
-    driver = NodeDriver(weigh_ms=10.0, at_once=False, parallel_starts=1)
+    driver = NodeDriver(evaluation_ms=10.0, starts_at_once=False, max_parallel_starts=1)
     for name in ("runs", "starts", "queued"):
         driver.offer(name)
     driver.advance(30.0)
@@ -203,7 +204,7 @@
         "error",
     ]
     assert driver.node.tasks == {}
-    assert [(m.task, m.cause) for m in told(driver) if isinstance(m, Gone)] == [
+    assert [(m.task, m.cause) for m in reported(driver) if isinstance(m, Gone)] == [
         ("starts", "stopped"),
         ("runs", "stopped"),
     ]
@@ -212,13 +213,13 @@
 
 
 def test_accepted_is_answered_before_the_start_and_told_again_when_it_runs() -> None:
-    driver = NodeDriver(at_once=False, answers="accepted", parallel_starts=1)
+    driver = NodeDriver(starts_at_once=False, answer_mode="accepted", max_parallel_starts=1)
     assert kind(driver.offer("a")) == ("accepted", "")
     assert kind(driver.offer("b")) == ("accepted", "")
     driver.started("a")
-    driver.node.drain(driver.now, True)
+    driver.node.set_draining(driver.now, draining=True)
     driver.run()
-    messages = told(driver)
+    messages = reported(driver)
     assert [(m.task, m.running) for m in messages if isinstance(m, Taken)] == [
         ("a", False),
         ("b", False),
@@ -229,59 +230,60 @@
 
 
 def test_accepted_but_not_begun_is_handed_back_by_a_drain() -> None:
-    driver = NodeDriver(at_once=False, answers="accepted", parallel_starts=1)
+    driver = NodeDriver(starts_at_once=False, answer_mode="accepted", max_parallel_starts=1)
     driver.offer("a")
     driver.offer("b")
-    driver.node.drain(driver.now, True)
+    driver.node.set_draining(driver.now, draining=True)
     driver.run()
-    assert [(m.task, m.cause, m.ran) for m in told(driver) if isinstance(m, Gone)] == [
+    assert [(m.task, m.cause, m.ran) for m in reported(driver) if isinstance(m, Gone)] == [
         ("b", "sent-away", False)
     ]
     assert kind(driver.offer("c")) == ("refused", "NOT_HERE")
-    driver.node.drain(driver.now, False)
+    driver.node.set_draining(driver.now, draining=False)
     assert kind(driver.offer("c", 1)) == ("accepted", "")
 
 
 def test_a_paced_drain_sends_one_task_away_at_a_time_the_least_priority_first() -> None:
-    driver = NodeDriver(drain="paced")
+    driver = NodeDriver(drain_mode="paced")
     for name, priority in (("dear", 2), ("cheap", 0), ("mid", 1)):
         driver.offer(name, priority=priority)
-    driver.node.drain(driver.now, True)
+    driver.node.set_draining(driver.now, draining=True)
     driver.run()
-    assert [halt.task for halt in driver.halted] == ["cheap"]
+    assert [stop.task for stop in driver.stops] == ["cheap"]
     driver.advance(100.0)
-    assert [halt.task for halt in driver.halted] == ["cheap", "mid"]
+    assert [stop.task for stop in driver.stops] == ["cheap", "mid"]
     driver.advance(100.0)
-    assert [halt.task for halt in driver.halted] == ["cheap", "mid", "dear"]
-    assert {m.cause for m in told(driver) if isinstance(m, Gone)} == {"sent-away"}
+    assert [stop.task for stop in driver.stops] == ["cheap", "mid", "dear"]
+    assert {m.cause for m in reported(driver) if isinstance(m, Gone)} == {"sent-away"}
 
 
 def test_a_dearer_task_starts_when_those_pushed_out_for_it_have_gone() -> None:
-    driver = NodeDriver(pushes_out=True)
+    driver = NodeDriver(preempts=True)
     driver.offer("cheap", cores=20.0)
     driver.node.offer(driver.now, request("dear", priority=2, cores=15.0))
-    effects = driver.node.take_effects()
-    assert effects == [Halt("cheap", "pushed-out")]
+    effects = driver.node.pop_effects()
+    assert effects == [StopTask("cheap", "pushed-out")]
     driver.node.exited(driver.now, "cheap")
     driver.run()
-    assert [begin.offer.task for begin in driver.begun] == ["cheap", "dear"]
+    assert [start.offer.task for start in driver.starts] == ["cheap", "dear"]
     assert kind(driver.answers["dear", 0]) == ("running", "")
 
 
 def test_of_a_key_one_copy_stands_in_its_group() -> None:
-    board = SharedIdempotencyRecords()
-    east1 = NodeDriver(copies=board)
-    east2 = NodeDriver(copies=board, name="n2")
-    west = NodeDriver(copies=board, name="n3", room="west")
+    records = SharedIdempotencyRecords()
+    east1 = NodeDriver(records=records)
+    east2 = NodeDriver(records=records, name="n2")
+    west = NodeDriver(records=records, name="n3", zone="west")
     keyed: dict[str, Any] = {"key": "batch-7/0", "group": "zone", "effect": "keyed"}
     assert kind(east1.offer("a", **keyed)) == ("running", "")
     answer = east2.offer("a", 1, **keyed)
     assert kind(answer) == ("refused", "NOT_HERE")
-    assert answer is not None and answer.message == "a copy stands on n1"
+    assert answer is not None
+    assert answer.message == "a copy stands on n1"
     assert kind(west.offer("a", 2, **keyed)) == ("running", "")
     east1.stop("a")
     assert kind(east2.offer("a", 3, **keyed)) == ("running", "")
-    board.remove_machine("n2")
+    records.remove_machine("n2")
     assert kind(east1.offer("a", 4, **keyed)) == ("running", "")
 
 
@@ -289,9 +291,10 @@
     driver = NodeDriver()
     driver.offer("a", memory=10.0)
     driver.offer("b", memory=10.0, priority=1)
-    driver.node.used(driver.now, {"a": (0.5, 12.0), "b": (0.5, 9.0)})
+    usage = {"a": ResourceUsage(0.5, 12.0), "b": ResourceUsage(0.5, 9.0)}
+    driver.node.record_usage(driver.now, usage)
     driver.run()
-    assert [(halt.task, halt.cause) for halt in driver.halted] == [("a", "evicted")]
+    assert [(stop.task, stop.cause) for stop in driver.stops] == [("a", "evicted")]
     assert driver.node.load().unused_memory == 11.0
 
 
@@ -299,44 +302,51 @@
 
 
 def test_few_starts_at_a_time_and_fewer_while_cold() -> None:
-    cold = NodeDriver(at_once=False, parallel_starts=4, line=20, warmup=SlowStart(0.25, 10_000.0))
+    cold = NodeDriver(
+        starts_at_once=False,
+        max_parallel_starts=4,
+        max_pending_offers=20,
+        slow_start=SlowStart(0.25, 10_000.0),
+    )
     for n in range(8):
         cold.offer(f"t{n}", cores=0.1)
-    assert len(cold.begun) == 1, "a quarter of four"
+    assert len(cold.starts) == 1, "a quarter of four"
     cold.advance(9_000.0)
     cold.started("t0")
-    assert len(cold.begun) == 5
+    assert len(cold.starts) == 5
     assert cold.node.load().waiting == 7
 
 
 def test_starts_are_paced_where_a_rate_is_told() -> None:
-    driver = NodeDriver(parallel_starts=100, line=200, start_rate=0.01, warmup=SlowStart(0.5, 4000.0))
+    driver = NodeDriver(
+        max_parallel_starts=100, max_pending_offers=200, starts_per_ms=0.01, slow_start=SlowStart(0.5, 4000.0)
+    )
     for n in range(100):
         driver.offer(f"t{n}", cores=0.1, memory=0.1)
-    assert len(driver.begun) == 1
+    assert len(driver.starts) == 1
     driver.advance(3_000.0)
-    assert 20 <= len(driver.begun) <= 28, "from one in 160 ms to one in 100 ms"
+    assert 20 <= len(driver.starts) <= 28, "from one in 160 ms to one in 100 ms"
 
 
 def test_a_first_start_of_a_service_is_dear_unless_its_program_is_kept() -> None:
-    driver = NodeDriver(kept_programs=1)
+    driver = NodeDriver(max_cached_programs=1)
     for task, service in (("a", "x"), ("b", "x"), ("c", "y")):
         driver.offer(task, service=service)
     for task in ("a", "b", "c"):
         driver.stop(task)
     driver.offer("d", service="y")
     driver.offer("e", service="x")
-    assert [begin.dear for begin in driver.begun] == [True, False, True, False, True]
+    assert [start.needs_program for start in driver.starts] == [True, False, True, False, True]
 
 
 def test_a_start_that_fails_without_running_is_a_refusal() -> None:
-    driver = NodeDriver(at_once=False)
+    driver = NodeDriver(starts_at_once=False)
     driver.offer("a")
     driver.node.start_failed(driver.now, "a", "no such command")
     driver.run()
     assert kind(driver.answers["a", 0]) == ("refused", "START_FAILED")
     driver.offer("b")
-    driver.node.failed(driver.now, "b", "broke")
+    driver.node.start_unconfirmed(driver.now, "b", "broke")
     driver.run()
     assert kind(driver.answers["b", 0]) == ("error", "")
     assert driver.node.load().waiting == 0
@@ -345,25 +355,27 @@
 @settings(derandomize=True, deadline=None)
 @given(st.floats(0, 20_000), st.floats(0, 20_000))
 def test_warmup_grows_and_its_sum_is_that_of_its_share(begin: float, length: float) -> None:
-    warmup = SlowStart(0.25, 10_000.0)
-    assert 0.25 <= warmup.share(begin) <= warmup.share(begin + length) <= 1.0
+    slow_start = SlowStart(0.25, 10_000.0)
+    assert 0.25 <= slow_start.share_at(begin) <= slow_start.share_at(begin + length) <= 1.0
     steps = 400
-    summed = sum(warmup.share(begin + length * (n + 0.5) / steps) for n in range(steps)) * length / steps
-    assert warmup.starts(begin, begin + length, 1.0) == pytest.approx(summed, rel=2e-3, abs=1e-6)
+    summed = (
+        sum(slow_start.share_at(begin + length * (n + 0.5) / steps) for n in range(steps)) * length / steps
+    )
+    assert slow_start.starts_between(begin, begin + length, 1.0) == pytest.approx(summed, rel=2e-3, abs=1e-6)
 
 
 # ---- What placers are told --------------------------------------------------------------------------------
 
 
 def test_an_outbox_resumes_within_its_history_and_says_where_it_ends() -> None:
-    outbox = Outbox(history=3, notes=2)
+    outbox = Outbox(max_messages=3, max_status_reports=2)
     for n in range(5):
-        outbox.taken(f"t{n}", 0, running=True)
-    assert [message.seq for message in outbox.since(4)] == [4, 5]
+        outbox.append_accepted(f"t{n}", 0, running=True)
+    assert [message.seq for message in outbox.messages_from(4)] == [4, 5]
     assert [outbox.reaches(seq) for seq in (2, 3, 5, 6, 7)] == [False, True, True, True, False]
     for value in (1.0, 2.0, 3.0):
-        outbox.note(Note("t", 0, "cores", value))
-    assert [note.value for note in outbox.take_notes()] == [2.0, 3.0]
+        outbox.add_status_report(Note("t", 0, "cores", value))
+    assert [report.value for report in outbox.pop_status_reports()] == [2.0, 3.0]
 
 
 @settings(derandomize=True, deadline=None, max_examples=60)
@@ -372,8 +384,8 @@
     steps: list[str], data: st.DataObject
 ) -> None:
     """Whatever is cut and lost, numbered messages and snapshots together show each task's last state."""
-    driver = NodeDriver(line=100, capacity=Capacity(1000, 1000, 2, 2))
-    driver.node._told._outboxes["p0"] = Outbox(history=4)
+    driver = NodeDriver(max_pending_offers=100, capacity=Capacity(1000, 1000, 2, 2))
+    driver.node._report_log._outboxes["p0"] = Outbox(max_messages=4)
     known: dict[str, bool] = {}
     first: int | None = None
 
@@ -386,7 +398,7 @@
             known.clear()
             known.update({report.offer.task: report.phase != "ended" for report in snapshot.tasks})
             at = snapshot.seq + 1
-        for message in driver.node.outbox("p0").since(at)[:most]:
+        for message in driver.node.outbox("p0").messages_from(at)[:most]:
             known[message.task] = isinstance(message, Taken)
             at = message.seq + 1
         first = at
@@ -413,24 +425,25 @@
         self.held: list[str] = []
         self.hold = False
 
-    def begin(self, begin: Begin) -> None:
+    def start_task(self, start: StartTask) -> None:
         if self.hold:
-            self.held.append(begin.offer.task)
+            self.held.append(start.offer.task)
         else:
-            asyncio.get_running_loop().call_soon(self.start, begin.offer.task)
+            asyncio.get_running_loop().call_soon(self.start, start.offer.task)
 
     def start(self, task: str) -> None:
         assert self.server is not None
         self.server.node.started(1.0, task)
         self.server.changed()
 
-    def halt(self, halt: Halt) -> None:
+    def stop_task(self, stop: StopTask) -> None:
         assert self.server is not None
-        self.server.node.exited(1.0, halt.task)
+        self.server.node.exited(1.0, stop.task)
 
-    def take_over(self, copy: TakeOver) -> None:
+    def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
         assert self.server is not None
-        self.server.node.taken_over(1.0, copy.offer.task, copy.offer.attempt)
+        offer = superseding.offer
+        self.server.node.attempt_superseded(1.0, offer.task, offer.attempt)
 
 
 class Listener:
@@ -462,7 +475,7 @@
 
 async def machine() -> tuple[MachineServer, AtOnce]:
     runtime = AtOnce()
-    server = MachineServer(Node(node_settings(), "boot-1", 0.0), runtime, lambda: 1.0)
+    server = MachineServer(Node(node_settings(), Incarnation("boot-1", 0.0)), runtime, lambda: 1.0)
     runtime.server = server
     await server.start("127.0.0.1", 0)
     return server, runtime
@@ -521,12 +534,12 @@
 
 async def test_a_drain_is_told_at_once_and_not_with_the_next_heartbeat() -> None:
     runtime = AtOnce()
-    server = MachineServer(Node(node_settings(heartbeat_ms=1e7), "b", 0.0), runtime, lambda: 1.0)
+    server = MachineServer(Node(node_settings(heartbeat_ms=1e7), Incarnation("b", 0.0)), runtime, lambda: 1.0)
     await server.start("127.0.0.1", 0)
     listener = Listener(server)
     await listener.open()
     await until(lambda: len(listener.messages) == 3)
-    server.node.drain(1.0, True)
+    server.node.set_draining(1.0, draining=True)
     server.changed()
     await until(lambda: listener.messages[-1].state == "draining")  # type: ignore[union-attr]
     listener.cut()
@@ -545,5 +558,5 @@
             await call
     await until(lambda: set(server.node.tasks) == {"a", "b"})
     runtime.start("a")
-    assert server.node.tasks["a"].phase == "running"
+    assert server.node.tasks["a"].phase is Phase.RUNNING
     await server.close()
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -1,35 +1,34 @@
-"""Nodes and offers of the tests' own."""
+"""Builders of nodes and offers, and a driver that runs a node in virtual time."""
 
 from __future__ import annotations
 
-from typing import Any, TypeVar
+from typing import Any
 
 from kelpfront.machine.admission import Capacity
+from kelpfront.machine.effects import AnswerOffer, Effect, StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.idempotency_records import SharedIdempotencyRecords
 from kelpfront.machine.messages import Answer, JobRef, Offer, OfferRequest, StopRequest
-from kelpfront.machine.model import Begin, Effect, Halt, NodeSettings, Reply, TakeOver
+from kelpfront.machine.model import Incarnation, NodeSettings
 from kelpfront.machine.node import Node
 from kelpfront.machine.slow_start import SlowStart
 
-E = TypeVar("E", bound=Effect)
-
 
 def node_settings(**changes: Any) -> NodeSettings:
     plain: dict[str, Any] = {
         "name": "n1",
         "kind": "small",
         "rack": "r1",
-        "room": "east",
+        "zone": "east",
         "capacity": Capacity(10.0, 20.0, 2.0, 1.5),
-        "line": 4,
-        "parallel_starts": 2,
-        "answers": "running",
-        "pushes_out": False,
-        "drain": "none",
-        "drain_pace_ms": 100.0,
-        "kept_programs": 2,
+        "max_pending_offers": 4,
+        "max_parallel_starts": 2,
+        "answer_mode": "running",
+        "preempts": False,
+        "drain_mode": "none",
+        "drain_interval_ms": 100.0,
+        "max_cached_programs": 2,
         "heartbeat_ms": 200.0,
-        "warmup": SlowStart(1.0, 0.0),
+        "slow_start": SlowStart(1.0, 0.0),
     }
     return NodeSettings(**{**plain, **changes})
 
@@ -52,33 +51,38 @@
 
 
 class NodeDriver:
-    """A node with its clock; tasks start when told to, or at once."""
+    """A node with its clock. Starts succeed at once, or when `started` is called; stops succeed at once."""
 
-    def __init__(self, at_once: bool = True, weigh_ms: float = 0.0, **changes: Any) -> None:
-        board = changes.pop("copies", SharedIdempotencyRecords())
-        self.node = Node(node_settings(**changes), "boot-1", 0.0, lambda: weigh_ms, board)
+    def __init__(self, *, starts_at_once: bool = True, evaluation_ms: float = 0.0, **changes: Any) -> None:
+        records = changes.pop("records", SharedIdempotencyRecords())
+        incarnation = Incarnation("boot-1", 0.0)
+        self.node = Node(node_settings(**changes), incarnation, lambda: evaluation_ms, records)
         self.now = 1000.0
-        self.at_once = at_once
+        self.starts_at_once = starts_at_once
         self.answers: dict[tuple[str, int], Answer] = {}
-        self.begun: list[Begin] = []
-        self.halted: list[Halt] = []
+        self.starts: list[StartTask] = []
+        self.stops: list[StopTask] = []
 
     def run(self) -> None:
-        while effects := self.node.take_effects():
+        """Carry out the node's effects until there are none."""
+        while effects := self.node.pop_effects():
             for effect in effects:
-                match effect:
-                    case Reply(task, attempt, answer):
-                        first = self.answers.setdefault((task, attempt), answer)
-                        assert first == answer, "one answer"
-                    case Begin():
-                        self.begun.append(effect)
-                        if self.at_once:
-                            self.node.started(self.now, effect.offer.task)
-                    case TakeOver(taken):
-                        self.node.taken_over(self.now, taken.task, taken.attempt)
-                    case Halt():
-                        self.halted.append(effect)
-                        self.node.exited(self.now, effect.task)
+                self._carry_out(effect)
+
+    def _carry_out(self, effect: Effect) -> None:
+        match effect:
+            case AnswerOffer(task, attempt, answer):
+                first = self.answers.setdefault((task, attempt), answer)
+                assert first == answer, "one answer"
+            case StartTask():
+                self.starts.append(effect)
+                if self.starts_at_once:
+                    self.node.started(self.now, effect.offer.task)
+            case SupersedeAttempt(offered):
+                self.node.attempt_superseded(self.now, offered.task, offered.attempt)
+            case StopTask():
+                self.stops.append(effect)
+                self.node.exited(self.now, effect.task)
 
     def offer(self, task: str, attempt: int = 0, after: float = 0.0, **changes: Any) -> Answer | None:
         self.now += after
@@ -96,7 +100,7 @@
         self.run()
 
     def advance(self, ms: float) -> None:
-        """In steps of the node's own timers."""
+        """Advance the clock in steps of the node's own timers."""
         until = self.now + ms
         while (at := self.node.next_timer()) <= until:
             self.now = max(self.now, at)
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -22,7 +22,7 @@
 from kelpfront.inventory import Host, Inventory
 from kelpfront.machine import messages as m
 from kelpfront.machine.grpc_conversion import (
-    UnknownWordError,
+    UnknownValueError,
     answer_message,
     offer_message,
     read_answer,
@@ -83,12 +83,12 @@
 
 def test_words_of_a_later_version_are_not_guessed() -> None:
     later = pb.OfferTask.FromString(offer_message(offer("t")).SerializeToString() + b"\x40\x63")  # effect 99
-    with pytest.raises(UnknownWordError, match="effect"):
+    with pytest.raises(UnknownValueError, match="effect"):
         read_offer(later)
     unknown = pb.OfferAnswer.FromString(b"\x18\x63")  # an answer of kind 99 proves nothing
     assert read_answer(unknown).answer == "error"
     assert read_stream_message(pb.NodeMessage.FromString(b"\xfa\x07\x00")) is None
-    with pytest.raises(UnknownWordError, match="cause"):
+    with pytest.raises(UnknownValueError, match="cause"):
         read_stream_message(pb.NodeMessage(gone=pb.Gone(cause="melted")))
 
 
