--- a/kelpfront/machine/idempotency_records.py
+++ b/kelpfront/machine/idempotency_records.py
@@ -33,7 +33,7 @@
 
 
 class MachineIdempotencyRecords(IdempotencyRecords, Protocol):
-    """Records of machines that may die with all that they hold."""
+    """Records that also release all keys of a machine that has died."""
 
     def remove_machine(self, machine: str) -> None:
         """Release all keys of a machine that is dead."""
--- a/kelpfront/machine/message_stream.py
+++ b/kelpfront/machine/message_stream.py
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamHooks:
-    """Where the heartbeats come from, and what is told of each message that is about to be sent."""
+    """Where the heartbeats come from, and what is called for each message that is about to be sent."""
 
     heartbeat: Callable[[], Heartbeat]
     on_streamed: Callable[[str, Heartbeat | Sequenced], None]
--- a/kelpfront/machine/messages.py
+++ b/kelpfront/machine/messages.py
@@ -7,7 +7,7 @@
 
 On the stream, `Taken` and `Gone` carry sequence numbers of one placer at one machine. A placer that comes
 back names the first one that it has not received; the machine sends what was missed, or, where it no longer
-can or the placer is new, a `Snapshot` of all that it holds for that placer, which replaces all before it.
+can or the placer is new, a `Snapshot` of all tasks of that placer, which replaces all before it.
 
 The names of the classes and fields are those of the wire.
 """
--- a/kelpfront/machine/model.py
+++ b/kelpfront/machine/model.py
@@ -1,4 +1,4 @@
-"""The records that a node works on: its settings, its incarnation, and the tasks that it holds or has held.
+"""The records that a node works on: its settings, its incarnation, and its tasks, active and ended.
 
 They carry no decisions; `task_table` owns the tasks and the modules around it change them.
 """
@@ -7,12 +7,15 @@
 
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import NamedTuple
+from typing import Literal, NamedTuple
 
 from kelpfront.machine.admission import Capacity, Claim
 from kelpfront.machine.messages import GoneCause, Offer, TaskPhase, TaskReport
 from kelpfront.machine.slow_start import SlowStart
 
+AnswerMode = Literal["running", "accepted"]  # an offer is answered once its task runs, or once it is admitted
+DrainMode = Literal["none", "paced", "at_once"]  # how a draining machine evicts its tasks
+
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
@@ -25,22 +28,22 @@
     capacity: Capacity
     max_pending_offers: int  # offers that may wait for their evaluation
     max_parallel_starts: int
-    answer_mode: str  # "running" or "accepted": when an offer is answered
+    answer_mode: AnswerMode
     preempts: bool  # tasks of lower priority are stopped to make room for others
-    drain_mode: str  # "none", "paced" or "at_once": whether a draining machine evicts its tasks
+    drain_mode: DrainMode
     drain_interval_ms: float  # between evictions of a paced drain
     max_cached_programs: int  # services whose program is kept for a while after their last task
     heartbeat_ms: float
     slow_start: SlowStart
     max_tasks: int | None = None  # at a time, however little they request
-    starts_per_ms: float | None = None  # the rate at which starts begin at the most when warm
+    starts_per_ms: float | None = None  # the highest rate of starts, after the slow start
 
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One life of a machine, from its boot to its end. Times are milliseconds of the common clock.
+    """One run of a machine, from its boot to its end. Times are milliseconds of the common clock.
 
-    `first_seq` is above all message numbers that an earlier process gave out in this life.
+    `first_seq` is above all message numbers that an earlier process gave out in this incarnation.
     """
 
     boot: str
--- a/kelpfront/machine/node.py
+++ b/kelpfront/machine/node.py
@@ -73,21 +73,25 @@
         self.incarnation = incarnation
         self._effects = EffectBuffer()
         records = idempotency_records or SharedIdempotencyRecords()
-        tasks = self._tasks = TaskTable(KeyClaims(settings, records))
-        self._report_log = ReportLog(incarnation.first_seq, tasks.placers)
+        self._tasks = TaskTable(KeyClaims(settings, records))
+        self._report_log = ReportLog(incarnation.first_seq, self._tasks.placers)
         self._admission_queue = AdmissionQueue(evaluation_ms)
-        starts = self._start_queue = StartQueue(settings, incarnation)
-        self._load = LoadMeter(settings.capacity, tasks, self._admission_queue, starts)
-        answers = self._answers = OfferAnswers(settings, self._report_log, self._load, self._effects)
-        self._running = RunningTasks(tasks, starts, answers, self._report_log, self._effects)
-        self._withdrawals = Withdrawals(tasks, self._admission_queue, starts, answers, self._report_log)
+        self._start_queue = StartQueue(settings, incarnation)
+        self._load = LoadMeter(settings.capacity, self._tasks, self._admission_queue, self._start_queue)
+        self._answers = OfferAnswers(settings, self._report_log, self._load, self._effects)
+        self._running = RunningTasks(
+            self._tasks, self._start_queue, self._answers, self._report_log, self._effects
+        )
+        self._withdrawals = Withdrawals(
+            self._tasks, self._admission_queue, self._start_queue, self._answers, self._report_log
+        )
         self._stops = TaskStops(self._running, self._withdrawals)
-        self._drain = Drain(settings, tasks, self._withdrawals, self._running)
+        self._drain = Drain(settings, self._tasks, self._withdrawals, self._running)
         self._screening = OfferScreening(settings, self._load, self._report_log, self._drain)
-        self._supersession = Supersession(self._withdrawals, answers, self._effects)
-        self._evaluation = Evaluation(settings, tasks, starts, answers, self._stops)
-        self._starter = TaskStarter(tasks, starts, answers, self._effects)
-        self._restoration = Restoration(tasks, starts, answers, self._report_log)
+        self._supersession = Supersession(self._withdrawals, self._answers, self._effects)
+        self._evaluation = Evaluation(settings, self._tasks, self._start_queue, self._answers, self._stops)
+        self._starter = TaskStarter(self._tasks, self._start_queue, self._answers, self._effects)
+        self._restoration = Restoration(self._tasks, self._start_queue, self._answers, self._report_log)
 
     # ---- Offers and stops of placers ----------------------------------------------------------------------
 
--- a/kelpfront/machine/report_log.py
+++ b/kelpfront/machine/report_log.py
@@ -16,6 +16,10 @@
 MAX_PLACERS = 1_000  # outboxes that are kept, which bounds their memory
 
 
+class TooManyPlacersError(OverflowError):
+    """Another placer asks for an outbox, and every placer that has one has tasks here."""
+
+
 class ReportLog:
     """All outboxes of a machine. Message numbers of this process start at `first_seq`.
 
@@ -32,7 +36,7 @@
     def outbox(self, placer: str) -> Outbox:
         """Return the outbox to a placer, made at its first use.
 
-        Raises OverflowError where it would be one too many and every placer has tasks here.
+        Raises TooManyPlacersError where it would be one too many and every placer has tasks here.
         """
         outbox = self._outboxes.get(placer)
         if outbox is None:
@@ -46,7 +50,7 @@
         with_tasks = self._placers_with_tasks()
         idle = next((placer for placer in self._outboxes if placer not in with_tasks), None)
         if idle is None:
-            raise OverflowError(f"{MAX_PLACERS} placers have tasks here, which is the most")
+            raise TooManyPlacersError(f"{MAX_PLACERS} placers have tasks here, which is the most")
         del self._outboxes[idle]
 
     def append_ended(self, placer: str, report: TaskReport) -> None:
--- a/kelpfront/machine/task_table.py
+++ b/kelpfront/machine/task_table.py
@@ -1,4 +1,4 @@
-"""The tasks on a machine by uid: the one place that holds them.
+"""The tasks on a machine by uid: the one place where they are kept.
 
 A task enters with its offer and leaves when it is over, which releases its idempotency key. What happens to a
 task in between is decided by the modules that are handed the table.
--- a/tests/machine/test_reports.py
+++ b/tests/machine/test_reports.py
@@ -11,7 +11,7 @@
 from kelpfront.machine.admission import Capacity
 from kelpfront.machine.messages import Note, Taken
 from kelpfront.machine.outbox import Outbox
-from kelpfront.machine.report_log import ReportLog
+from kelpfront.machine.report_log import ReportLog, TooManyPlacersError
 
 
 def test_an_outbox_resumes_within_what_it_retains() -> None:
@@ -74,5 +74,5 @@
     assert log.outbox("p0") is kept
     assert log.outbox("p1").next_seq == 1, "it was dropped for p2 and is new"
     with_tasks |= {"p1"}
-    with pytest.raises(OverflowError, match="2 placers have tasks here"):
+    with pytest.raises(TooManyPlacersError, match="2 placers have tasks here"):
         log.outbox("p3")
