--- a/tests/machine/test_admission.py
+++ b/tests/machine/test_admission.py
@@ -10,17 +10,17 @@
 CAPACITY = Capacity(10.0, 20.0, 2.0, 1.5)
 
 
-def test_preemption_ends_the_fewest_tasks_of_the_least_priority_youngest_first() -> None:
-    held = [
+def test_preemption_ends_the_fewest_tasks_of_lowest_priority_youngest_first() -> None:
+    claims = [
         Claim("old", 0, 5, 1, since=1),
         Claim("young", 0, 5, 1, since=2),
         Claim("important", 2, 10, 1, since=3),
     ]
-    assert decide_admission(CAPACITY, held, Request(2, 5, 1), preempts=True).preempted == ("young",)
-    assert decide_admission(CAPACITY, held, Request(2, 10, 1), preempts=True).preempted == ("young", "old")
-    assert decide_admission(CAPACITY, held, Request(2, 11, 1), preempts=True).reason == "NO_CORES"
-    assert decide_admission(CAPACITY, held, Request(0, 5, 1), preempts=True).reason == "NO_CORES"
-    assert decide_admission(CAPACITY, held, Request(2, 5, 1), preempts=False).reason == "NO_CORES"
+    assert decide_admission(CAPACITY, claims, Request(2, 5, 1), preempts=True).preempted == ("young",)
+    assert decide_admission(CAPACITY, claims, Request(2, 10, 1), preempts=True).preempted == ("young", "old")
+    assert decide_admission(CAPACITY, claims, Request(2, 11, 1), preempts=True).reason == "NO_CORES"
+    assert decide_admission(CAPACITY, claims, Request(0, 5, 1), preempts=True).reason == "NO_CORES"
+    assert decide_admission(CAPACITY, claims, Request(2, 5, 1), preempts=False).reason == "NO_CORES"
 
 
 @settings(derandomize=True, deadline=None)
@@ -31,9 +31,9 @@
     st.floats(0.1, 20),
 )
 def test_admission_never_overcommits_and_preempts_only_lower_priorities(
-    held: list[tuple[int, float, float]], priority: int, cores: float, memory: float
+    requested: list[tuple[int, float, float]], priority: int, cores: float, memory: float
 ) -> None:
-    claims = [Claim(str(n), p, c, m, since=n) for n, (p, c, m) in enumerate(held)]
+    claims = [Claim(str(n), p, c, m, since=n) for n, (p, c, m) in enumerate(requested)]
     decision = decide_admission(CAPACITY, claims, Request(priority, cores, memory), preempts=True)
     left = [claim for claim in claims if claim.task not in decision.preempted]
     assert all(claim.priority < priority for claim in claims if claim.task in decision.preempted)
--- a/tests/machine/test_node.py
+++ b/tests/machine/test_node.py
@@ -159,7 +159,7 @@
     assert kind(driver.offer("c", 1)) == ("accepted", "")
 
 
-def test_a_paced_drain_evicts_one_task_at_a_time_the_least_priority_first() -> None:
+def test_a_paced_drain_evicts_one_task_at_a_time_the_lowest_priority_first() -> None:
     driver = NodeDriver(drain_mode="paced")
     for name, priority in (("important", 2), ("cheap", 0), ("mid", 1)):
         driver.offer(name, priority=priority)
@@ -190,17 +190,17 @@
     east1 = NodeDriver(records=records)
     east2 = NodeDriver(records=records, name="n2")
     west = NodeDriver(records=records, name="n3", zone="west")
-    keyed: dict[str, Any] = {"key": "batch-7/0", "group": "zone", "effect": "keyed"}
-    assert kind(east1.offer("a", **keyed)) == ("running", "")
-    answer = east2.offer("a", 1, **keyed)
+    with_key: dict[str, Any] = {"key": "batch-7/0", "group": "zone", "effect": "keyed"}
+    assert kind(east1.offer("a", **with_key)) == ("running", "")
+    answer = east2.offer("a", 1, **with_key)
     assert kind(answer) == ("refused", "NOT_HERE")
     assert answer is not None
     assert answer.message == "a copy stands on n1"
-    assert kind(west.offer("a", 2, **keyed)) == ("running", "")
+    assert kind(west.offer("a", 2, **with_key)) == ("running", "")
     east1.stop("a")
-    assert kind(east2.offer("a", 3, **keyed)) == ("running", "")
+    assert kind(east2.offer("a", 3, **with_key)) == ("running", "")
     records.remove_machine("n2")
-    assert kind(east1.offer("a", 4, **keyed)) == ("running", "")
+    assert kind(east1.offer("a", 4, **with_key)) == ("running", "")
 
 
 def test_tasks_are_evicted_when_memory_runs_out() -> None:
--- a/tests/machine/test_reports.py
+++ b/tests/machine/test_reports.py
@@ -36,7 +36,7 @@
     known: dict[str, bool] = {}
     first: int | None = None
 
-    def read(most: int) -> None:
+    def read(limit: int) -> None:
         nonlocal first
         hello = driver.node.hello(driver.now, "p0", first)
         at = hello.next_seq
@@ -45,7 +45,7 @@
             known.clear()
             known.update({report.offer.task: report.phase != "ended" for report in snapshot.tasks})
             at = snapshot.seq + 1
-        for message in driver.node.outbox("p0").messages_from(at)[:most]:
+        for message in driver.node.outbox("p0").messages_from(at)[:limit]:
             known[message.task] = isinstance(message, Taken)
             at = message.seq + 1
         first = at
@@ -61,17 +61,17 @@
     assert {task for task, runs in known.items() if runs} == set(driver.node.tasks)
 
 
-def test_the_outbox_of_a_placer_without_tasks_makes_room_and_no_other_does(
+def test_the_outbox_of_a_placer_without_tasks_is_dropped_for_another_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(report_log, "MAX_PLACERS", 2)
     with_tasks = {"p0"}
     log = ReportLog(1, lambda: with_tasks)
-    kept = log.outbox("p0")
-    kept.append_accepted("a", 0, running=True)
+    first_outbox = log.outbox("p0")
+    first_outbox.append_accepted("a", 0, running=True)
     log.outbox("p1").append_accepted("b", 0, running=True)
     log.outbox("p2")
-    assert log.outbox("p0") is kept
+    assert log.outbox("p0") is first_outbox
     assert log.outbox("p1").next_seq == 1, "it was dropped for p2 and is new"
     with_tasks |= {"p1"}
     with pytest.raises(TooManyPlacersError, match="2 placers have tasks here"):
--- a/tests/machine/test_server.py
+++ b/tests/machine/test_server.py
@@ -36,12 +36,12 @@
 
     async def open(self, query: str = "") -> None:
         self.connection = await HttpConnection.open("127.0.0.1", self.server.http.port)
-        _, _, pieces = await self.connection.stream("GET", f"/v1/stream?placer=p0{query}")
+        _, _, fragments = await self.connection.stream("GET", f"/v1/stream?placer=p0{query}")
 
         async def read() -> None:
             rest = b""
-            async for piece in pieces:
-                *lines, rest = (rest + piece).split(b"\n")
+            async for fragment in fragments:
+                *lines, rest = (rest + fragment).split(b"\n")
                 self.messages += [decode_stream_message(line) for line in lines]
 
         self.task = asyncio.create_task(read())
