--- a/kelpfront/agent/takeup.py
+++ b/kelpfront/agent/takeup.py
@@ -122,10 +122,8 @@
 
     def end(self, record: Recorded, folder: Path, end: End) -> None:
         """It was over before this agent started: told of in the next snapshot."""
-        record.end, record.seq = (
-            end,
-            self.node.incarnation.first_seq - 1,
-        )  # the number of this agent's first snapshots
+        record.end = end
+        record.seq = self.node.incarnation.first_seq - 1  # the number of this agent's first snapshots
         self.node.restore_ended(record.request.placer, record.report(), record.seq)
         self._state.ended(record)
         self._runtime.keep(record.key, folder)
--- a/kelpfront/lab/standin.py
+++ b/kelpfront/lab/standin.py
@@ -390,12 +390,8 @@
                 self._later(0.02, self._fail, offer.task)
             return  # silence: it hangs until its placer gives it up
         pace = self.settings.slow_start.share_at(self.now() - self.node.started_at)
-        work = (
-            model.start_ms
-            * (self.model.dear if start.needs_program else 1.0)
-            / pace
-            * chance.uniform(0.8, 1.3)
-        )
+        program_factor = self.model.dear if start.needs_program else 1.0
+        work = model.start_ms * program_factor / pace * chance.uniform(0.8, 1.3)
         self.record("start", task=offer.task, attempt=offer.attempt, placer=start.placer, key=offer.key)
         life = min(chance.expovariate(1.0 / model.life_ms), 6 * model.life_ms)
         heavy, times = self.troubles.heavy.get(offer.cls, (0.0, 1.0))
