--- a/kelpfront/failure_detection/detector.py
+++ b/kelpfront/failure_detection/detector.py
@@ -1,203 +1,217 @@
-"""A watcher's side: which machine is tested when, what it came to, and who is told. Pure.
+"""A failure detector's core: which machine is health-checked when, what came of it, and which digests go out.
 
-Times are milliseconds on the watcher's own clock, which only goes forward.
+It counts no machine as failed; placers decide that. Subscriptions are in `subscribers`, the log of machines
+that stop answering in `availability_log`. Times are milliseconds on the detector's own clock, which only goes
+forward.
 """
 
 from __future__ import annotations
 
 import math
-from collections import Counter
-from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
-
-from kelpfront.failure_detection.digest import Hello, Section, pack_digest, pack_section, portions
-from kelpfront.failure_detection.membership import Roster, bits_of, rosters
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+
+from kelpfront.failure_detection.availability_log import AvailabilityLog
+from kelpfront.failure_detection.counters import DetectorCounters
+from kelpfront.failure_detection.digest import (
+    DigestHeader,
+    Hello,
+    Section,
+    group_by_datagram,
+    pack_digest,
+    pack_section,
+)
+from kelpfront.failure_detection.log_events import LogEvent
+from kelpfront.failure_detection.membership import MembershipView, bitmap_of, membership_views
+from kelpfront.failure_detection.monitored_machine import MonitoredMachine
+from kelpfront.failure_detection.subscribers import PlacerAddress, Subscribers
 from kelpfront.scheduling.events import MachineId
 
-Source = tuple[str, int]
-"""Address and port from which a placer says hello, and where it is told."""
+CHECK_TICK_MS = 50.0  # between scans for the checks that are due
+DIGEST_INTERVAL_MS = 1_000.0  # between digests
+MAX_CHECKS_IN_FLIGHT = 4  # of one machine: answers to earlier ones do not count any more
+MISSED_CHECKS_BEFORE_RECONNECT = 3  # in a row: a path may have forgotten the connection
+FRESHNESS_INTERVALS = 1.5  # check intervals for which an answer counts: half of one is for it to arrive
+SETTLING_INTERVALS = 3.0  # check intervals from the start until unresponsive machines are logged
+RECONNECTION_NOTICE_MS = 10_000.0  # for which digests name a reconnection: some may be lost
 
-PENDING_MOST = 4  # tests of one machine whose answers would still count
-HUNG_TESTS = 3  # in a row unanswered: the connection is made anew, as a path may have forgotten it
-FRESH_TESTS = 1.5  # an answer is news for so many times between two tests: half of one is left for it to come
-SETTLE_TESTS = 3.0  # times between two tests until what is silent is told in the log
-BACK_MS = 10_000.0  # for so long a new connection is told of: many digests in a row would have to be lost
-TELL_MS = 1_000.0  # between digests
-TURN_MS = 50.0  # between looks which tests are due
-SUBSCRIBERS_MOST = 1_024  # who are told; further ones are not, and ask machines themselves
-SUBSCRIBED_MS = 10_000.0  # without a hello
-NAMED_MOST = 3  # machines that a log line names; more are counted
+_CALL_ID_MASK = (1 << 64) - 1  # ids of calls have 16 hexadecimal digits
 
 
-@dataclass(slots=True, eq=False)
-class MonitoredMachine:
-    """One machine. `answered_at` is when the last test that it answered was sent."""
+@dataclass(frozen=True, slots=True)
+class ListedMachine:
+    """A machine of the endpoint list."""
 
     id: MachineId
     name: str
-    next_at: float
-    pending: dict[str, float] = field(default_factory=dict)
-    unanswered: int = 0
-    answered_at: float = -math.inf
-    connected: bool = False
-    back_at: float = -math.inf
 
 
-@dataclass(slots=True)
-class Subscriber:
-    hello: Hello
-    got: float
+@dataclass(frozen=True, slots=True)
+class DueCheck:
+    """A health check that is to be sent now, on a new connection where `reconnect` is set."""
+
+    machine: MachineId
+    reconnect: bool
+
+
+@dataclass(frozen=True, slots=True)
+class OutgoingDigest:
+    """A datagram and the placer that it is for."""
+
+    address: PlacerAddress
+    data: bytes
 
 
 class FailureDetector:
-    """One life of a watcher. `epoch` must not come again; a test goes to each machine every `test_ms`."""
+    """One incarnation of a failure detector.
+
+    `incarnation` must differ for each start. Every machine is checked every `check_interval_ms`. `log_events`
+    is emptied by whoever writes the log.
+    """
 
-    def __init__(self, epoch: int, test_ms: float) -> None:
-        self._epoch, self._test_ms = epoch, test_ms
+    def __init__(self, incarnation: int, check_interval_ms: float) -> None:
+        self._incarnation = incarnation
+        self._check_interval_ms = check_interval_ms
         self.machines: dict[MachineId, MonitoredMachine] = {}
-        self._rosters: list[Roster] = []
-        self._subscribers: dict[Source, Subscriber] = {}
-        self._number = self._calls = 0
-        self._listed_at = 0.0
-        self._silent: dict[int, frozenset[MachineId]] = {}
-        self.counts: Counter[str] = Counter()
-        self.logs: list[str] = []
+        self._membership_views: list[MembershipView] = []
+        self._subscribers = Subscribers()
+        self._sequence = 0
+        self._call_count = 0
+        self._monitoring_since = 0.0
+        self._availability_log = AvailabilityLog()
+        self.counters = DetectorCounters()
+        self.log_events: list[LogEvent] = []
 
     @property
-    def subscribers(self) -> int:
+    def subscriber_count(self) -> int:
+        """How many placers receive digests."""
         return len(self._subscribers)
 
-    def listed(self, now: float, zones: Mapping[int, Iterable[tuple[MachineId, str]]]) -> list[MachineId]:
-        """Takes the machines to be watched, by zone; those that are no longer among them are returned."""
+    def apply_endpoint_list(
+        self, now: float, zones: Mapping[int, Sequence[ListedMachine]]
+    ) -> list[MachineId]:
+        """Monitor exactly these machines, by zone; returns those that are not monitored any more."""
         if not self.machines:
-            self._listed_at = now
-        listed = {ident: name for members in zones.values() for ident, name in members}
-        dropped = [ident for ident in self.machines if ident not in listed]
-        for ident in dropped:
-            del self.machines[ident]
-        for place, (ident, name) in enumerate(listed.items()):  # spread over the time between two tests
-            if ident not in self.machines:
-                first = now + self._test_ms * place / len(listed)
-                self.machines[ident] = MonitoredMachine(ident, name, first)
-        self._rosters = rosters({zone: [ident for ident, _ in members] for zone, members in zones.items()})
-        return dropped
-
-    # ---- Tests ----------------------------------------------------------------------------------------
-
-    def due(self, now: float) -> list[tuple[MachineId, bool]]:
-        """Machines to be tested now, and whether on a connection made anew."""
-        found = []
-        for place, machine in enumerate(self.machines.values()):
-            if now < machine.next_at:
+            self._monitoring_since = now
+        listed = {machine.id: machine for members in zones.values() for machine in members}
+        removed = [machine_id for machine_id in self.machines if machine_id not in listed]
+        for machine_id in removed:
+            del self.machines[machine_id]
+        for position, machine in enumerate(listed.values()):
+            if machine.id not in self.machines:
+                # First checks are spread over one interval.
+                first_at = now + self._check_interval_ms * position / len(listed)
+                self.machines[machine.id] = MonitoredMachine(machine.id, machine.name, first_at)
+        self._membership_views = membership_views(
+            {zone: [machine.id for machine in members] for zone, members in zones.items()}
+        )
+        return removed
+
+    # ---- Health checks --------------------------------------------------------------------------------
+
+    def checks_due(self, now: float) -> list[DueCheck]:
+        """Return the checks to be sent now; to be called every CHECK_TICK_MS."""
+        due = []
+        for position, machine in enumerate(self.machines.values()):
+            if now < machine.next_check_at:
                 continue
-            machine.next_at += self._test_ms
-            if machine.next_at <= now:  # it stood still: all at once would come back as often as they are
-                machine.next_at = now + self._test_ms * (1 + place / len(self.machines)) / 2
-            hung = machine.unanswered > 0 and machine.unanswered % HUNG_TESTS == 0
-            found.append((machine.id, hung))
-        return found
-
-    def sent(self, now: float, ident: MachineId) -> str | None:
-        """A test is about to be written: its id. None where the machine is not watched any more."""
-        machine = self.machines.get(ident)
+            machine.next_check_at += self._check_interval_ms
+            if machine.next_check_at <= now:
+                # The process was suspended. Checks are spread again, or they would stay bunched.
+                share = (1 + position / len(self.machines)) / 2
+                machine.next_check_at = now + self._check_interval_ms * share
+            missed = machine.consecutive_missed
+            reconnect = missed > 0 and missed % MISSED_CHECKS_BEFORE_RECONNECT == 0
+            due.append(DueCheck(machine.id, reconnect))
+        return due
+
+    def begin_check(self, now: float, machine_id: MachineId) -> str | None:
+        """Return the call id of a check that is about to be sent; None for a machine not monitored."""
+        machine = self.machines.get(machine_id)
         if machine is None:
             return None
-        self._calls += 1
-        call = f"{(self._epoch + self._calls) & (1 << 64) - 1:016x}"
-        machine.pending[call] = now
-        if len(machine.pending) > PENDING_MOST:
-            del machine.pending[next(iter(machine.pending))]
-        self.counts["tests"] += 1
-        machine.unanswered += 1
-        return call
-
-    def unsent(self, ident: MachineId) -> None:
-        """No connection came up for a test."""
-        if ident in self.machines:
-            self.machines[ident].unanswered += 1
-            self.counts["tests not sent"] += 1
-
-    def answered(self, ident: MachineId, call: str) -> None:
-        """An answer, with whatever result: a machine that fails a test is there."""
-        machine = self.machines.get(ident)
-        sent = None if machine is None else machine.pending.pop(call, None)
-        if machine is None or sent is None:
-            self.counts["stray answers"] += 1
+        self._call_count += 1
+        call_id = f"{(self._incarnation + self._call_count) & _CALL_ID_MASK:016x}"
+        machine.in_flight[call_id] = now
+        if len(machine.in_flight) > MAX_CHECKS_IN_FLIGHT:
+            oldest = next(iter(machine.in_flight))
+            del machine.in_flight[oldest]
+        self.counters.health_checks_sent += 1
+        machine.consecutive_missed += 1
+        return call_id
+
+    def record_unsent_check(self, machine_id: MachineId) -> None:
+        """Count a check as missed that could not be sent."""
+        machine = self.machines.get(machine_id)
+        if machine is not None:
+            machine.consecutive_missed += 1
+            self.counters.health_checks_unsent += 1
+
+    def record_answer(self, machine_id: MachineId, call_id: str) -> None:
+        """Apply an answer, with whatever result: a machine that reports itself unhealthy is alive."""
+        machine = self.machines.get(machine_id)
+        sent_at = None if machine is None else machine.in_flight.pop(call_id, None)
+        if machine is None or sent_at is None:
+            self.counters.unexpected_answers += 1
             return
-        self.counts["answers"] += 1
-        machine.answered_at = max(machine.answered_at, sent)
-        machine.unanswered = 0
+        self.counters.answers += 1
+        machine.answered_check_sent_at = max(machine.answered_check_sent_at, sent_at)
+        machine.consecutive_missed = 0
 
-    def connected(self, now: float, ident: MachineId) -> None:
-        """A connection came up. Where there was one before, the machine may have begun a new life."""
-        machine = self.machines.get(ident)
+    def record_connection(self, now: float, machine_id: MachineId) -> None:
+        """Note a connection that came up. After a former one, the machine may have restarted."""
+        machine = self.machines.get(machine_id)
         if machine is None:
             return
-        if machine.connected:
-            machine.back_at = now
-            self.counts["connections made anew"] += 1
-        machine.connected = True
+        if machine.was_connected:
+            machine.reconnected_at = now
+            self.counters.reconnections += 1
+        machine.was_connected = True
 
     # ---- Digests --------------------------------------------------------------------------------------
 
-    def heard(self, now: float, source: Source, hello: Hello) -> None:
-        """A hello of `source`, which is told from now on."""
-        known = self._subscribers.get(source)
-        if known is None and len(self._subscribers) >= SUBSCRIBERS_MOST:
-            self.counts["bound: subscribers"] += 1
-            return
-        if known is not None and known.hello.nonce == hello.nonce and hello.sent <= known.hello.sent:
-            return  # doubled or overtaken
-        self._subscribers[source] = Subscriber(hello, now)
-
-    def tell(self, now: float) -> list[tuple[Source, bytes]]:
-        """The datagrams that are to go out now, and to whom."""
-        since = now - FRESH_TESTS * self._test_ms
-        packed = portions([pack_section(self._section(now, since, roster)) for roster in self._rosters])
-        self._log(now, since)
-        for source in [s for s, its in self._subscribers.items() if now - its.got > SUBSCRIBED_MS]:
-            del self._subscribers[source]
-        found: list[tuple[Source, bytes]] = []
-        for sections in packed:
-            self._number += 1
-            for source, its in self._subscribers.items():
-                # `got` up and `since` down: what is rounded makes news older.
-                data = pack_digest(
-                    self._epoch, self._number, its.hello, math.ceil(its.got), math.floor(since), sections
+    def receive_hello(self, now: float, address: PlacerAddress, hello: Hello) -> None:
+        """Subscribe the placer at an address to digests."""
+        if not self._subscribers.receive(now, address, hello):
+            self.counters.subscribers_rejected += 1
+
+    def build_digests(self, now: float) -> list[OutgoingDigest]:
+        """Return the digests to be sent now; to be called every DIGEST_INTERVAL_MS."""
+        checked_since = now - FRESHNESS_INTERVALS * self._check_interval_ms
+        sections = [pack_section(self._section(now, checked_since, view)) for view in self._membership_views]
+        self._log_availability(now, checked_since)
+        self._subscribers.expire(now)
+        digests: list[OutgoingDigest] = []
+        for datagram_sections in group_by_datagram(sections):
+            self._sequence += 1
+            for address, subscriber in self._subscribers:
+                # Rounding makes observations older: receipt up, checks down.
+                header = DigestHeader(
+                    self._incarnation,
+                    self._sequence,
+                    subscriber.hello,
+                    hello_received_at_ms=math.ceil(subscriber.received_at),
+                    checked_since_ms=math.floor(checked_since),
                 )
-                found.append((source, data))
-        self.counts["digests"] += len(found)
-        return found
-
-    def _section(self, now: float, since: float, roster: Roster) -> Section:
-        machines = [self.machines[ident] for ident in roster.machines]
-        alive = bits_of(machine.answered_at >= since for machine in machines)
-        back = bits_of(now - machine.back_at < BACK_MS for machine in machines)
-        return Section(roster.fingerprint, len(machines), alive, back)
-
-    def _log(self, now: float, since: float) -> None:
-        """Which machines have fallen silent or are back, zone by zone: one line for a zone that is lost."""
+                digests.append(OutgoingDigest(address, pack_digest(header, datagram_sections)))
+        self.counters.digests_sent += len(digests)
+        return digests
+
+    def _section(self, now: float, checked_since: float, view: MembershipView) -> Section:
+        machines = [self.machines[machine] for machine in view.machines]
+        answered = bitmap_of(machine.answered_since(checked_since) for machine in machines)
+        reconnected = bitmap_of(now - machine.reconnected_at < RECONNECTION_NOTICE_MS for machine in machines)
+        return Section(view.fingerprint, len(machines), answered, reconnected)
+
+    def _log_availability(self, now: float, checked_since: float) -> None:
         zones: dict[int, list[MonitoredMachine]] = {}
-        for roster in self._rosters:
-            zones.setdefault(roster.zone, []).extend(self.machines[i] for i in roster.machines)
+        for view in self._membership_views:
+            zones.setdefault(view.zone, []).extend(self.machines[machine] for machine in view.machines)
+        self._availability_log.retain_zones(set(zones))
+        all_were_checked = now >= self._monitoring_since + SETTLING_INTERVALS * self._check_interval_ms
+        if not all_were_checked:
+            return
         for zone, machines in zones.items():
-            before = self._silent.get(zone)
-            silent = frozenset(m.id for m in machines if m.answered_at < since)
-            if now < self._listed_at + SETTLE_TESTS * self._test_ms:  # not all have been tested yet
-                continue
-            self._silent[zone] = silent
-            if before is None or silent == before:
-                continue
-            names = {m.id: m.name for m in machines}
-            lost = [names[i] for i in sorted(silent - before)]
-            back = [names[i] for i in sorted(before - silent) if i in names]
-            told = [f"{_named(many)} {word}" for many, word in ((lost, "silent"), (back, "back")) if many]
-            if told:
-                text = f"zone {zone}: {', '.join(told)}; {len(silent)} of {len(machines)} are silent"
-                self.logs.append(text)
-        for zone in [zone for zone in self._silent if zone not in zones]:
-            del self._silent[zone]
-
-
-def _named(names: list[str]) -> str:
-    return " ".join(names) if len(names) <= NAMED_MOST else f"{len(names)} machines"
+            change = self._availability_log.record(zone, machines, checked_since)
+            if change is not None:
+                self.log_events.append(change)
--- a/kelpfront/failure_detection/digest.py
+++ b/kelpfront/failure_detection/digest.py
@@ -1,8 +1,9 @@
-"""Hellos and digests as datagrams, and back. Pure, strict and bounded.
+"""The datagrams between placers and failure detectors, as typed records and as bytes.
 
-A hello is a placer's word that it wants digests; it carries the placer's clock. A digest says which machines
-answered a test that was sent at `since` or later, by the watcher's clock, and when that got which hello: by
-these, news are dated on the placer's clock (`news.py`). Times are whole milliseconds.
+A placer sends a hello to subscribe; it carries the placer's clock. A digest says which machines answered a
+health check that was sent at a given time or later on the detector's clock, and when by that clock a given
+hello arrived: from both, the receiver dates the observations on its own clock (`clock_offset`). Decoding is
+strict and bounded. Times are whole milliseconds.
 """
 
 from __future__ import annotations
@@ -11,116 +12,180 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from kelpfront.failure_detection.membership import PART_MOST
+from kelpfront.failure_detection.membership import MAX_VIEW_MEMBERS
 
-DATAGRAM_MOST = 1_200  # bytes: what goes through any path whole
-_MAGIC, _VERSION, _HELLO, _DIGEST = b"KL", 1, 1, 2
-_HEAD = struct.Struct(">2sBB")
+MAX_DATAGRAM_BYTES = 1_200  # what any path carries without fragmentation
+_MAX_SECTIONS = 255  # their count is one byte
+
+_MAGIC = b"KL"
+_VERSION = 1
+_KIND_HELLO = 1
+_KIND_DIGEST = 2
+_FLAG_RECONNECTED = 1  # a second bitmap follows the first
+
+_HEADER = struct.Struct(">2sBB")
 _HELLO_BODY = struct.Struct(">Qq")
 _DIGEST_BODY = struct.Struct(">QIQqqqB")
-_SECTION = struct.Struct(">IHB")
-_BACK = 1
+_SECTION_HEADER = struct.Struct(">IHB")
 
 
 class DigestError(ValueError):
-    """A datagram that is none of ours."""
+    """Raised for a datagram that is neither a complete hello nor a complete digest."""
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """`nonce` is of one life of a placer; `sent` is its clock."""
+    """A placer's subscription.
 
-    nonce: int
-    sent: int
+    Attributes:
+        incarnation: differs for each start of the placer.
+        sent_at_ms: the placer's clock.
+    """
+
+    incarnation: int
+    sent_at_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """One roster: bits of those that answered, and of those whose connection was made anew lately."""
+    """What a detector knows of one membership view; bitmaps are by position in the view.
+
+    Attributes:
+        answered: machines that answered a recent health check.
+        reconnected: machines to which a connection was made anew a short while ago.
+    """
 
     fingerprint: int
-    count: int
-    alive: int
-    back: int = 0
+    member_count: int
+    answered: int
+    reconnected: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Digest:
-    """`epoch` is of one life of a watcher, in which `number` goes up; `got` and `since` are its clock."""
-
-    epoch: int
-    number: int
+class DigestHeader:
+    """What a digest says before its sections; times are the detector's clock.
+
+    Attributes:
+        incarnation: differs for each start of the detector.
+        sequence: ascends within an incarnation.
+        hello: the last hello of the placer that is addressed.
+        hello_received_at_ms: when that hello arrived.
+        checked_since_ms: machines of the digest answered a check that was sent then or later.
+    """
+
+    incarnation: int
+    sequence: int
     hello: Hello
-    got: int
-    since: int
+    hello_received_at_ms: int
+    checked_since_ms: int
+
+
+@dataclass(frozen=True, slots=True)
+class Digest(DigestHeader):
+    """A decoded digest."""
+
     sections: tuple[Section, ...]
 
 
 def pack_hello(hello: Hello) -> bytes:
-    return _HEAD.pack(_MAGIC, _VERSION, _HELLO) + _HELLO_BODY.pack(hello.nonce, hello.sent)
+    """Encode a hello as a datagram."""
+    body = _HELLO_BODY.pack(hello.incarnation, hello.sent_at_ms)
+    return _HEADER.pack(_MAGIC, _VERSION, _KIND_HELLO) + body
 
 
 def pack_section(section: Section) -> bytes:
-    size = (section.count + 7) // 8
-    head = _SECTION.pack(section.fingerprint, section.count, _BACK if section.back else 0)
-    back = section.back.to_bytes(size) if section.back else b""
-    return head + section.alive.to_bytes(size) + back
-
-
-def portions(sections: Sequence[bytes]) -> list[list[bytes]]:
-    """Packed sections by datagram."""
-    found: list[list[bytes]] = []
-    room = 0
+    """Encode one section; it is the same in the digests to all subscribers."""
+    size = _bitmap_bytes(section.member_count)
+    flags = _FLAG_RECONNECTED if section.reconnected else 0
+    packed = _SECTION_HEADER.pack(section.fingerprint, section.member_count, flags)
+    packed += section.answered.to_bytes(size)
+    if section.reconnected:
+        packed += section.reconnected.to_bytes(size)
+    return packed
+
+
+def group_by_datagram(sections: Sequence[bytes]) -> list[list[bytes]]:
+    """Distribute packed sections over as few datagrams as hold them in this order."""
+    groups: list[list[bytes]] = []
+    free_bytes = 0
     for section in sections:
-        if len(section) > room or len(found[-1]) == 255:
-            found.append([])
-            room = DATAGRAM_MOST - _HEAD.size - _DIGEST_BODY.size
-        found[-1].append(section)
-        room -= len(section)
-    return found
-
-
-def pack_digest(
-    epoch: int, number: int, hello: Hello, got: int, since: int, sections: Sequence[bytes]
-) -> bytes:
-    """A digest of sections that are packed already: those are the same for all who are told."""
-    body = _DIGEST_BODY.pack(epoch, number, hello.nonce, hello.sent, got, since, len(sections))
-    return _HEAD.pack(_MAGIC, _VERSION, _DIGEST) + body + b"".join(sections)
+        if len(section) > free_bytes or len(groups[-1]) == _MAX_SECTIONS:
+            groups.append([])
+            free_bytes = MAX_DATAGRAM_BYTES - _HEADER.size - _DIGEST_BODY.size
+        groups[-1].append(section)
+        free_bytes -= len(section)
+    return groups
+
+
+def pack_digest(header: DigestHeader, sections: Sequence[bytes]) -> bytes:
+    """Encode a digest as a datagram from a header and sections that are packed already."""
+    body = _DIGEST_BODY.pack(
+        header.incarnation,
+        header.sequence,
+        header.hello.incarnation,
+        header.hello.sent_at_ms,
+        header.hello_received_at_ms,
+        header.checked_since_ms,
+        len(sections),
+    )
+    return _HEADER.pack(_MAGIC, _VERSION, _KIND_DIGEST) + body + b"".join(sections)
 
 
 def unpack(data: bytes) -> Hello | Digest:
-    """One datagram; BadNewsError where it is not one of these, or not whole."""
+    """Decode one datagram. Raises DigestError where it is malformed, truncated or too long."""
     try:
-        magic, version, kind = _HEAD.unpack_from(data)
+        magic, version, kind = _HEADER.unpack_from(data)
         if (magic, version) != (_MAGIC, _VERSION):
             raise DigestError("not of this protocol")
-        if kind == _HELLO and len(data) == _HEAD.size + _HELLO_BODY.size:
-            return Hello(*_HELLO_BODY.unpack_from(data, _HEAD.size))
-        if kind != _DIGEST:
+        if kind == _KIND_HELLO and len(data) == _HEADER.size + _HELLO_BODY.size:
+            return Hello(*_HELLO_BODY.unpack_from(data, _HEADER.size))
+        if kind != _KIND_DIGEST:
             raise DigestError("neither a hello nor a digest")
-        epoch, number, nonce, sent, got, since, count = _DIGEST_BODY.unpack_from(data, _HEAD.size)
-        sections, at = [], _HEAD.size + _DIGEST_BODY.size
-        for _ in range(count):
-            section, at = _section(data, at)
-            sections.append(section)
-    except struct.error:
-        raise DigestError("it breaks off") from None
-    if at != len(data):
-        raise DigestError("more than its sections")
-    return Digest(epoch, number, Hello(nonce, sent), got, since, tuple(sections))
-
-
-def _section(data: bytes, at: int) -> tuple[Section, int]:
-    fingerprint, count, flags = _SECTION.unpack_from(data, at)
-    if not 0 < count <= PART_MOST or flags & ~_BACK:
-        raise DigestError("a section that cannot be")
-    size, at = (count + 7) // 8, at + _SECTION.size
-    planes = []
-    for _ in range(1 + flags):
-        if at + size > len(data):
-            raise DigestError("it breaks off")
-        planes.append(int.from_bytes(data[at : at + size]))
-        at += size
-    if any(plane >> count for plane in planes):
-        raise DigestError("bits of no machine")
-    return Section(fingerprint, count, *planes), at
+        return _unpack_digest(data)
+    except struct.error as error:
+        raise DigestError("truncated") from error
+
+
+def _unpack_digest(data: bytes) -> Digest:
+    incarnation, sequence, hello_incarnation, hello_sent_at, received_at, checked_since, count = (
+        _DIGEST_BODY.unpack_from(data, _HEADER.size)
+    )
+    sections = []
+    offset = _HEADER.size + _DIGEST_BODY.size
+    for _ in range(count):
+        section, offset = _unpack_section(data, offset)
+        sections.append(section)
+    if offset != len(data):
+        raise DigestError("bytes after the last section")
+    hello = Hello(hello_incarnation, hello_sent_at)
+    return Digest(incarnation, sequence, hello, received_at, checked_since, tuple(sections))
+
+
+def _unpack_section(data: bytes, offset: int) -> tuple[Section, int]:
+    """Decode the section at an offset; returns it with the offset behind it."""
+    fingerprint, member_count, flags = _SECTION_HEADER.unpack_from(data, offset)
+    if not 0 < member_count <= MAX_VIEW_MEMBERS:
+        raise DigestError(f"a section of {member_count} machines, not of 1 to {MAX_VIEW_MEMBERS}")
+    if flags & ~_FLAG_RECONNECTED:
+        raise DigestError(f"a section with unknown flags: {flags}")
+    offset += _SECTION_HEADER.size
+    answered, offset = _unpack_bitmap(data, offset, member_count)
+    reconnected = 0
+    if flags & _FLAG_RECONNECTED:
+        reconnected, offset = _unpack_bitmap(data, offset, member_count)
+    return Section(fingerprint, member_count, answered, reconnected), offset
+
+
+def _unpack_bitmap(data: bytes, offset: int, member_count: int) -> tuple[int, int]:
+    """Decode the bitmap at an offset; returns it with the offset behind it."""
+    end = offset + _bitmap_bytes(member_count)
+    if end > len(data):
+        raise DigestError("truncated")
+    bitmap = int.from_bytes(data[offset:end])
+    if bitmap >> member_count:
+        raise DigestError(f"bits beyond the {member_count} machines of a section")
+    return bitmap, end
+
+
+def _bitmap_bytes(member_count: int) -> int:
+    return (member_count + 7) // 8
--- a/kelpfront/failure_detection/view.py
+++ b/kelpfront/failure_detection/view.py
@@ -1,226 +1,188 @@
-"""A placer's side: which news of watchers count, as of when, and whom to ask all the same. Pure.
+"""A placer's view of which machines failure detectors see alive, and as of when.
 
-Times are milliseconds on the placer's clock. A watcher's clock is not known, and need not be. It got a hello
-after that was sent, so what it did later was later than the hello: news dated so are never newer than the
-truth, however late, doubled or out of order a digest comes. They can only be older, and then count for less.
+The view accepts digests and turns them into events for the scheduler, which alone decides what is lost; paths
+that only this placer lacks are found by `path_checks`. Times are milliseconds on the placer's clock; a
+detector's clock is not known and need not be (`clock_offset`).
 """
 
 from __future__ import annotations
 
 import math
-from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
 
+from kelpfront.failure_detection.clock_offset import ClockOffset
+from kelpfront.failure_detection.counters import ViewCounters
 from kelpfront.failure_detection.digest import Digest, DigestError, Hello, Section, unpack
-from kelpfront.failure_detection.membership import Roster, chosen, rosters
+from kelpfront.failure_detection.log_events import (
+    DetectorDiscovered,
+    DetectorRestarted,
+    LogEvent,
+    MembershipConverged,
+    MembershipDiverged,
+)
+from kelpfront.failure_detection.membership import Membership, MembershipView, members_in
+from kelpfront.failure_detection.path_checks import RECHECK_INTERVAL_MS, PathChecks, request_checks
 from kelpfront.scheduling.events import LivenessObserved, MachineId
 
-HELLO_MS = 1_000.0  # between hellos to a watcher: each dates news anew
-DATED_MS = 15_000.0  # the fastest hello of this span and the one before it dates news: clocks drift apart
-SLACK_MS = 50.0  # by which they may have done so meanwhile: 30 s at over a thousandth
-ROSTERS_KEPT = 64  # by fingerprint: a watcher's list may be behind
-SEEN_MS = 4_000.0  # seen by others so lately, it lives by their word
-SILENT_PATHS = 2  # own probes in a row unanswered: the path may be gone, a lost word is one
-JUDGED_MS = 6_000.0  # for so long others may still say that it lived then: news are some seconds old
-DOUBT_MS = 10_000.0  # between two times that a whole zone is asked
-RETRY_MS = 5_000.0  # between probes of a machine that only others reach, or that may have started anew
-SPOT_MS = 1_000.0  # between probes of any one machine that others see alive
-# By how much earlier the thirds of a roster count as seen. Where news stop, a placer that asked all machines
-# in one turn would be late with everything else. The least is for a busy placer's own delays: without it,
-# some of what 550 machines held was released 8.2 s after their end, and 8 are allowed.
+HELLO_INTERVAL_MS = 1_000.0  # between hellos to a detector: each dates observations anew
+
+# By how much earlier the thirds of a membership view count as observed. Where digests stop, a placer that
+# checked all machines at once would be late with everything else. The least is for a busy placer's own
+# delays: without it, some of what 550 machines ran was released 8.2 s after their end, and 8 are allowed.
 STAGGER_MS = (600.0, 1_000.0, 1_400.0)
 
 
-class _Source:
-    """What is known of one watcher's present life."""
+class _DetectorState:
+    """What is known of the present incarnation of one detector."""
+
+    def __init__(self, incarnation: int | None, last_observed: dict[MachineId, float]) -> None:
+        self.incarnation = incarnation
+        self.last_sequence = -1
+        self.last_hello_sent_at = -1
+        self.clock_offset = ClockOffset()
+        self.last_observed = last_observed
+        self.membership_differs = False
 
-    def __init__(self, epoch: int | None = None, seen: dict[MachineId, float] | None = None) -> None:
-        self.epoch = epoch
-        self.number = self.hello = -1  # the highest that came
-        self.offsets = [-math.inf, -math.inf]  # placer's clock less watcher's, at the least: two spans'
-        self.span = -math.inf
-        self.seen = {} if seen is None else seen
-        self.unknown = False  # it has spoken of a roster that is not known
+    def is_outdated(self, digest: Digest) -> bool:
+        """Return whether a digest is a duplicate, or was overtaken by a later one."""
+        if digest.incarnation == self.incarnation:
+            return digest.sequence <= self.last_sequence
+        # A new incarnation has received a later hello than any former one.
+        return digest.hello.sent_at_ms <= self.last_hello_sent_at
 
-    def date(self, now: float, digest: Digest) -> float:
-        """`since` on the placer's clock, or earlier."""
-        span = now // DATED_MS
-        if span != self.span:
-            former = self.offsets[1] if span == self.span + 1 else -math.inf
-            self.offsets, self.span = [former, -math.inf], span
-        self.offsets[1] = max(self.offsets[1], digest.hello.sent - digest.got)
-        return min(now, digest.since + max(self.offsets) - SLACK_MS)
+    def advance(self, digest: Digest) -> None:
+        """Remember how far the digests have come."""
+        self.last_sequence = digest.sequence
+        self.last_hello_sent_at = max(self.last_hello_sent_at, digest.hello.sent_at_ms)
 
 
 class LivenessView:
-    """All watchers' news for one life of a placer, which `nonce` names."""
-
-    def __init__(self, nonce: int, watchers: int) -> None:
-        self._nonce = nonce
-        self._sources = [_Source() for _ in range(watchers)]
-        self._rosters: list[Roster] = []
-        self._known: dict[int, Roster] = {}
-        self._zone_of: dict[MachineId, Roster] = {}
-        self._silent: dict[MachineId, float] = {}  # own probes in a row unanswered
-        self._suspects: dict[MachineId, float] = {}  # silent here, and since when; dead, or not reached
-        self._retry: dict[MachineId, float] = {}  # those that are asked again, and when
-        self._doubted: dict[int, float] = {}
-        self._back: dict[MachineId, float] = {}
-        self._spot = 0
-        self.counts: Counter[str] = Counter()
-        self.logs: list[str] = []
+    """What all detectors say of all machines, for one incarnation of a placer.
+
+    Detectors are known by their position in the configuration. `log_events` is emptied by whoever writes the
+    log.
+    """
+
+    def __init__(self, incarnation: int, detector_count: int) -> None:
+        self._incarnation = incarnation
+        self._detectors = [_DetectorState(None, {}) for _ in range(detector_count)]
+        self._membership = Membership()
+        self._restart_checked_at: dict[MachineId, float] = {}
+        self.counters = ViewCounters()
+        self.log_events: list[LogEvent] = []
+        self._path_checks = PathChecks(
+            self._membership, self.last_observed_at, self.counters, self.log_events
+        )
 
     def hello(self, now: float) -> Hello:
-        """What each watcher is sent every HELLO_MS."""
-        return Hello(self._nonce, math.floor(now))
-
-    def listed(self, zones: Mapping[int, Iterable[MachineId]]) -> None:
-        """Takes which machines there are."""
-        self._rosters = rosters(zones)
-        for roster in self._rosters:
-            self._known.pop(roster.fingerprint, None)
-            self._known[roster.fingerprint] = roster
-        while len(self._known) > max(ROSTERS_KEPT, 2 * len(self._rosters)):
-            del self._known[next(iter(self._known))]
-        self._zone_of = {ident: roster for roster in self._rosters for ident in roster.machines}
-        seen = [source.seen for source in self._sources]
-        kept: list[dict[MachineId, float]] = [self._retry, self._back, self._silent, self._suspects, *seen]
-        for known in kept:
-            for ident in [ident for ident in known if ident not in self._zone_of]:
-                del known[ident]
-
-    # ---- News -----------------------------------------------------------------------------------------
-
-    def take(self, now: float, watcher: int, data: bytes) -> list[LivenessObserved]:
-        """A datagram from the address of a watcher, by its place among them."""
-        source = self._sources[watcher]
+        """Return what every detector is to be sent every HELLO_INTERVAL_MS."""
+        return Hello(self._incarnation, math.floor(now))
+
+    def apply_endpoint_list(self, zones: Mapping[int, Iterable[MachineId]]) -> None:
+        """Take the machines that there are, by zone, and forget all others."""
+        self._membership.replace(zones)
+        self._path_checks.forget_removed()
+        last_observed = [detector.last_observed for detector in self._detectors]
+        for known in (self._restart_checked_at, *last_observed):
+            for machine in [machine for machine in known if machine not in self._membership]:
+                del known[machine]
+
+    def receive(self, now: float, detector_index: int, data: bytes) -> list[LivenessObserved]:
+        """Apply a datagram from the address of a detector; one that is no current digest changes nothing."""
+        digest = self._decode(now, data)
+        if digest is None:
+            return []
+        detector = self._detectors[detector_index]
+        if detector.is_outdated(digest):
+            self.counters.digests_outdated += 1
+            return []
+        if digest.incarnation != detector.incarnation:
+            detector = self._replace_incarnation(detector_index, digest.incarnation)
+        detector.advance(digest)
+        self.counters.digests_accepted += 1
+        return self._apply(now, detector_index, digest)
+
+    def last_observed_at(self, machine: MachineId) -> float:
+        """Return when any detector last saw a machine alive; minus infinity where none ever did."""
+        times = (detector.last_observed.get(machine, -math.inf) for detector in self._detectors)
+        return max(times, default=-math.inf)
+
+    def record_health_check(self, now: float, machine: MachineId, *, missed: bool) -> None:
+        """Apply the outcome of one of the placer's own health checks."""
+        self._path_checks.record_health_check(now, machine, missed=missed)
+
+    def checks_due(self, now: float, runs_tasks: Callable[[MachineId], bool]) -> list[LivenessObserved]:
+        """Return which machines to check whatever detectors say; called every PATH_CHECK_INTERVAL_MS."""
+        return self._path_checks.due(now, runs_tasks)
+
+    def _decode(self, now: float, data: bytes) -> Digest | None:
         try:
             digest = unpack(data)
         except DigestError:
-            self.counts["bad datagrams"] += 1
-            return []
-        if not isinstance(digest, Digest) or digest.hello.nonce != self._nonce or digest.hello.sent > now:
-            self.counts["datagrams to others"] += 1
-            return []
-        # A new life has got a later hello than any former one: what a former one said is late.
-        same = digest.epoch == source.epoch
-        if digest.number <= source.number if same else digest.hello.sent <= source.hello:
-            self.counts["overtaken digests"] += 1
-            return []
-        if not same:
-            word = "is heard" if source.epoch is None else "has started anew"
-            self.logs.append(f"watcher {watcher} {word}")
-            source = self._sources[watcher] = _Source(digest.epoch, source.seen)
-        source.number, source.hello = digest.number, max(source.hello, digest.hello.sent)
-        self.counts["digests"] += 1
-        at = source.date(now, digest)
-        found: list[LivenessObserved] = []
-        unknown = False
+            self.counters.invalid_datagrams += 1
+            return None
+        is_answer = (
+            isinstance(digest, Digest)
+            and digest.hello.incarnation == self._incarnation
+            and digest.hello.sent_at_ms <= now
+        )
+        if not is_answer:
+            self.counters.misaddressed_datagrams += 1
+            return None
+        assert isinstance(digest, Digest)
+        return digest
+
+    def _replace_incarnation(self, detector_index: int, incarnation: int) -> _DetectorState:
+        """Start over with a new incarnation; what the former one observed still holds."""
+        former = self._detectors[detector_index]
+        is_first = former.incarnation is None
+        event = DetectorDiscovered(detector_index) if is_first else DetectorRestarted(detector_index)
+        self.log_events.append(event)
+        self._detectors[detector_index] = _DetectorState(incarnation, former.last_observed)
+        return self._detectors[detector_index]
+
+    def _apply(self, now: float, detector_index: int, digest: Digest) -> list[LivenessObserved]:
+        detector = self._detectors[detector_index]
+        observed_at = detector.clock_offset.date(now, digest)
+        observations: list[LivenessObserved] = []
+        differs = False
         for section in digest.sections:
-            roster = self._known.get(section.fingerprint)
-            if roster is None or len(roster.machines) != section.count:
-                unknown = True
-                self.counts["sections of an unknown list"] += 1
+            view = self._membership.find(section.fingerprint, section.member_count)
+            if view is None:
+                differs = True
+                self.counters.unknown_membership_sections += 1
                 continue
-            found.extend(self._section(now, at, source, roster, section))
-        if unknown != source.unknown:
-            source.unknown = unknown
-            word = "has another list: machines are asked" if unknown else "has this placer's list again"
-            self.logs.append(f"watcher {watcher} {word}")
-        return found
-
-    def _section(
-        self, now: float, at: float, source: _Source, roster: Roster, section: Section
-    ) -> list[LivenessObserved]:
-        alive = chosen(roster.machines, section.alive)
-        source.seen.update(dict.fromkeys(alive, at))
-        found = []
-        for part, stagger in enumerate(STAGGER_MS):
-            if some := alive[part :: len(STAGGER_MS)]:
-                found.append(LivenessObserved(some, at - stagger))
-        back = [
-            ident
-            for ident in (chosen(roster.machines, section.back) if section.back else ())
-            if now - self._back.get(ident, -math.inf) >= RETRY_MS and ident in self._zone_of
-        ]
-        if back:
-            self._back.update(dict.fromkeys(back, now))
-            self.counts["machines asked as they may have started anew"] += len(back)
-            found.append(LivenessObserved(tuple(back), -math.inf, check_anyway=True))
-        return found
-
-    def seen_at(self, ident: MachineId) -> float:
-        """When any watcher last saw it alive."""
-        return max((source.seen.get(ident, -math.inf) for source in self._sources), default=-math.inf)
-
-    # ---- What watchers cannot see -----------------------------------------------------------------------
-
-    def probed(self, now: float, ident: MachineId, silent: bool) -> None:
-        """What an own probe came to."""
-        if not silent:
-            self._silent.pop(ident, None)
-            self._suspects.pop(ident, None)
-            if self._retry.pop(ident, None) is not None and not self._retry:
-                self.logs.append("all machines that others see are reached again")
-        elif ident in self._zone_of:
-            self._silent[ident] = self._silent.get(ident, 0) + 1
-            if self._silent[ident] >= SILENT_PATHS and ident not in self._retry:
-                self._suspects.setdefault(ident, now)
-
-    def spot(self, now: float, holds: Callable[[MachineId], bool]) -> list[LivenessObserved]:
-        """Every SPOT_MS: machines that are to be asked whatever others say.
-
-        One that holds tasks, zone after zone; those that only others reach; and all of a zone in which one of
-        these was found.
-        """
-        found = []
-        for ident, since in list(self._suspects.items()):
-            if self.seen_at(ident) >= since:
-                found += self._doubt(now, ident)
-            elif now - since > JUDGED_MS:
-                del self._suspects[ident]
-                del self._silent[ident]
-        asked = []
-        for ident, at in list(self._retry.items()):
-            if not holds(ident) or now - self.seen_at(ident) > SEEN_MS:
-                del self._retry[ident]  # nothing stands there, or nobody reaches it: the decisions' again
-                self._silent.pop(ident, None)
-            elif now >= at:
-                self._retry[ident] = now + RETRY_MS
-                asked.append(ident)
-        one = self._next_spot(holds)
-        if one is not None:
-            self.counts["spot checks"] += 1
-            asked.append(one)
-        return [*found, LivenessObserved(tuple(asked), -math.inf, check_anyway=True)] if asked else found
-
-    def _doubt(self, now: float, ident: MachineId) -> list[LivenessObserved]:
-        """Others saw it alive after it had been silent here: all of its zone may not be reached."""
-        del self._suspects[ident]
-        self._retry[ident] = now + RETRY_MS
-        self.counts["machines that only others reach"] += 1
-        zone = self._zone_of[ident].zone
-        if now - self._doubted.get(zone, -math.inf) < DOUBT_MS:
+            answered = members_in(section.answered, view.machines)
+            detector.last_observed.update(dict.fromkeys(answered, observed_at))
+            observations += _staggered(answered, observed_at)
+            observations += self._restart_checks(now, view, section)
+        if differs != detector.membership_differs:
+            detector.membership_differs = differs
+            changed = MembershipDiverged(detector_index) if differs else MembershipConverged(detector_index)
+            self.log_events.append(changed)
+        return observations
+
+    def _restart_checks(self, now: float, view: MembershipView, section: Section) -> list[LivenessObserved]:
+        """Request checks of machines that may have restarted between two checks of a detector."""
+        if not section.reconnected:
             return []
-        self._doubted[zone] = now
-        self.counts["zones asked"] += 1
-        text = f"machine {ident:x} answers others, and not this placer: all of zone {zone} is asked"
-        self.logs.append(text)
-        return [
-            LivenessObserved(r.machines, -math.inf, check_anyway=True)
-            for r in self._rosters
-            if r.zone == zone
-        ]
-
-    def _next_spot(self, holds: Callable[[MachineId], bool]) -> MachineId | None:
-        """The next machine that holds tasks: the first of each roster, then the second of each."""
-        if not self._rosters:
-            return None
-        width, length = len(self._rosters), max(len(r.machines) for r in self._rosters)
-        for _ in range(width * length):
-            place, which = divmod(self._spot, width)
-            self._spot = (self._spot + 1) % (width * length)
-            machines = self._rosters[which].machines
-            if place < len(machines) and holds(machines[place]):
-                return machines[place]
-        return None
+        due = []
+        for machine in members_in(section.reconnected, view.machines):
+            checked_at = self._restart_checked_at.get(machine, -math.inf)
+            if now - checked_at >= RECHECK_INTERVAL_MS and machine in self._membership:
+                due.append(machine)
+        if not due:
+            return []
+        self._restart_checked_at.update(dict.fromkeys(due, now))
+        self.counters.restart_checks += len(due)
+        return [request_checks(tuple(due))]
+
+
+def _staggered(machines: tuple[MachineId, ...], observed_at: float) -> list[LivenessObserved]:
+    """Return the observation in parts, each dated earlier by its stagger."""
+    observations = []
+    for part, stagger_ms in enumerate(STAGGER_MS):
+        members = machines[part :: len(STAGGER_MS)]
+        if members:
+            observations.append(LivenessObserved(members, observed_at - stagger_ms))
+    return observations
--- a/kelpfront/failure_detector/service.py
+++ b/kelpfront/failure_detector/service.py
@@ -1,216 +1,175 @@
-"""A watcher's sockets: the coordinator's list, a connection to each machine, datagrams to placers."""
+"""The tasks and the datagram socket of a failure detector, around the core that decides what they do.
+
+The service follows the coordinator's endpoint list, drives the health checks, sends digests and writes the
+log. Connections to machines are in `connections`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import random
 import signal
-from collections.abc import Callable
+from collections.abc import AsyncIterator, Sequence
+from contextlib import asynccontextmanager
 from typing import Any
 
 import structlog
 
 from kelpfront.clock import CommonClock
-from kelpfront.failure_detection.detector import TELL_MS, TURN_MS, FailureDetector
+from kelpfront.failure_detection.detector import (
+    CHECK_TICK_MS,
+    DIGEST_INTERVAL_MS,
+    FailureDetector,
+    ListedMachine,
+)
 from kelpfront.failure_detection.digest import DigestError, Hello, unpack
 from kelpfront.failure_detector.config import FailureDetectorConfig
-from kelpfront.platform import messages
+from kelpfront.failure_detector.connections import MachineConnections
 from kelpfront.platform.config import Address
 from kelpfront.platform.coordinator import Follower
 from kelpfront.platform.directory import events_of
 from kelpfront.platform.fleet import Fleet
-from kelpfront.platform.messages import BadMessageError, Lines
 from kelpfront.platform.timeouts import POLL_CONNECT_MS
-from kelpfront.scheduling.events import MachineId
 
 log = structlog.get_logger("kelpfront.failure_detector")
 
-FIGURES_S = 5.0  # between two lines of counters in the log
-
-
-class Link(asyncio.Protocol):
-    """The connection to one machine, made when a test is due and there is none."""
-
-    def __init__(
-        self,
-        ident: MachineId,
-        address: Address,
-        watcher: FailureDetector,
-        now: Callable[[], float],
-        connect_s: float,
-    ) -> None:
-        self._ident, self.address, self._watcher, self._now = ident, address, watcher, now
-        self._connect_s = connect_s
-        self._transport: asyncio.Transport | None = None
-        self._lines = Lines()
-        self._dialling: asyncio.Task[None] | None = None
-
-    def test(self, anew: bool) -> None:
-        if anew:
-            self._abort()
-        if self._transport is None:
-            if self._dialling is None:
-                self._dialling = asyncio.get_running_loop().create_task(self._dial())
-        elif self._transport.get_write_buffer_size():  # the machine's end takes nothing
-            self._watcher.unsent(self._ident)
-        else:
-            self._write()
-
-    def _write(self) -> None:
-        call = self._watcher.sent(self._now(), self._ident)
-        if call is not None and self._transport is not None:
-            self._transport.write(messages.encode("test", call, {}, 0))
-
-    async def _dial(self) -> None:
-        loop = asyncio.get_running_loop()
-        try:
-            async with asyncio.timeout(self._connect_s):
-                await loop.create_connection(lambda: self, self.address.host, self.address.port)
-            self._write()
-        except (OSError, TimeoutError):
-            self._watcher.unsent(self._ident)
-        finally:
-            self._dialling = None
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        assert isinstance(transport, asyncio.Transport)
-        self._transport, self._lines = transport, Lines()
-        self._watcher.connected(self._now(), self._ident)
-
-    def data_received(self, data: bytes) -> None:
-        try:
-            for line in self._lines.feed(data):
-                message = messages.decode(line)
-                if message.op == "tested":
-                    self._watcher.answered(self._ident, message.call)
-        except BadMessageError:
-            self._abort()
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        self._transport = None
-
-    def _abort(self) -> None:
-        if self._transport is not None:
-            self._transport.abort()
-            self._transport = None
-
-    def close(self) -> None:
-        if self._dialling is not None:
-            self._dialling.cancel()
-        self._abort()
-
-
-async def _wait(ending: asyncio.Event) -> None:
-    await ending.wait()
+COUNTERS_INTERVAL_S = 5.0  # between two log lines of counters
 
 
 class FailureDetectorService(asyncio.DatagramProtocol):
-    """One watcher. `epoch` must not come again in another life. `run` returns when it is told to end."""
+    """One failure detector. `incarnation` must differ for each start."""
 
-    def __init__(self, config: FailureDetectorConfig, epoch: int) -> None:
+    def __init__(self, config: FailureDetectorConfig, incarnation: int) -> None:
         self._config = config
         self._clock = CommonClock()
-        self.watcher = FailureDetector(epoch, config.test_ms)
+        self.detector = FailureDetector(incarnation, config.check_interval_ms)
         self._fleet = Fleet()
-        self._links: dict[MachineId, Link] = {}
-        platform = config.platform
-        self._connect_s = (platform.settings.connect_timeout_ms or POLL_CONNECT_MS) / 1000.0
+        connect_timeout_ms = config.platform.settings.connect_timeout_ms or POLL_CONNECT_MS
+        self._connections = MachineConnections(self.detector, self._clock.now, connect_timeout_ms / 1000.0)
         self._follower = Follower(
-            platform.coordinator,
+            config.platform.coordinator,
             lambda: self._fleet.follow,
-            self._take,
-            random.Random(epoch),
-            platform.settings.connect_timeout_ms or POLL_CONNECT_MS,
+            self._apply_endpoint_list,
+            random.Random(incarnation),
+            connect_timeout_ms,
         )
         self._transport: asyncio.DatagramTransport | None = None
 
     async def run(self) -> None:
-        """OSError where the port cannot be had."""
+        """Run until SIGTERM. Raises OSError where the port cannot be had."""
+        loop = asyncio.get_running_loop()
+        stopping = asyncio.Event()
+        loop.add_signal_handler(signal.SIGTERM, stopping.set)
+        self._apply_endpoint_list(self._config.platform.known)
+        async with self._sockets(self._config.listen):
+            log.info(
+                "failure detector started",
+                machines=len(self.detector.machines),
+                port=self._config.listen.port,
+            )
+            await self._run_tasks(stopping)
+        log.info("failure detector stopped", **self.detector.counters.fields())
+
+    @asynccontextmanager
+    async def _sockets(self, listen: Address) -> AsyncIterator[None]:
+        """Hold the datagram socket, the coordinator's connection and those to machines."""
         loop = asyncio.get_running_loop()
-        ending = asyncio.Event()
-        loop.add_signal_handler(signal.SIGTERM, ending.set)
-        self._take(self._config.platform.known)
-        listen = self._config.listen
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(listen.host, listen.port)
         )
         self._follower.start()
-        jobs = [loop.create_task(job) for job in (self._tests(), self._tells(), self._figures())]
-        ended = loop.create_task(_wait(ending))
-        log.info("watching", machines=len(self.watcher.machines), port=listen.port)
         try:
-            await asyncio.wait([*jobs, ended], return_when=asyncio.FIRST_COMPLETED)
-            for job in jobs:  # none ends by itself
-                if job.done():
-                    job.result()
+            yield
         finally:
-            for job in (*jobs, ended):
-                job.cancel()
             self._follower.stop()
-            for link in self._links.values():
-                link.close()
+            await self._connections.close()
             self._transport.close()
-        log.info("ended", **self.watcher.counts)
 
-    # ---- The list -------------------------------------------------------------------------------------
+    async def _run_tasks(self, stopping: asyncio.Event) -> None:
+        """Run the service's tasks until it is to stop. An error of any of them ends the service."""
+        loop = asyncio.get_running_loop()
+        work = (self._check_machines(), self._send_digests(), self._log_counters())
+        tasks = [loop.create_task(each) for each in work]
+        stopped = loop.create_task(_wait_for(stopping))
+        try:
+            await asyncio.wait([*tasks, stopped], return_when=asyncio.FIRST_COMPLETED)
+            for task in tasks:
+                if task.done():  # only by an error, which `result` raises
+                    task.result()
+        finally:
+            await _cancel_all([*tasks, stopped])
+
+    # ---- The endpoint list ----------------------------------------------------------------------------
 
-    def _take(self, raw: Any) -> None:
+    def _apply_endpoint_list(self, raw: Any) -> None:
+        """Take an answer of the coordinator. Raises BadEventError where it is malformed."""
         generation = self._fleet.generation
         index, events = events_of(raw, self._config.platform)
         for change in self._fleet.take(index, events):
             for machine in change.gone:
                 self._fleet.machines.pop(machine.id, None)
         if self._fleet.generation != generation:
-            machines = self._fleet.machines
-            zones = {
-                zone: [(ident, machines[ident].name) for ident in members]
-                for zone, members in self._fleet.zones().items()
-                if zone in self._config.zones
-            }
-            for ident in self.watcher.listed(self._clock.now(), zones):
-                link = self._links.pop(ident, None)
-                if link is not None:
-                    link.close()
-
-    # ---- Tests and digests ----------------------------------------------------------------------------
-
-    async def _tests(self) -> None:
+            self._monitor_machines()
+
+    def _monitor_machines(self) -> None:
+        machines = self._fleet.machines
+        zones = {
+            zone: [ListedMachine(machine_id, machines[machine_id].name) for machine_id in members]
+            for zone, members in self._fleet.zones().items()
+            if zone in self._config.zones
+        }
+        for removed in self.detector.apply_endpoint_list(self._clock.now(), zones):
+            self._connections.remove(removed)
+
+    # ---- Health checks, digests and the log -----------------------------------------------------------
+
+    async def _check_machines(self) -> None:
         while True:
-            for ident, anew in self.watcher.due(self._clock.now()):
-                address = self._fleet.machines[ident].address
-                link = self._links.get(ident)
-                if link is None or link.address != address:
-                    if link is not None:
-                        link.close()
-                    link = Link(ident, address, self.watcher, self._clock.now, self._connect_s)
-                    self._links[ident] = link
-                link.test(anew)
-            await asyncio.sleep(TURN_MS / 1000.0)
-
-    async def _tells(self) -> None:
+            for check in self.detector.checks_due(self._clock.now()):
+                self._connections.check(check, self._fleet.machines[check.machine].address)
+            await asyncio.sleep(CHECK_TICK_MS / 1000.0)
+
+    async def _send_digests(self) -> None:
         while True:
-            await asyncio.sleep(TELL_MS / 1000.0)
+            await asyncio.sleep(DIGEST_INTERVAL_MS / 1000.0)
             assert self._transport is not None
-            for source, data in self.watcher.tell(self._clock.now()):
-                self._transport.sendto(data, source)
-            for text in self.watcher.logs:
-                log.info("liveness", text=text)
-            self.watcher.logs.clear()
+            for digest in self.detector.build_digests(self._clock.now()):
+                self._transport.sendto(digest.data, digest.address)
+            for event in self.detector.log_events:
+                log.info(event.event, **event.fields())
+            self.detector.log_events.clear()
+
+    async def _log_counters(self) -> None:
+        while True:
+            await asyncio.sleep(COUNTERS_INTERVAL_S)
+            log.info(
+                "figures",
+                subscribers=self.detector.subscriber_count,
+                connections=len(self._connections),
+                **self.detector.counters.fields(),
+            )
+
+    # ---- Placers' datagrams ---------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Subscribe the placer whose hello came in."""
         try:
             hello = unpack(data)
         except DigestError:
-            self.watcher.counts["bad datagrams"] += 1
+            self.detector.counters.invalid_datagrams += 1
             return
         if isinstance(hello, Hello):
-            self.watcher.heard(self._clock.now(), addr, hello)
+            self.detector.receive_hello(self._clock.now(), addr, hello)
 
     def error_received(self, exc: Exception) -> None:
-        pass  # a placer that has gone: it says no hello, and is told for some seconds more
+        """Ignore that a placer does not listen any more: its subscription expires in some seconds."""
 
-    async def _figures(self) -> None:
-        while True:
-            await asyncio.sleep(FIGURES_S)
-            counts = self.watcher.counts
-            log.info("figures", subscribers=self.watcher.subscribers, connections=len(self._links), **counts)
+
+async def _wait_for(event: asyncio.Event) -> None:
+    await event.wait()
+
+
+async def _cancel_all(tasks: Sequence[asyncio.Task[None]]) -> None:
+    for task in tasks:
+        task.cancel()
+    await asyncio.gather(*tasks, return_exceptions=True)
--- a/kelpfront/lab/fleet/watched.py
+++ b/kelpfront/lab/fleet/watched.py
@@ -200,9 +200,10 @@
                 found.append(json.loads(raw))
         return found
 
-    def told(self, name: str, text: str) -> bool:
-        """Whether a log line on who lives holds the text."""
-        return any(text in str(entry.get("text", "")) for entry in self.log(name))
+    def logged(self, name: str, event: str, **fields: Any) -> bool:
+        """Whether the process has logged an event with these fields."""
+        wanted = {"event": event, **fields}
+        return any(wanted.items() <= entry.items() for entry in self.log(name))
 
     def figures(self, name: str) -> Json:
         """The last counters that the process has logged."""
--- a/kelpfront/lab/liveness.py
+++ b/kelpfront/lab/liveness.py
@@ -16,9 +16,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from kelpfront.failure_detection.detector import TELL_MS, TURN_MS, FailureDetector
+from kelpfront.failure_detection.detector import (
+    CHECK_TICK_MS,
+    DIGEST_INTERVAL_MS,
+    FailureDetector,
+    ListedMachine,
+)
 from kelpfront.failure_detection.digest import Hello, pack_hello, unpack
-from kelpfront.failure_detection.view import HELLO_MS, SPOT_MS, LivenessView
+from kelpfront.failure_detection.path_checks import PATH_CHECK_INTERVAL_MS
+from kelpfront.failure_detection.view import HELLO_INTERVAL_MS, LivenessView
 from kelpfront.lab.fleet.settings import ZONES, config_json, whole_list
 from kelpfront.lab.platform import line, offer
 from kelpfront.platform.config import config_of
@@ -122,10 +128,10 @@
             self.core.owner_says(self.clock, conn, decode(offer(call, extras=extras)))
         if world.watchers_most:
             self.news = LivenessView(world.rng.getrandbits(64), world.watchers_most)
-            self.news.listed(self.core.fleet.zones())
+            self.news.apply_endpoint_list(self.core.fleet.zones())
             self.core.probes.heard = self._probed
-            self.every(HELLO_MS, self._hello)
-            self.every(SPOT_MS, self._spot)
+            self.every(HELLO_INTERVAL_MS, self._hello)
+            self.every(PATH_CHECK_INTERVAL_MS, self._spot)
         self.flush()
 
     def holds(self, worker: str) -> int:
@@ -162,7 +168,7 @@
 
     def _probed(self, now: float, ident: MachineId, silent: bool) -> None:
         assert self.news is not None
-        self.news.probed(now, ident, silent)
+        self.news.record_health_check(now, ident, missed=silent)
 
     def _take(self, seen: list[LivenessObserved]) -> None:
         for one in seen:
@@ -178,13 +184,13 @@
 
     def _spot(self) -> None:
         assert self.news is not None
-        self._take(self.news.spot(self.clock, self.core.holds))
+        self._take(self.news.checks_due(self.clock, self.core.holds))
         self.flush()
 
     def digest(self, place: int, data: bytes) -> None:
         assert self.news is not None
         self.counts["bytes in"] += len(data) + DATAGRAM
-        self._take(self.news.take(self.clock, place, data))
+        self._take(self.news.receive(self.clock, place, data))
         self.flush()
 
 
@@ -198,15 +204,15 @@
         self.life += 1
         world = self.world
         self.watcher = FailureDetector(world.rng.getrandbits(64), world.test_ms)
-        zones: dict[int, list[tuple[MachineId, str]]] = {}
+        zones: dict[int, list[ListedMachine]] = {}
         for worker in world.workers.values():
             if worker.zone in self.zones:
-                zones.setdefault(worker.zone, []).append((worker.id, worker.name))
-        self.watcher.listed(self.clock, zones)
+                zones.setdefault(worker.zone, []).append(ListedMachine(worker.id, worker.name))
+        self.watcher.apply_endpoint_list(self.clock, zones)
         for worker in world.workers.values():
             worker.connections.discard(self.name)
-        self.every(TURN_MS, self._turn)
-        self.every(TELL_MS, self._tell)
+        self.every(CHECK_TICK_MS, self._turn)
+        self.every(DIGEST_INTERVAL_MS, self._tell)
 
     def kill(self) -> None:
         self.life += 1
@@ -214,23 +220,25 @@
     def heard(self, placer: PlacerSide, data: bytes) -> None:
         hello = unpack(data)
         assert isinstance(hello, Hello)
-        self.watcher.heard(self.clock, (placer.name, placer.life), hello)
+        self.watcher.receive_hello(self.clock, (placer.name, placer.life), hello)
 
     def _turn(self) -> None:
-        for ident, _anew in self.watcher.due(self.clock):
+        for check in self.watcher.checks_due(self.clock):
+            ident = check.machine
             worker = self.world.by_id[ident]
             if self.name not in worker.connections:
                 if not self.world.reaches(self, worker):
-                    self.watcher.unsent(ident)
+                    self.watcher.record_unsent_check(ident)
                     continue
                 worker.connections.add(self.name)
-                self.watcher.connected(self.clock, ident)
-            call = self.watcher.sent(self.clock, ident)
+                self.watcher.record_connection(self.clock, ident)
+            call = self.watcher.begin_check(self.clock, ident)
             assert call is not None
-            self.world.test(self, ident, call, self.watcher.answered)
+            self.world.test(self, ident, call, self.watcher.record_answer)
 
     def _tell(self) -> None:
-        for (name, life), data in self.watcher.tell(self.clock):
+        for digest in self.watcher.build_digests(self.clock):
+            (name, life), data = digest.address, digest.data
             placer = next(p for p in self.world.placers if p.name == name)
             if placer.life == life:
                 self.world.datagram(self, placer, lambda p=placer, d=data: p.digest(self.place, d))  # type: ignore[misc]
--- a/kelpfront/platform/service.py
+++ b/kelpfront/platform/service.py
@@ -297,7 +297,7 @@
     async def _figures(self) -> None:
         while True:
             await asyncio.sleep(FIGURES_S)
-            news = {} if self._watched is None else self._watched.news.counts
+            news = {} if self._watched is None else self._watched.news.counters.fields()
             counts = self.core.counts | news
             log.info("figures", memory_mb=_memory_mb(), descriptors=_descriptors(), **counts)
 
--- a/kelpfront/platform/watched.py
+++ b/kelpfront/platform/watched.py
@@ -10,7 +10,8 @@
 import structlog
 
 from kelpfront.failure_detection.digest import pack_hello
-from kelpfront.failure_detection.view import HELLO_MS, SPOT_MS, LivenessView
+from kelpfront.failure_detection.path_checks import PATH_CHECK_INTERVAL_MS
+from kelpfront.failure_detection.view import HELLO_INTERVAL_MS, LivenessView
 from kelpfront.platform.config import Address
 from kelpfront.platform.core import Core
 from kelpfront.scheduling.events import LivenessObserved, MachineId
@@ -57,26 +58,26 @@
         if place is not None:
             self._list()
             now = self._now()
-            self._take(now, self.news.take(now, place, data))
+            self._take(now, self.news.receive(now, place, data))
             self._flush()
 
     def error_received(self, exc: Exception) -> None:
         pass  # nobody listens there: no digests come, and that is what counts
 
     def _probed(self, now: float, ident: MachineId, silent: bool) -> None:
-        self.news.probed(now, ident, silent)
+        self.news.record_health_check(now, ident, missed=silent)
 
     def _take(self, now: float, seen: Iterable[LivenessObserved]) -> None:
         for one in seen:
             self._core.probes.others_saw(now, one)
-        for text in self.news.logs:
-            log.info("liveness", text=text)
-        self.news.logs.clear()
+        for event in self.news.log_events:
+            log.info(event.event, **event.fields())
+        self.news.log_events.clear()
 
     def _list(self) -> None:
         if self._generation != self._core.fleet.generation:
             self._generation = self._core.fleet.generation
-            self.news.listed(self._core.fleet.zones())
+            self.news.apply_endpoint_list(self._core.fleet.zones())
 
     async def _hellos(self) -> None:
         while True:
@@ -85,12 +86,12 @@
                 assert self._transport is not None
                 with contextlib.suppress(OSError):
                     self._transport.sendto(hello, address)
-            await asyncio.sleep(HELLO_MS / 1000.0)
+            await asyncio.sleep(HELLO_INTERVAL_MS / 1000.0)
 
     async def _spots(self) -> None:
         while True:
-            await asyncio.sleep(SPOT_MS / 1000.0)
+            await asyncio.sleep(PATH_CHECK_INTERVAL_MS / 1000.0)
             self._list()
             now = self._now()
-            self._take(now, self.news.spot(now, self._core.holds))
+            self._take(now, self.news.checks_due(now, self._core.holds))
             self._flush()
--- a/tests/surfaces/surface_frames.py
+++ b/tests/surfaces/surface_frames.py
@@ -107,7 +107,7 @@
     hello = digest.Hello(0x0102030405060708, 1_234_567)
     sections = [digest.Section(0xDEADBEEF, 12, 0xABC), digest.Section(7, 9, 0x1FF, 0x101)]
     packed = [digest.pack_section(section) for section in sections]
-    told = digest.pack_digest(99, 5, hello, 2_000, -3_000, packed)
+    told = digest.pack_digest(digest.DigestHeader(99, 5, hello, 2_000, -3_000), packed)
     return as_hex([("hello", digest.pack_hello(hello)), ("digest", told)])
 
 
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -15,7 +15,7 @@
 from kelpfront.cli.serve import addresses
 from kelpfront.config import agent as agent_settings
 from kelpfront.config import reader as settings
-from kelpfront.failure_detector import config as watch_config
+from kelpfront.failure_detector import config as detector_config
 from kelpfront.fronts.rest import discovery
 from kelpfront.platform import config as platform_config
 from kelpfront.platform import directory as platform_directory
@@ -86,7 +86,7 @@
 
 
 def watch_config_full_read() -> bytes:
-    return as_json(watch_config.watch_config_of(json.loads(golden("platform-config-full.json"))))
+    return as_json(detector_config.parse_detector_config(json.loads(golden("platform-config-full.json"))))
 
 
 def directory_read() -> bytes:
