--- a/kelpfront/inventory/model.py
+++ b/kelpfront/inventory/model.py
@@ -1,4 +1,7 @@
-"""Hosts and what can be wrong with a file of them."""
+"""Hosts, the inventory that they make, and the problems of a file that lists them.
+
+How a file is read is left to `read` and the readers of each format.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
-    """One machine. Cores and memory are its kind's, in the settings' units."""
+    """One machine.
+
+    Attributes:
+        room: the hall or site that it shares with others; operators name it in settings and inventories.
+        cores: of its kind, as the settings have it.
+        memory: of its kind, in the settings' unit.
+        address: `http://HOST:PORT`, perhaps with a path, or `grpc://HOST:PORT`.
+    """
 
     name: str
     kind: str
@@ -16,12 +26,18 @@
     room: str
     cores: float
     memory: float
-    address: str  # http://HOST:PORT, perhaps with a path, or grpc://HOST:PORT
+    address: str
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One mistake in a file. Lines and columns count from 1; 0 where there is none to name."""
+    """One mistake in a file.
+
+    Attributes:
+        line: counted from 1; 0 where the problem is of no line.
+        column: counted from 1; 0 where the problem is of no column.
+        host: empty where the problem is of no host.
+    """
 
     file: str
     line: int
@@ -30,16 +46,18 @@
     message: str
 
     def __str__(self) -> str:
-        place = self.file
+        position = self.file
         if self.line:
-            place += f":{self.line}"
+            position += f":{self.line}"
             if self.column:
-                place += f":{self.column}"
-        return f"{place}: {self.host}: {self.message}" if self.host else f"{place}: {self.message}"
+                position += f":{self.column}"
+        if self.host:
+            return f"{position}: {self.host}: {self.message}"
+        return f"{position}: {self.message}"
 
 
 class InventoryError(ValueError):
-    """A file that cannot be used; `problems` are all that was found wrong with it."""
+    """Raised for a file that cannot be used; `problems` are all that was found wrong with it."""
 
     def __init__(self, problems: Iterable[Problem]) -> None:
         self.problems = tuple(problems)
@@ -48,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Inventory:
-    """Hosts by name, in the order of the file; `source` is where they are from."""
+    """Hosts by name, in the order of the file; `source` names the file."""
 
     source: str = ""
     hosts: dict[str, Host] = field(default_factory=dict)
--- /dev/null
+++ b/kelpfront/inventory/problems.py
@@ -0,0 +1,45 @@
+"""Collects what is wrong with one inventory file, so that all of it is reported at once."""
+
+from __future__ import annotations
+
+from kelpfront.inventory.entries import SourceValue
+from kelpfront.inventory.model import InventoryError, Problem
+
+MAX_REPORTED_PROBLEMS = 200  # of one file; more are only counted
+
+
+class ProblemReport:
+    """The problems that make a file unusable, and warnings, which do not."""
+
+    def __init__(self, source: str) -> None:
+        self._source = source
+        self._problems: list[Problem] = []
+        self.warnings: list[Problem] = []
+
+    def __len__(self) -> int:
+        """Return how many problems there are, without warnings."""
+        return len(self._problems)
+
+    def add(self, where: SourceValue | None, host: str, message: str) -> None:
+        """Add a problem; `where` is None for one of the file as a whole, `host` empty for one of no host."""
+        self._problems.append(self._problem(where, host, message))
+
+    def warn(self, where: SourceValue | None, host: str, message: str) -> None:
+        """Add a warning, with arguments as of `add`."""
+        self.warnings.append(self._problem(where, host, message))
+
+    def raise_if_any(self) -> None:
+        """Raise InventoryError with the problems by position, if there are any."""
+        if not self._problems:
+            return
+        ordered = sorted(self._problems, key=lambda problem: (problem.line, problem.column))
+        reported = ordered[:MAX_REPORTED_PROBLEMS]
+        omitted = len(ordered) - len(reported)
+        if omitted > 0:
+            reported.append(Problem(self._source, 0, 0, "", f"and {omitted} problems more"))
+        raise InventoryError(reported)
+
+    def _problem(self, where: SourceValue | None, host: str, message: str) -> Problem:
+        if where is None:
+            return Problem(self._source, 0, 0, host, message)
+        return Problem(self._source, where.line, where.column, host, message)
--- a/tests/inventory/test_inventory.py
+++ b/tests/inventory/test_inventory.py
@@ -1,4 +1,4 @@
-"""Inventories as people and tools write them: quirks are read, faults are named and nothing is misread."""
+"""Inventories as people and tools write them: variants are read, mistakes are named, nothing is misread."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from hypothesis import strategies as st
 
 from kelpfront.inventory import Inventory, InventoryError, KindSize, read_inventory
-from kelpfront.inventory.build import Builder
-from kelpfront.inventory.csvfile import read_csv
-from kelpfront.inventory.yamlfile import read_yaml
+from kelpfront.inventory.builder import InventoryBuilder
+from kelpfront.inventory.csv_reader import read_csv
+from kelpfront.inventory.yaml_reader import read_yaml
 
 KINDS = {"small": KindSize(24, 48), "large": KindSize(48, 96)}
 
 
 def load(text: str, form: str = "csv", rooms: tuple[str, ...] = ()) -> tuple[Inventory, list[str]]:
-    builder = Builder(f"hosts.{form}", KINDS, frozenset(rooms))
+    builder = InventoryBuilder(f"hosts.{form}", KINDS, frozenset(rooms))
     (read_csv if form == "csv" else read_yaml)(text, builder)
-    return builder.finish(), [str(warning) for warning in builder.warnings]
+    return builder.finish(), [str(warning) for warning in builder.problems.warnings]
 
 
-def faults(text: str, form: str = "csv", rooms: tuple[str, ...] = ()) -> list[str]:
+def problems_of(text: str, form: str = "csv", rooms: tuple[str, ...] = ()) -> list[str]:
     with pytest.raises(InventoryError) as error:
         load(text, form, rooms)
     return [str(problem) for problem in error.value.problems]
@@ -36,7 +36,7 @@
 """
 
 
-def test_a_plain_file() -> None:
+def test_a_csv_file_is_read_with_sizes_of_its_kinds_and_default_addresses() -> None:
     inventory, warnings = load(PLAIN)
     assert warnings == []
     assert list(inventory.hosts) == ["n01.example.org", "n02.example.org"]
@@ -45,7 +45,7 @@
     assert host.address == "http://n02.example.org:8141"
 
 
-def test_the_quirks_of_files_kept_by_hand() -> None:
+def test_comments_aliases_quotes_and_separators_of_files_edited_by_hand_are_read() -> None:
     text = (
         "# kept by hand\r\n\r\n"
         'Hostname; Type ;"Cell";Zone;CPUs;URL;Serial\r\n'
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rows", "says"),
+    ("rows", "message"),
     [
         ("n3,small,r1,east", "hosts.csv:4:17: the file ends inside this line"),
         ("n3,small,r1\n", "hosts.csv:4:1: n3: 3 of 4 fields; the file may be cut off here"),
@@ -78,13 +78,13 @@
         ("n3,small,r1,north\n", "room 'north' is not one of the settings': east, west"),
     ],
 )
-def test_a_fault_is_named_with_line_column_and_host(rows: str, says: str) -> None:
-    found = faults(PLAIN + rows, rooms=("east", "west"))
-    assert any(says in fault for fault in found), found
+def test_a_problem_is_named_with_line_column_and_host(rows: str, message: str) -> None:
+    found = problems_of(PLAIN + rows, rooms=("east", "west"))
+    assert any(message in problem for problem in found), found
 
 
 @pytest.mark.parametrize(
-    ("row", "says"),
+    ("row", "message"),
     [
         ("n1,small,r1,east,-24,48,", "n1: cores '-24' is not a number above 0"),
         ("n1,small,r1,east,nan,48,", "n1: cores 'nan' is not a number above 0"),
@@ -95,56 +95,59 @@
         ("n1,small,r1,east,,,h:1\nn2,small,r1,east,,,http://H:1/", "n2: has the address of n1 in line 2"),
     ],
 )
-def test_figures_and_addresses(row: str, says: str) -> None:
-    found = faults(f"host,kind,rack,room,cores,memory,address\n{row}\n")
-    assert any(says in fault for fault in found), found
+def test_invalid_sizes_and_addresses_are_named(row: str, message: str) -> None:
+    found = problems_of(f"host,kind,rack,room,cores,memory,address\n{row}\n")
+    assert any(message in problem for problem in found), found
 
 
-def test_missing_and_doubled_columns() -> None:
-    assert faults("host,kind,rack\nn1,small,r1\n") == [
+def test_missing_repeated_and_unused_columns_are_named() -> None:
+    assert problems_of("host,kind,rack\nn1,small,r1\n") == [
         "hosts.csv:1:1: column room is missing; needed: host, kind, rack, room"
     ]
-    assert "column rack is there twice" in faults("host,kind,rack,room,cell\nn1,small,r1,e,r1\n")[0]
+    assert "column rack is there twice" in problems_of("host,kind,rack,room,cell\nn1,small,r1,e,r1\n")[0]
     assert load("host,kind,rack,room,adress\nn1,small,r1,e,x\n")[1] == [
         "hosts.csv:1:21: column 'adress' is not used; address meant?"
     ]
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [("", "is empty"), ("# nothing\n", "is empty"), (PLAIN.split("\n")[0] + "\n", "no host")],
 )
-def test_files_without_hosts(text: str, says: str) -> None:
-    assert any(says in fault for fault in faults(text))
+def test_files_without_hosts_are_rejected(text: str, message: str) -> None:
+    assert any(message in problem for problem in problems_of(text))
 
 
-def test_all_faults_are_told_at_once_and_the_count_is_bounded() -> None:
+def test_all_problems_are_reported_at_once_and_their_number_is_bounded() -> None:
     rows = "".join(f"n{n},medium,,east\n" for n in range(300))
-    found = faults("host,kind,rack,room\n" + rows)
+    found = problems_of("host,kind,rack,room\n" + rows)
     assert len(found) == 201
     assert found[-1].endswith("and 400 problems more")
 
 
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(st.integers(1, 400))
-def test_a_file_cut_anywhere_is_refused_or_whole_lines(cut: int) -> None:
-    """A cut inside a line is always found; one between lines leaves whole hosts only."""
+def test_a_truncated_file_is_rejected_unless_only_complete_lines_are_left(cut: int) -> None:
+    """A cut within a line is always found; one between lines leaves complete hosts only."""
     header = "host,kind,rack,room,address\n"
     text = header + "".join(f"n{n:02},small,r{n % 3},east,10.0.0.{n}:9000\n" for n in range(12))
     part = text[:cut]
     if part.endswith("\n") and len(part) > len(header):
         assert len(load(part)[0].hosts) == part.count("\n") - 1
     else:
-        assert faults(part)
+        assert problems_of(part)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.text(alphabet='ab",;\n\r\t#:[]{}-& *', max_size=80), st.sampled_from(["csv", "yaml"]))
-def test_no_text_breaks_a_reader(text: str, form: str) -> None:
+def test_any_text_is_read_or_raises_an_inventory_error(text: str, form: str) -> None:
     try:
         load(text, form)
     except InventoryError as error:
-        assert error.problems
+        problems = error.problems
+    else:
+        return
+    assert problems
 
 
 # ---- YAML -------------------------------------------------------------------------------------------------
@@ -176,7 +179,7 @@
 """
 
 
-def test_groups_variables_and_ranges() -> None:
+def test_yaml_groups_pass_variables_on_and_ranges_name_hosts() -> None:
     inventory, _ = load(GROUPS, "yaml")
     hosts = inventory.hosts
     assert list(hosts) == [
@@ -197,7 +200,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "says"),
+    ("text", "message"),
     [
         ("all:\n  hosts:\n    n1: {kind: small", "is not YAML"),
         ("all:\n  hosts:\n    n1: {kind: small, rack: r, room: e}", "the file ends inside this line"),
@@ -225,29 +228,29 @@
         ("", "is empty"),
     ],
 )
-def test_yaml_faults_are_named(text: str, says: str) -> None:
-    found = faults(text, "yaml")
-    assert any(says in fault for fault in found), found
+def test_yaml_problems_are_named(text: str, message: str) -> None:
+    found = problems_of(text, "yaml")
+    assert any(message in problem for problem in found), found
 
 
-def test_groups_that_refer_to_each_other_many_times_end() -> None:
+def test_groups_multiplied_by_aliases_are_bounded() -> None:
     """Aliases that double at each level must not be walked to the end."""
     levels = "".join(f"g{n}: &g{n} {{children: {{a: *g{n - 1}, b: *g{n - 1}}}}}\n" for n in range(1, 40))
-    found = faults("g0: &g0 {hosts: {n1: }}\n" + levels, "yaml")
-    assert any("nested too deeply or too many" in fault for fault in found)
+    found = problems_of("g0: &g0 {hosts: {n1: }}\n" + levels, "yaml")
+    assert any("nested too deeply or too many" in problem for problem in found)
 
 
 # ---- Files ------------------------------------------------------------------------------------------------
 
 
-def test_files_that_cannot_be_read_at_all(tmp_path: Path) -> None:
-    for name, data, says in (
+def test_unreadable_files_are_rejected_and_a_byte_order_mark_is_not(tmp_path: Path) -> None:
+    for name, data, message in (
         ("a.txt", b"x", "one of .csv, .yaml, .yml is expected"),
         ("b.csv", b"host\xff\n", "is not UTF-8 at byte 4"),
         ("c.csv", b"host\0\n", "NUL"),
     ):
         (tmp_path / name).write_bytes(data)
-        with pytest.raises(InventoryError, match=says):
+        with pytest.raises(InventoryError, match=message):
             read_inventory(tmp_path / name, KINDS)
     with pytest.raises(InventoryError, match="No such file"):
         read_inventory(tmp_path / "none.csv", KINDS)
