--- a/kelpfront/inventory/yaml_nodes.py
+++ b/kelpfront/inventory/yaml_nodes.py
@@ -13,7 +13,7 @@
 from kelpfront.inventory.entries import SourceValue
 from kelpfront.inventory.problems import ProblemReport
 
-KeyedNode = tuple[SourceValue, yaml.Node]
+MappingItem = tuple[SourceValue, yaml.Node]
 """A key with its position, and the node that is its value."""
 
 _MERGE_TAG = "tag:yaml.org,2002:merge"
@@ -27,7 +27,7 @@
     return SourceValue(text.strip(), mark.line + 1, mark.column + 1)
 
 
-def mapping_items(node: yaml.Node, name: str, problems: ProblemReport) -> Iterator[KeyedNode]:
+def mapping_items(node: yaml.Node, name: str, problems: ProblemReport) -> Iterator[MappingItem]:
     """Return the items of a mapping, those of its merge keys last; `name` names it in problems."""
     if isinstance(node, yaml.ScalarNode) and node.value in _NULL_TEXTS:
         return
@@ -52,7 +52,7 @@
     yield from _merged_items(merged, set(first_uses))
 
 
-def _merged_items(nodes: list[yaml.Node], used_keys: set[str]) -> Iterator[KeyedNode]:
+def _merged_items(nodes: list[yaml.Node], used_keys: set[str]) -> Iterator[MappingItem]:
     """Return the items of merged mappings whose keys were not used before."""
     for node in nodes:
         if not isinstance(node, yaml.MappingNode):
--- a/kelpfront/inventory/yaml_reader.py
+++ b/kelpfront/inventory/yaml_reader.py
@@ -22,7 +22,7 @@
 )
 from kelpfront.inventory.host_ranges import RangeError, expand_ranges
 from kelpfront.inventory.problems import ProblemReport
-from kelpfront.inventory.yaml_nodes import KeyedNode, mapping_items, scalar_value
+from kelpfront.inventory.yaml_nodes import MappingItem, mapping_items, scalar_value
 
 MAX_DEPTH = 16  # of groups within groups
 MAX_GROUPS = 10_000  # aliases that refer to each other could make any number of them
@@ -184,5 +184,5 @@
             return []
         return [SourceValue(name, pattern.line, pattern.column) for name in names]
 
-    def _items(self, node: yaml.Node, name: str) -> Iterator[KeyedNode]:
+    def _items(self, node: yaml.Node, name: str) -> Iterator[MappingItem]:
         return mapping_items(node, name, self._problems)
