--- a/kelpfront/controller/controller.py
+++ b/kelpfront/controller/controller.py
@@ -65,7 +65,7 @@
 )
 from kelpfront.scheduling.scheduler import Scheduler
 from kelpfront.scheduling.settings import Idempotency, TaskClass
-from kelpfront.store import ResourceStore, Stored
+from kelpfront.store import ResourceStore, StoredObject
 from kelpfront.timers import Timers
 from kelpfront.units import format_duration, parse_duration
 
@@ -213,7 +213,7 @@
             kind, cores / settings.cores_overcommit, memory / settings.memory_overcommit
         )
 
-    def find_token(self, namespace: str, token: str) -> Stored | None:
+    def find_token(self, namespace: str, token: str) -> StoredObject | None:
         """The job that was made with a client's token."""
         job = self._tokens.get((namespace, token))
         return None if job is None else self.store.find(JOBS, job.key)
@@ -229,13 +229,13 @@
         received_at: float,
         *,
         again: bool = False,
-    ) -> Stored:
+    ) -> StoredObject:
         """Takes a job: from here on each of its tasks is owed one answer. ApiError where it is not taken.
 
         `again`: its owner has asked before and was told to come back.
         """
         self.check_spec(name, spec)
-        self.store.check_new(JOBS, (namespace, name))
+        self.store.check_can_create(JOBS, (namespace, name))
         left = received_at + self.patience_ms(spec) - now
         cls = self.cluster.class_numbers[spec.class_]
         possible = self._possible(cls, spec.cores, spec.memory)
@@ -304,7 +304,7 @@
         labels: dict[str, str],
         annotations: dict[str, str],
         received_at: float,
-    ) -> Stored:
+    ) -> StoredObject:
         """A change of labels, annotations or count. A lower count withdraws tasks, the newest first."""
         job = self._jobs[key]
         new = spec.model_dump(by_alias=True, exclude_none=True)
@@ -338,7 +338,7 @@
         self.flush(now)
         return self.store.get(JOBS, key)
 
-    def delete(self, now: float, key: tuple[str, str]) -> Stored:
+    def delete(self, now: float, key: tuple[str, str]) -> StoredObject:
         """Removes a job and withdraws its tasks; nothing more is owed for them."""
         job = self._jobs[key]
         self.flush(now)
@@ -388,7 +388,7 @@
         if not again:
             self.levelling.governor.symptoms.asked(self.levelling.governor.elapsed(now), count)
 
-    def pin_level(self, now: float, level: Level | None, for_ms: float) -> Stored:
+    def pin_level(self, now: float, level: Level | None, for_ms: float) -> StoredObject:
         """Holds a level of service by an operator's word, or lets go of it."""
         self._intents += self.levelling.pin(now, level, for_ms)
         return self.store.get(LEVELS, ("", self.name))
@@ -473,7 +473,7 @@
         self._machines_changed(now, self.directory.take_inventory(now, inventory))
         self._pump(now)
 
-    def cordon(self, now: float, host: str, on: bool) -> Stored:
+    def cordon(self, now: float, host: str, on: bool) -> StoredObject:
         """Drains a machine by its operator's word, or takes that back."""
         self._machines_changed(now, self.directory.cordon(now, host, on))
         self._pump(now)
--- a/kelpfront/controller/operations.py
+++ b/kelpfront/controller/operations.py
@@ -32,7 +32,7 @@
 from kelpfront.controller.admission import Arrival, asked_at, behind, refusal
 from kelpfront.controller.controller import Controller
 from kelpfront.degradation import Level
-from kelpfront.store import ResourceStore, Stored
+from kelpfront.store import ResourceStore, StoredObject
 from kelpfront.units import parse_duration
 
 NAME_ALPHABET = "bcdfghjklmnpqrstvwxz2456789"
@@ -42,7 +42,7 @@
 class Written:
     """An object after a write; `created` is False where a repeated request found what the first had made."""
 
-    stored: Stored
+    stored: StoredObject
     created: bool = False
     warnings: tuple[str, ...] = ()
 
@@ -67,7 +67,7 @@
     def store(self) -> ResourceStore:
         return self._heart.store
 
-    def get(self, resource: Resource, key: tuple[str, str]) -> Stored:
+    def get(self, resource: Resource, key: tuple[str, str]) -> StoredObject:
         """The object; ApiError 404 where there is none, 503 where that is not known yet.
 
         While the placer starts, jobs that run are still to be told by their machines. A client that was told
@@ -129,7 +129,7 @@
         )
         return Written(stored, True, warnings)
 
-    def _check_same(self, known: Stored, job: JobInput) -> None:
+    def _check_same(self, known: StoredObject, job: JobInput) -> None:
         """409 where a token that made one job comes with another."""
         new = job.spec.model_dump(by_alias=True, exclude_none=True)
         old = known.body["spec"]
@@ -190,22 +190,24 @@
         self.store.check_revision(JOBS, stored, job.metadata.resource_version)
         return Written(self._update_job(stored, job.spec, job.metadata, received_at), False, warnings)
 
-    def _update_job(self, stored: Stored, spec: JobSpec, metadata: ObjectMeta, received_at: float) -> Stored:
+    def _update_job(
+        self, stored: StoredObject, spec: JobSpec, metadata: ObjectMeta, received_at: float
+    ) -> StoredObject:
         if self.closed and spec.count > stored.body["spec"]["count"]:
             raise ApiError(503, self.closed, retry_after_s=1)
         return self._heart.update(
             self._now(), stored.key, spec, metadata.labels or {}, metadata.annotations or {}, received_at
         )
 
-    def delete_job(self, namespace: str, name: str, options: Object | None = None) -> Stored:
+    def delete_job(self, namespace: str, name: str, options: Object | None = None) -> StoredObject:
         """Removes a job; preconditions on uid and resourceVersion are held to."""
         stored = self.store.get(JOBS, (namespace, name))
         self._check_preconditions(JOBS, stored, options or {})
         return self._heart.delete(self._now(), stored.key)
 
-    def delete_jobs(self, namespace: str, selector: Selector) -> list[Stored]:
+    def delete_jobs(self, namespace: str, selector: Selector) -> list[StoredObject]:
         """Removes all jobs of a namespace that a selector chooses."""
-        page = self.store.select(JOBS, namespace, selector)
+        page = self.store.list_objects(JOBS, namespace, selector)
         return [self._heart.delete(self._now(), stored.key) for stored in page.items]
 
     # ---- Machines -------------------------------------------------------------------------------------
@@ -218,7 +220,7 @@
         stored = self.store.get(MACHINES, ("", name))
         return self._write_machine(stored, self._patched(MACHINES, stored, patch), validation)
 
-    def _write_machine(self, stored: Stored, data: Object, validation: FieldValidation) -> Written:
+    def _write_machine(self, stored: StoredObject, data: Object, validation: FieldValidation) -> Written:
         """Only `unschedulable` is the API's to change: it drains the machine."""
         machine, warnings = decode(MACHINE_INPUT, MACHINES, data, validation)
         self._check_metadata(MACHINES, machine.metadata, "", stored.name)
@@ -250,7 +252,7 @@
         return self._write_level(stored, merged, validation, renew=named)
 
     def _write_level(
-        self, stored: Stored, data: Object, validation: FieldValidation, renew: bool = False
+        self, stored: StoredObject, data: Object, validation: FieldValidation, renew: bool = False
     ) -> Written:
         """Only the pin is the API's to change.
 
@@ -288,7 +290,7 @@
             raise invalid(resource, name, (cause,))
 
     @staticmethod
-    def _patched(resource: Resource, stored: Stored, patch: Any) -> Object:
+    def _patched(resource: Resource, stored: StoredObject, patch: Any) -> Object:
         if not isinstance(patch, dict):
             raise ApiError(400, "a merge patch of an object is an object")
         merged: Object = merge_patch({k: v for k, v in stored.body.items() if k != "status"}, patch)
@@ -300,7 +302,7 @@
         return merged
 
     @staticmethod
-    def _check_preconditions(resource: Resource, stored: Stored, options: Object) -> None:
+    def _check_preconditions(resource: Resource, stored: StoredObject, options: Object) -> None:
         wanted = options.get("preconditions") or {}
         if not isinstance(wanted, dict):
             raise ApiError(400, "preconditions: an object is expected")
--- a/kelpfront/fronts/grpc/bindings.py
+++ b/kelpfront/fronts/grpc/bindings.py
@@ -157,7 +157,7 @@
         watch, session = self._watches.get(ref), self._session
         if watch is None or session is None:
             return
-        watch.take(len(watch))
+        watch.next_events(len(watch))
         stored = self._operations.store.find(JOBS, self._keys[ref])
         if stored is None:
             session.deleted(ref)
--- a/kelpfront/fronts/grpc/services.py
+++ b/kelpfront/fronts/grpc/services.py
@@ -105,7 +105,7 @@
             yield None, str(store.revision) if request.resume_token else ""
             while True:
                 wake.clear()
-                for event in watch.take(EVENTS_A_TURN):
+                for event in watch.next_events(EVENTS_A_TURN):
                     yield event, str(event.revision)
                 if watch.expired:
                     await abort(context, expired("the watch was too slow and missed changes; list anew"))
@@ -130,7 +130,7 @@
         namespace = (request.namespace or None) if resource.namespaced else None
         if request.limit < 0:
             raise ApiError(400, f"limit: {request.limit} is below 0")
-        page = self._operations.store.select(
+        page = self._operations.store.list_objects(
             resource, namespace, _selector(resource, request), request.limit, request.continue_token
         )
         return [stored.body for stored in page.items], str(page.revision), page.continue_token
--- a/kelpfront/fronts/rest/front.py
+++ b/kelpfront/fronts/rest/front.py
@@ -172,7 +172,7 @@
         jobs = resource is JOBS
         match request.method:
             case "GET" | "HEAD":
-                return Response(200, operations.get(resource, key).raw)
+                return Response(200, operations.get(resource, key).encoded)
             case "PUT":
                 self._refuse_dry_run(request)
                 data, check = _body(request, JSON), _validation(request)
@@ -220,14 +220,14 @@
         token = request.query.get("continue", "")
         if not token:
             self._check_list_revision(request)
-        page = store.select(resource, namespace, _selector(request, resource), limit or 0, token)
+        page = store.list_objects(resource, namespace, _selector(request, resource), limit or 0, token)
         metadata: Object = {"resourceVersion": str(page.revision)}
         if page.continue_token:
             metadata |= {"continue": page.continue_token, "remainingItemCount": page.remaining}
         head = msgspec.json.encode(
             {"kind": resource.list_kind, "apiVersion": API_VERSION, "metadata": metadata}
         )
-        body = head[:-1] + b',"items":[' + b",".join([stored.raw for stored in page.items]) + b"]}"
+        body = head[:-1] + b',"items":[' + b",".join([stored.encoded for stored in page.items]) + b"]}"
         return Response(200, body)
 
     def _check_list_revision(self, request: Request) -> None:
@@ -362,7 +362,7 @@
 
 def written_response(status: int, written: Written) -> Response:
     headers = [("warning", f'299 - "{warning}"'.replace("\n", " ")) for warning in written.warnings]
-    return Response(status, written.stored.raw, headers=headers)
+    return Response(status, written.stored.encoded, headers=headers)
 
 
 def error_response(error: ApiError) -> Response:
--- a/kelpfront/fronts/rest/watching.py
+++ b/kelpfront/fronts/rest/watching.py
@@ -39,7 +39,7 @@
 
 
 def event_line(event: WatchEvent) -> bytes:
-    return b'{"type":"%s","object":%s}\n' % (event.type.value.encode(), event.stored.raw)
+    return b'{"type":"%s","object":%s}\n' % (event.type.value.encode(), event.stored.encoded)
 
 
 def _line(kind: str, obj: Any) -> bytes:
@@ -89,7 +89,7 @@
     try:
         while True:
             wake.clear()
-            events = watch.take(EVENTS_A_TURN)
+            events = watch.next_events(EVENTS_A_TURN)
             if events:
                 yield b"".join([event_line(event) for event in events])
             if watch.expired:
--- a/kelpfront/lab/faultyfiles.py
+++ b/kelpfront/lab/faultyfiles.py
@@ -53,7 +53,7 @@
             found._names[name] = found._safe_names[name] = _File(data, len(data))
         return found
 
-    # ---- As FileLayer ---------------------------------------------------------------------------------
+    # ---- As LogDirectory ---------------------------------------------------------------------------------
 
     def names(self) -> list[str]:
         return sorted(self._names)
--- a/kelpfront/lab/fronts.py
+++ b/kelpfront/lab/fronts.py
@@ -383,7 +383,7 @@
 def pin_level(service: PlacerService, level: str) -> None:
     """As an operator would, for longer than the experiment takes."""
     operations = service.operations
-    (shown,) = operations.store.select(LEVELS, None, Selector()).items
+    (shown,) = operations.store.list_objects(LEVELS, None, Selector()).items
     operations.patch_level(shown.name, {"spec": {"pin": {"level": level, "for": PINNED_FOR}}})
 
 
--- a/kelpfront/lab/placersim.py
+++ b/kelpfront/lab/placersim.py
@@ -36,7 +36,7 @@
 from kelpfront.scheduling.events import SchedulerEvent
 from kelpfront.scheduling.scheduler import Scheduler
 from kelpfront.scheduling.settings import SchedulerSettings
-from kelpfront.store import ResourceStore, Stored
+from kelpfront.store import ResourceStore, StoredObject
 
 START_MS = 1_700_000_000_000.0
 NETWORK_MS = 0.5
@@ -318,7 +318,7 @@
 
     on_job: Callable[[Object], None] = staticmethod(lambda body: None)
 
-    def _write(self, resource: Resource, key: tuple[str, str], body: Object, weight: int) -> Stored:
+    def _write(self, resource: Resource, key: tuple[str, str], body: Object, weight: int) -> StoredObject:
         if resource is JOBS:
             self.on_job(body)
         return super()._write(resource, key, body, weight)
--- a/kelpfront/lab/storecost.py
+++ b/kelpfront/lab/storecost.py
@@ -17,7 +17,8 @@
 from typing import Any, Protocol
 
 from kelpfront.lab.figures import latencies
-from kelpfront.store.journal import Journal, OsFiles
+from kelpfront.store.log_directory import HostDirectory
+from kelpfront.store.write_ahead_log import WriteAheadLog
 
 PAYLOAD = 600  # bytes: a job of one task, as the API shows it
 MAP_BYTES = 1 << 30
@@ -30,18 +31,18 @@
 
 class _Log:
     def __init__(self, folder: Path) -> None:
-        self._files = OsFiles(folder)
-        self._journal = Journal(self._files, lambda: 7)
-        self._journal.open()
+        self._directory = HostDirectory(folder)
+        self._log = WriteAheadLog(self._directory, lambda: 7)
+        self._log.open()
 
     def commit(self, records: Sequence[bytes]) -> None:
         for record in records:
-            self._journal.append(record)
-        self._journal.commit()
+            self._log.append(record)
+        self._log.commit()
 
     def close(self) -> None:
-        self._journal.close()
-        self._files.release()
+        self._log.close()
+        self._directory.release()
 
 
 class _Sqlite:
--- a/kelpfront/lab/wrongplacers.py
+++ b/kelpfront/lab/wrongplacers.py
@@ -166,13 +166,13 @@
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
-        record, changes = self.store._record, itertools.count(1)
+        record, changes = self.store._record_change, itertools.count(1)
 
         def gapped(table: Any, change: Any) -> None:
             if next(changes) % 9:
                 record(table, change)
 
-        self.store._record = gapped  # type: ignore[method-assign]
+        self.store._record_change = gapped  # type: ignore[method-assign]
 
 
 class TrustsTheFirstDrain(DeafToLeaving):
--- a/kelpfront/service/app.py
+++ b/kelpfront/service/app.py
@@ -75,9 +75,9 @@
             int(self.clock.now()) << 10,  # above all that an earlier start can have given out
             StoreLimits(
                 objects=limits.jobs + limits.finished_jobs + len(inventory.hosts) + 10_000,
-                history=limits.history,
+                history_weight=limits.history,
                 watches=limits.watches,
-                watch_buffer=limits.watch_buffer,
+                watch_buffer_events=limits.watch_buffer,
             ),
         )
         self._threads = threads
--- a/kelpfront/store/records.py
+++ b/kelpfront/store/records.py
@@ -1,15 +1,18 @@
-"""The log's records as bytes, and what a file of them still tells after whatever happened to it. No I/O.
+"""The byte format of log files, and what can be trusted of a file after a crash or damage to it. No I/O.
 
-A file begins with a header and goes on with records, each with its length, a CRC32C and its sequence number.
-The checksum is taken with a salt that each file draws: bytes that an owner put into a job, a whole record of
-another file among them, are never taken for a record of this one.
+A file starts with a header. Records follow, each with its length, a CRC32C checksum and its sequence number.
+Which files form a log is decided in `segments`, and files are read and written in `write_ahead_log`.
 
-Each record also tells up to which number all were durable when it was written. Of records written together
-the blocks reach the disk in any order: a whole one behind one that is not proves nothing by itself.
+The checksum includes a salt that is drawn for each file. Bytes that a client put into a job, even a copy of a
+record of another file, therefore never pass as a record of this file.
 
-What comes after the last whole record is either a **torn tail**, as a crash leaves it while the last records
-were written, or a **hole**: something whole follows what is damaged, so that records are missing which were
-durable once. The first is cut off; the second is for people to decide: going on would forget accepted jobs.
+Each record also says up to which sequence number records were durable when it was written. The blocks of
+records that are written together reach the disk in any order, so an intact record behind a damaged one does
+not by itself prove that the damaged one was ever durable.
+
+What follows the last intact record is either a **torn tail**, which a crash during a write leaves and
+recovery drops, or a **gap**: records are missing that were durable. A gap is an error for an operator to
+resolve, because to continue would lose accepted jobs.
 """
 
 from __future__ import annotations
@@ -17,144 +20,186 @@
 import struct
 from collections.abc import Iterator
 from dataclasses import dataclass
-from typing import Literal
+from enum import Enum, auto
+from typing import NamedTuple
 
 import google_crc32c
 
-MAGIC = b"KELPLOG\n"
-FORMAT = 1
-RECORD_MOST = 16 << 20  # bytes of one payload: above every body that the API takes
-_HEADER = struct.Struct("<8sHxxIQ")  # magic, format, salt, first sequence number
-_CHECK = struct.Struct("<I")
-HEADER_BYTES = _HEADER.size + _CHECK.size
-_RECORD = struct.Struct("<IIQQ")  # length of the payload, checksum, sequence number, durable up to
-RECORD_BYTES = _RECORD.size
-
+from kelpfront.store.errors import LogFormatError
 
-class RecordError(ValueError):
-    """A file that is no log of this program, or of a newer one; the message says which."""
+MAGIC = b"KELPLOG\n"
+FORMAT_VERSION = 1
+MAX_PAYLOAD_BYTES = 16 << 20  # above the largest request body that the API accepts
+_HEADER = struct.Struct("<8sHxxIQ")  # magic, format version, salt, first sequence number
+_HEADER_CHECKSUM = struct.Struct("<I")
+HEADER_BYTES = _HEADER.size + _HEADER_CHECKSUM.size
+_RECORD_PREFIX = struct.Struct("<IIQQ")  # payload length, checksum, sequence number, durable up to
+_CHECKSUM_PREFIX = struct.Struct("<IQQ")  # salt, sequence number, durable up to
+RECORD_PREFIX_BYTES = _RECORD_PREFIX.size
 
 
 @dataclass(frozen=True, slots=True)
-class Header:
-    """How a file begins. `salt` has 32 bits."""
+class FileHeader:
+    """The start of a log file. `salt` has 32 bits."""
 
     salt: int
-    first: int
-    format: int = FORMAT
+    first_sequence: int
+    format_version: int = FORMAT_VERSION
 
     def encode(self) -> bytes:
-        raw = _HEADER.pack(MAGIC, self.format, self.salt, self.first)
-        return raw + _CHECK.pack(google_crc32c.value(raw))
+        """Return the header's bytes, with its checksum."""
+        raw = _HEADER.pack(MAGIC, self.format_version, self.salt, self.first_sequence)
+        return raw + _HEADER_CHECKSUM.pack(google_crc32c.value(raw))
 
 
 @dataclass(frozen=True, slots=True)
-class Record:
+class LogRecord:
+    """One record. All records up to `durable_sequence` were durable when it was written."""
+
     sequence: int
     payload: bytes
-    durable: int = 0  # all records up to this one were, when this one was written
+    durable_sequence: int = 0
+
+
+class DamageKind(Enum):
+    """How the end of the trusted records is to be understood."""
+
+    TORN_TAIL = auto()
+    GAP = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """What is wrong from `offset` on. For a hole, `resumes` is where whole records go on, and with which."""
+    """What is wrong from byte `offset` on.
+
+    For a gap, `resume_offset` is where intact records continue, and `resume_sequence` the first one's number.
+    """
 
-    kind: Literal["torn", "hole"]
+    kind: DamageKind
     offset: int
     message: str
-    resumes: int = 0
-    next_sequence: int = 0
+    resume_offset: int = 0
+    resume_sequence: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Scan:
-    """What a file holds. `end` is behind the last record that may be trusted."""
+class FileScan:
+    """What a file holds. `trusted_bytes` is the offset behind the last trusted record."""
 
-    header: Header | None
-    records: tuple[Record, ...]
-    end: int
+    header: FileHeader | None
+    records: tuple[LogRecord, ...]
+    trusted_bytes: int
     damage: Damage | None = None
 
 
-def _checksum(salt: int, sequence: int, durable: int, payload: bytes) -> int:
-    head = struct.pack("<IQQ", salt, sequence, durable)
-    found: int = google_crc32c.extend(google_crc32c.value(head), payload)
-    return found
+class _LocatedRecord(NamedTuple):
+    offset: int
+    record: LogRecord
+
+
+def _checksum(salt: int, sequence: int, durable_sequence: int, payload: bytes) -> int:
+    prefix = _CHECKSUM_PREFIX.pack(salt, sequence, durable_sequence)
+    checksum: int = google_crc32c.extend(google_crc32c.value(prefix), payload)
+    return checksum
 
 
 def check_payload(payload: bytes) -> None:
-    """ValueError for a payload that is empty or over RECORD_MOST."""
-    if not 0 < len(payload) <= RECORD_MOST:
-        raise ValueError(f"a payload of {len(payload)} bytes, 1 to {RECORD_MOST} are allowed")
+    """Raise ValueError for a payload that is empty or over MAX_PAYLOAD_BYTES."""
+    if not 0 < len(payload) <= MAX_PAYLOAD_BYTES:
+        raise ValueError(f"a payload of {len(payload)} bytes, 1 to {MAX_PAYLOAD_BYTES} are allowed")
 
 
-def encode_record(salt: int, sequence: int, payload: bytes, durable: int = 0) -> bytes:
-    """One record; ValueError as `check_payload`."""
+def encode_record(salt: int, sequence: int, payload: bytes, durable_sequence: int = 0) -> bytes:
+    """Return one record's bytes. Raises ValueError as `check_payload` does."""
     check_payload(payload)
-    checksum = _checksum(salt, sequence, durable, payload)
-    return _RECORD.pack(len(payload), checksum, sequence, durable) + payload
+    checksum = _checksum(salt, sequence, durable_sequence, payload)
+    return _RECORD_PREFIX.pack(len(payload), checksum, sequence, durable_sequence) + payload
 
 
-def decode_header(data: bytes) -> Header | None:
-    """None where the file ends before its header does, or the header is damaged."""
-    if len(data) > HEADER_BYTES and not data.startswith(MAGIC):  # shorter: it was being written
-        raise RecordError("is no log of kelpfront")
-    if len(data) < HEADER_BYTES or not data.startswith(MAGIC):
+def decode_header(data: bytes) -> FileHeader | None:
+    """Return a file's header, or None where the file ends before it or the header is damaged.
+
+    Raises LogFormatError for a file of another program or of a newer version.
+    """
+    has_magic = data.startswith(MAGIC)
+    # A file that is no longer than a header may be one whose header was being written.
+    if len(data) > HEADER_BYTES and not has_magic:
+        raise LogFormatError("is no log of kelpfront")
+    if len(data) < HEADER_BYTES or not has_magic:
         return None
     raw = data[: _HEADER.size]
-    _, its_format, salt, first = _HEADER.unpack(raw)
-    if _CHECK.unpack_from(data, _HEADER.size)[0] != google_crc32c.value(raw):
+    _, format_version, salt, first_sequence = _HEADER.unpack(raw)
+    (checksum,) = _HEADER_CHECKSUM.unpack_from(data, _HEADER.size)
+    if checksum != google_crc32c.value(raw):
         return None
-    if its_format > FORMAT:
-        raise RecordError(f"has format {its_format}, this version reads up to {FORMAT}")
-    return Header(salt, first, its_format)
+    if format_version > FORMAT_VERSION:
+        raise LogFormatError(f"has format {format_version}, this version reads up to {FORMAT_VERSION}")
+    return FileHeader(salt, first_sequence, format_version)
+
 
+def scan_file(data: bytes) -> FileScan:
+    """Return all that can be trusted of a file, and what is wrong with the rest of it.
 
-def scan(data: bytes) -> Scan:
-    """All that may be trusted of a file, and what is wrong with the rest; RecordError for another's file."""
+    Raises LogFormatError as `decode_header` does.
+    """
     header = decode_header(data)
     if header is None:
-        kind: Literal["torn", "hole"] = "torn" if len(data) <= HEADER_BYTES else "hole"
-        return Scan(None, (), 0, Damage(kind, 0, "the header is damaged") if data else None)
-    records: list[Record] = []
-    at, expected = HEADER_BYTES, header.first
-    while at < len(data):
-        record = _record_at(data, at, header.salt)
-        if record is None or record.sequence != expected:
-            return Scan(header, tuple(records), at, _judge(data, at, header.salt, expected, record))
+        return FileScan(None, (), 0, _header_damage(data))
+    records: list[LogRecord] = []
+    offset = HEADER_BYTES
+    expected_sequence = header.first_sequence
+    while offset < len(data):
+        record = _record_at(data, offset, header.salt)
+        if record is None or record.sequence != expected_sequence:
+            damage = _classify_damage(data, offset, header.salt, expected_sequence, record)
+            return FileScan(header, tuple(records), offset, damage)
         records.append(record)
-        at += RECORD_BYTES + len(record.payload)
-        expected += 1
-    return Scan(header, tuple(records), at)
+        offset += RECORD_PREFIX_BYTES + len(record.payload)
+        expected_sequence += 1
+    return FileScan(header, tuple(records), offset)
 
 
-def _record_at(data: bytes, at: int, salt: int) -> Record | None:
-    """The whole record that begins here, if one does."""
-    if at + RECORD_BYTES > len(data):
+def _header_damage(data: bytes) -> Damage | None:
+    if not data:
+        return None
+    kind = DamageKind.TORN_TAIL if len(data) <= HEADER_BYTES else DamageKind.GAP
+    return Damage(kind, 0, "the header is damaged")
+
+
+def _record_at(data: bytes, offset: int, salt: int) -> LogRecord | None:
+    """Return the intact record that begins at `offset`, if there is one."""
+    payload_offset = offset + RECORD_PREFIX_BYTES
+    if payload_offset > len(data):
+        return None
+    length, checksum, sequence, durable_sequence = _RECORD_PREFIX.unpack_from(data, offset)
+    if not 0 < length <= min(MAX_PAYLOAD_BYTES, len(data) - payload_offset):
         return None
-    length, checksum, sequence, durable = _RECORD.unpack_from(data, at)
-    if not 0 < length <= min(RECORD_MOST, len(data) - at - RECORD_BYTES):
+    payload = data[payload_offset : payload_offset + length]
+    if _checksum(salt, sequence, durable_sequence, payload) != checksum:
         return None
-    payload = data[at + RECORD_BYTES : at + RECORD_BYTES + length]
-    whole = _checksum(salt, sequence, durable, payload) == checksum
-    return Record(sequence, payload, durable) if whole else None
-
-
-def _judge(data: bytes, at: int, salt: int, expected: int, found: Record | None) -> Damage:
-    """A hole where what follows tells that this record was durable; a torn tail otherwise."""
-    if found is not None and found.durable >= expected:
-        text = f"record {found.sequence} where {expected} was expected"
-        return Damage("hole", at, text, at, found.sequence)
-    for start, record in _whole_after(data, at + 1, salt):
-        if record.durable >= expected:
-            text = f"record {expected} is damaged, and {record.sequence} follows at byte {start}"
-            return Damage("hole", at, text, start, record.sequence)
-    return Damage("torn", at, f"record {expected} is not whole, and nothing tells that it was durable")
-
-
-def _whole_after(data: bytes, first: int, salt: int) -> Iterator[tuple[int, Record]]:
-    """Whole records from a byte on, wherever they begin: lengths of what is damaged cannot be trusted."""
-    for start in range(first, len(data) - RECORD_BYTES):
-        record = _record_at(data, start, salt)
+    return LogRecord(sequence, payload, durable_sequence)
+
+
+def _classify_damage(
+    data: bytes, offset: int, salt: int, expected_sequence: int, found: LogRecord | None
+) -> Damage:
+    """Return a gap where a later record proves that this one was durable, otherwise a torn tail."""
+    if found is not None and found.durable_sequence >= expected_sequence:
+        message = f"record {found.sequence} where {expected_sequence} was expected"
+        return Damage(DamageKind.GAP, offset, message, offset, found.sequence)
+    for later_offset, later in _intact_records_from(data, offset + 1, salt):
+        if later.durable_sequence >= expected_sequence:
+            message = (
+                f"record {expected_sequence} is damaged, and {later.sequence} follows at byte {later_offset}"
+            )
+            return Damage(DamageKind.GAP, offset, message, later_offset, later.sequence)
+    message = f"record {expected_sequence} is not whole, and nothing tells that it was durable"
+    return Damage(DamageKind.TORN_TAIL, offset, message)
+
+
+def _intact_records_from(data: bytes, start: int, salt: int) -> Iterator[_LocatedRecord]:
+    """Yield intact records at any byte from `start` on: the length of a damaged record cannot be trusted."""
+    for offset in range(start, len(data) - RECORD_PREFIX_BYTES):
+        record = _record_at(data, offset, salt)
         if record is not None:
-            yield start, record
+            yield _LocatedRecord(offset, record)
--- a/kelpfront/store/watch.py
+++ b/kelpfront/store/watch.py
@@ -1,7 +1,8 @@
-"""Watches: who is told of which change, with a buffer that is bounded for each.
+"""Watches: which change goes to which watch, through a bounded buffer for each.
 
-A watch never holds up a writer. One whose reader is too slow loses its buffer and ends as `Expired`; the
-reader lists anew, as the API conventions have it.
+A watch never delays a writer. One that is read too slowly loses its buffer and expires, and its client lists
+again, as the public API conventions say. Changes before a watch began come from `history`; sending events to
+clients is left to the fronts.
 """
 
 from __future__ import annotations
@@ -11,94 +12,104 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from kelpfront.api.selectors import Selector
-from kelpfront.store.objects import Stored
+from kelpfront.api.selectors import EVERYTHING, Selector
+from kelpfront.store.history import Change
+from kelpfront.store.objects import ObjectKey, StoredObject
 
 
 class EventType(StrEnum):
+    """What happened to an object, in the words that clients read."""
+
     ADDED = "ADDED"
     MODIFIED = "MODIFIED"
     DELETED = "DELETED"
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
-    """One change of the store: `before` is None where the object is new, `after` where it is gone.
-
-    A deletion has a revision of its own, so that watches can resume behind it.
-    """
+class WatchEvent:
+    """One change as a watch sees it, with the object after it (for DELETED: its last state)."""
 
+    type: EventType
     revision: int
-    before: Stored | None
-    after: Stored | None
+    stored: StoredObject
 
-    @property
-    def shown(self) -> Stored:
-        """The object that the change is about, as it was last."""
-        stored = self.after or self.before
-        assert stored is not None
-        return stored
 
-    @property
-    def key(self) -> tuple[str, str]:
-        return self.shown.key
+@dataclass(frozen=True, slots=True)
+class ObjectScope:
+    """Which objects of a resource a list or watch is about; `namespace` None means all namespaces."""
 
-    @property
-    def weight(self) -> int:
-        return self.shown.weight
+    namespace: str | None = None
+    selector: Selector = EVERYTHING
 
+    @property
+    def name(self) -> str | None:
+        """The only name that can match, if there is one."""
+        return self.selector.name
 
-@dataclass(frozen=True, slots=True)
-class WatchEvent:
-    type: EventType
-    revision: int
-    stored: Stored
+    @property
+    def key(self) -> ObjectKey | None:
+        """The only object that can match, if there is one."""
+        name = self.name
+        if self.namespace is None or name is None:
+            return None
+        return self.namespace, name
+
+    def includes(self, stored: StoredObject) -> bool:
+        """Return whether an object is in the scope."""
+        if self.namespace is not None and stored.namespace != self.namespace:
+            return False
+        return self.selector.matches(stored)
 
 
 class Watch:
     """One reader's view of the changes of a resource.
 
-    `wake` is called when something is there to take and nothing was before; it must not block. The reader
-    then calls `take`. `expired` is set when the buffer overflowed: what `take` returns ends with a gap.
+    `wake` is called when the buffer stops being empty, and when it overflows. It must not block. The reader
+    then calls `next_events`. `expired` is set by an overflow: events were lost, and none will follow.
     """
 
     def __init__(
         self,
-        namespace: str | None,
-        selector: Selector,
-        limit: int,
+        scope: ObjectScope,
+        max_buffered: int,
         wake: Callable[[], None],
         on_close: Callable[[Watch], None],
-        first: Iterable[Change] = (),
+        initial: Iterable[Change] = (),
     ) -> None:
-        self.namespace, self.selector, self.name = namespace, selector, selector.name
+        self.scope = scope
+        self.name = scope.name
         self.expired = False
         self.closed = False
-        self._wake, self._on_close = wake, on_close
-        self._buffer = deque(event for change in first if (event := self._view(change)) is not None)
-        self._limit = limit + len(self._buffer)  # what it starts with is bounded by the store itself
+        self._wake = wake
+        self._on_close = on_close
+        events = (self._event_for(change) for change in initial)
+        self._buffer = deque(event for event in events if event is not None)
+        # The initial events do not count, because the bounds of the store and its history limit them.
+        self._max_buffered = max_buffered + len(self._buffer)
 
     def __len__(self) -> int:
         return len(self._buffer)
 
-    def take(self, most: int) -> list[WatchEvent]:
-        """The next events in order, at most so many."""
+    def next_events(self, limit: int) -> list[WatchEvent]:
+        """Remove and return the next events in order, at most `limit`."""
         buffer = self._buffer
-        return [buffer.popleft() for _ in range(min(most, len(buffer)))]
+        return [buffer.popleft() for _ in range(min(limit, len(buffer)))]
 
     def close(self) -> None:
+        """Drop the buffer and receive no more changes. Closing again does nothing."""
         if not self.closed:
             self.closed = True
             self._buffer.clear()
             self._on_close(self)
 
-    def _offer(self, change: Change) -> None:
+    def receive(self, change: Change) -> None:
+        """Buffer a change if it concerns this watch. Called by the registry for each change."""
         if self.expired:
             return
-        event = self._view(change)
+        event = self._event_for(change)
         if event is None:
             return
-        if len(self._buffer) >= self._limit:
+        if len(self._buffer) >= self._max_buffered:
             self._buffer.clear()
             self.expired = True
         else:
@@ -106,53 +117,52 @@
         if self.expired or len(self._buffer) == 1:
             self._wake()
 
-    def _view(self, change: Change) -> WatchEvent | None:
-        """The change as this watch sees it: one that leaves its selection is a deletion to it."""
-        before = change.before if change.before is not None and self._selects(change.before) else None
-        after = change.after if change.after is not None and self._selects(change.after) else None
-        if after is not None:
-            kind = EventType.MODIFIED if before is not None else EventType.ADDED
-            return WatchEvent(kind, change.revision, after)
-        if before is not None:
-            return WatchEvent(EventType.DELETED, change.revision, before.at(change.revision))
+    def _event_for(self, change: Change) -> WatchEvent | None:
+        """Return the change as this watch sees it: an object that leaves its scope is deleted to it."""
+        was_included = change.before is not None and self.scope.includes(change.before)
+        if change.after is not None and self.scope.includes(change.after):
+            event_type = EventType.MODIFIED if was_included else EventType.ADDED
+            return WatchEvent(event_type, change.revision, change.after)
+        if change.before is not None and was_included:
+            last_state = change.before.with_revision(change.revision)
+            return WatchEvent(EventType.DELETED, change.revision, last_state)
         return None
 
-    def _selects(self, stored: Stored) -> bool:
-        if self.namespace is not None and stored.namespace != self.namespace:
-            return False
-        return (self.name is None or stored.name == self.name) and self.selector.matches(stored)
-
 
-class Watchers:
-    """The watches of one resource, found by name where they are about one object.
+class WatchRegistry:
+    """The open watches of one resource.
 
-    Thousands of clients that each watch their own job would otherwise each look at every change.
+    Watches of a single object are found by its name. Otherwise each change would be offered to all of
+    thousands of clients that each watch their own job.
     """
 
     def __init__(self) -> None:
-        self._wide: dict[Watch, None] = {}
-        self._named: dict[str, dict[Watch, None]] = {}
+        self._of_many: dict[Watch, None] = {}
+        self._by_name: dict[str, dict[Watch, None]] = {}
 
     def __len__(self) -> int:
-        return len(self._wide) + sum(len(group) for group in self._named.values())
+        return len(self._of_many) + sum(len(group) for group in self._by_name.values())
 
     def add(self, watch: Watch) -> None:
-        group = self._wide if watch.name is None else self._named.setdefault(watch.name, {})
+        """Let a watch receive changes from now on."""
+        group = self._of_many if watch.name is None else self._by_name.setdefault(watch.name, {})
         group[watch] = None
 
     def remove(self, watch: Watch) -> None:
+        """Let a watch receive no more changes."""
         if watch.name is None:
-            self._wide.pop(watch, None)
+            self._of_many.pop(watch, None)
             return
-        group = self._named.get(watch.name, {})
+        group = self._by_name.get(watch.name, {})
         group.pop(watch, None)
         if not group:
-            self._named.pop(watch.name, None)
-
-    def publish(self, change: Change) -> None:
-        for watch in list(self._wide):
-            watch._offer(change)
-        named = self._named.get(change.key[1])
-        if named:
-            for watch in list(named):
-                watch._offer(change)
+            self._by_name.pop(watch.name, None)
+
+    def dispatch(self, change: Change) -> None:
+        """Offer a change to each watch that it may concern."""
+        # Copies, because a watch may be closed by what its `wake` calls.
+        for watch in list(self._of_many):
+            watch.receive(change)
+        _, name = change.key
+        for watch in list(self._by_name.get(name, ())):
+            watch.receive(change)
--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -15,7 +15,7 @@
 from kelpfront.api.patch import merge_patch
 from kelpfront.api.selectors import parse_selector
 from kelpfront.clock import CommonClock, parse_timestamp, timestamp
-from kelpfront.store import Stored
+from kelpfront.store import StoredObject
 from kelpfront.units import format_duration, format_size, parse_duration, parse_size
 
 JOB: dict[str, Any] = {
@@ -24,12 +24,12 @@
 }
 
 
-def stored(resource: Resource = JOBS, **body: Any) -> Stored:
+def stored(resource: Resource = JOBS, **body: Any) -> StoredObject:
     labels = body.pop("labels", {})
-    return Stored.of(resource, ("climate", "a"), 1, {"metadata": {"labels": labels}, **body})
+    return StoredObject.encode(resource, ("climate", "a"), 1, {"metadata": {"labels": labels}, **body})
 
 
-def labelled(**labels: str) -> Stored:
+def labelled(**labels: str) -> StoredObject:
     return stored(labels=labels)
 
 
--- a/tests/fronts/test_grpc.py
+++ b/tests/fronts/test_grpc.py
@@ -439,7 +439,7 @@
         assert caught.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
         assert service.grpc is not None
         streams = service.grpc.streams
-        await until(lambda: not len(streams) and not service.store.watching(JOBS))
+        await until(lambda: not len(streams) and not service.store.watch_count(JOBS))
 
 
 async def test_health_says_whether_jobs_are_taken() -> None:
--- a/tests/project/test_layers.py
+++ b/tests/project/test_layers.py
@@ -119,7 +119,17 @@
         "sessions",
         "timeouts",
     },
-    "store": {"objects", "records", "resources", "segments", "watch"},
+    "store": {
+        "errors",
+        "history",
+        "listing",
+        "objects",
+        "records",
+        "resource_store",
+        "segments",
+        "snapshots",
+        "watch",
+    },
     "tracing": {"heart", "spans"},
     "machine": {
         "admission",
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -147,7 +147,7 @@
             head = await half.readuntil(b"ADDED")
         assert b"200" in head, "a half-closed client still reads"
         writer.transport.abort()
-        await until(lambda: service.store.watching(JOBS) == 0)
+        await until(lambda: service.store.watch_count(JOBS) == 0)
         await until(lambda: service.http.connections <= 2)
 
 
--- a/tests/surfaces/surface_folders.py
+++ b/tests/surfaces/surface_folders.py
@@ -15,36 +15,39 @@
 from kelpfront.agent import evidence, folders
 from kelpfront.agent import state as agent_state
 from kelpfront.machine import messages as machine
-from kelpfront.store.journal import Journal, OsFiles
+from kelpfront.store.log_directory import HostDirectory
+from kelpfront.store.write_ahead_log import WriteAheadLog
 
 JOURNAL, AGENT_STATE = GOLDEN / "journal", GOLDEN / "agent-state"
 
 
 def write_journal(folder: Path) -> None:
     """A store's folder: a snapshot, and records behind it."""
-    files = OsFiles(folder)
-    journal = Journal(files, lambda: SEED)
-    journal.open()
+    directory = HostDirectory(folder)
+    log = WriteAheadLog(directory, lambda: SEED)
+    log.open()
     for number in range(3):
-        journal.append(f"record {number}".encode())
-    journal.snapshot([b"part 1", b"part 2"])
+        log.append(f"record {number}".encode())
+    log.snapshot([b"part 1", b"part 2"])
     for number in range(3, 5):
-        journal.append(f"record {number}".encode())
-        journal.commit()
-    journal.close()
-    files.release()
+        log.append(f"record {number}".encode())
+        log.commit()
+    log.close()
+    directory.release()
     (folder / "lock").unlink()
 
 
 def read_journal(folder: Path) -> bytes:
-    files = OsFiles(folder)
-    journal = Journal(files, lambda: SEED)
-    opened = journal.open()
-    journal.close()
-    files.release()
-    records = [[record.sequence, record.durable, record.payload.decode()] for record in opened.records]
-    snapshot = [part.decode() for part in opened.snapshot or ()]
-    return as_json([snapshot, records, opened.torn])
+    directory = HostDirectory(folder)
+    log = WriteAheadLog(directory, lambda: SEED)
+    recovered = log.open()
+    log.close()
+    directory.release()
+    records = [
+        [record.sequence, record.durable_sequence, record.payload.decode()] for record in recovered.records
+    ]
+    snapshot = [part.decode() for part in recovered.snapshot or ()]
+    return as_json([snapshot, records, recovered.torn_tails])
 
 
 def write_agent_state(folder: Path) -> None:
--- a/tests/surfaces/test_surface_folders.py
+++ b/tests/surfaces/test_surface_folders.py
@@ -1,6 +1,7 @@
 """Folders on disk: those that an earlier version wrote are read, and the same is written today.
 
-`tests/test_journal.py` and `tests/test_agent.py` hold what becomes of folders after crashes and damage.
+`tests/store/test_write_ahead_log.py` and `tests/agent/test_agent.py` hold what becomes of folders after
+crashes and damage.
 Golden files are rewritten as `surface_samples` says.
 """
 
