--- a/kelpfront/agent/server.py
+++ b/kelpfront/agent/server.py
@@ -11,7 +11,8 @@
 
 from kelpfront.agent import folders
 from kelpfront.agent.runtime import fits
-from kelpfront.http.server import HttpLimits, Request, Response
+from kelpfront.http.limits import HttpLimits
+from kelpfront.http.messages import Request, Response
 from kelpfront.machine.messages import NOT_HERE, Answer, OfferRequest, encode
 from kelpfront.machine.node import Node
 from kelpfront.machine.server import MachineServer, Runtime
--- a/kelpfront/agent/service.py
+++ b/kelpfront/agent/service.py
@@ -31,7 +31,7 @@
 from kelpfront.agent.useloop import UseLoop
 from kelpfront.clock import CommonClock
 from kelpfront.config.agent import AgentConfig
-from kelpfront.http.server import HttpLimits
+from kelpfront.http.limits import HttpLimits
 from kelpfront.machine.admission import Capacity
 from kelpfront.machine.idempotency_records import IdempotencyRecords
 from kelpfront.machine.model import NodeSettings
--- a/kelpfront/client/client.py
+++ b/kelpfront/client/client.py
@@ -19,7 +19,8 @@
 from kelpfront.backoff import Backoff
 from kelpfront.client.informer import Event, Informer, status_error
 from kelpfront.client.interface import ServerUnreachableError
-from kelpfront.http.client import HttpConnection, HttpError, HttpPool, NotSentError, Reply
+from kelpfront.http.client import HttpConnection, HttpError, NotSentError, Reply
+from kelpfront.http.pool import HttpPool
 
 CONNECTIONS = 64  # for requests; each watch has one of its own besides
 CONNECT_S = 5.0
--- a/kelpfront/fronts/grpc/bindings.py
+++ b/kelpfront/fronts/grpc/bindings.py
@@ -14,7 +14,7 @@
 from kelpfront.api.selectors import parse_selector
 from kelpfront.controller.operations import Operations
 from kelpfront.fronts.grpc.session import BindingSession
-from kelpfront.http.pacing import Turns
+from kelpfront.http.pacing import RequestPacer
 from kelpfront.rpc.status import code_of, trailers
 from kelpfront.store import Watch
 from kelpfront.v1 import api_pb2 as pb
@@ -47,12 +47,12 @@
         operations: Operations,
         take_job: TakeJob,
         now: Callable[[], float],
-        turns: Turns,
+        pacer: RequestPacer,
         changed: Callable[[], None],
         context: Context[Any, Any],
     ) -> None:
         self._operations, self._take_job, self._now = operations, take_job, now
-        self._turns, self._tell_changed, self._context = turns, changed, context
+        self._pacer, self._tell_changed, self._context = pacer, changed, context
         self._sent_at = sent_at_of(context)  # of the stream: only its first submission can be as old
         self._wake = asyncio.Event()
         self._session: BindingSession | None = None
@@ -109,7 +109,7 @@
                     session.grant(request.credits)
                 case "submit":
                     received_at = self._now()
-                    await self._turns.enter()
+                    await self._pacer.wait_for_slot()
                     self._submit(session, request.submit, received_at)
                     self._tell_changed()
                 case "withdraw":
--- a/kelpfront/fronts/grpc/server.py
+++ b/kelpfront/fronts/grpc/server.py
@@ -12,7 +12,7 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.controller.operations import Operations
 from kelpfront.fronts.grpc.services import JobsService, MachinesService
-from kelpfront.http.pacing import Turns
+from kelpfront.http.pacing import RequestPacer
 from kelpfront.v1 import api_pb2, api_pb2_grpc
 
 SERVICES = tuple(api_pb2.DESCRIPTOR.services_by_name[name].full_name for name in ("Jobs", "Machines"))
@@ -61,14 +61,14 @@
         self,
         operations: Operations,
         common_now: Callable[[], float],
-        turns: Turns,
+        pacer: RequestPacer,
         changed: Callable[[], None],
         limits: GrpcLimits | None = None,
     ) -> None:
         self.limits = limits or GrpcLimits()
         self.streams = OpenStreams(self.limits.streams)
         self.port = 0
-        parts = operations, common_now, turns, self.streams, changed
+        parts = operations, common_now, pacer, self.streams, changed
         self._jobs, self._machines = JobsService(*parts), MachinesService(*parts)
         self._health = health.aio.HealthServicer()
         self._server: grpc.aio.Server | None = None
--- a/kelpfront/fronts/grpc/services.py
+++ b/kelpfront/fronts/grpc/services.py
@@ -16,7 +16,7 @@
 from kelpfront.api.selectors import Selector, parse_selector
 from kelpfront.controller.operations import Operations
 from kelpfront.fronts.grpc.bindings import BindingsStream, abort, mark_of, sent_at_of
-from kelpfront.http.pacing import Turns
+from kelpfront.http.pacing import RequestPacer
 from kelpfront.rpc.convert import job_data, job_message, machine_message, refuse_unknown
 from kelpfront.store import Watch, WatchEvent
 from kelpfront.v1 import api_pb2 as pb
@@ -47,17 +47,17 @@
         self,
         operations: Operations,
         common_now: Callable[[], float],
-        turns: Turns,
+        pacer: RequestPacer,
         streams: Streams,
         changed: Callable[[], None],
     ) -> None:
         self._operations, self._now = operations, common_now
-        self._turns, self._streams, self._changed = turns, streams, changed
+        self._pacer, self._streams, self._changed = pacer, streams, changed
 
     async def _answer(self, context: Context[Any, Any], call: Callable[[float], T]) -> T:
         """Runs a call in its turn, with when its request came in; an ApiError becomes the call's status."""
         received_at = self._now()
-        await self._turns.enter()
+        await self._pacer.wait_for_slot()
         began = time.perf_counter()
         try:
             return call(received_at)
@@ -69,7 +69,7 @@
             await abort(context, ApiError(500, "an error of the server's own; its log has the details"))
             raise
         finally:
-            self._turns.spent(time.perf_counter() - began)
+            self._pacer.record_work(time.perf_counter() - began)
             self._changed()
 
     def _watch(self, resource: Resource, request: pb.WatchRequest, wake: Callable[[], None]) -> Watch:
@@ -208,7 +208,7 @@
         self, requests: AsyncIterator[pb.BindingsRequest], context: Context[Any, Any]
     ) -> None:
         stream = BindingsStream(
-            self._operations, self._submit, self._now, self._turns, self._changed, context
+            self._operations, self._submit, self._now, self._pacer, self._changed, context
         )
         await stream.run(requests, self._streams.enter)
 
--- a/kelpfront/fronts/rest/front.py
+++ b/kelpfront/fronts/rest/front.py
@@ -18,7 +18,7 @@
 from kelpfront.fronts.rest import discovery
 from kelpfront.fronts.rest.logs import LogReader, log_answer
 from kelpfront.fronts.rest.watching import WatchRequest, WatchTimes, watch_lines
-from kelpfront.http.server import Request, Response
+from kelpfront.http.messages import Request, Response
 
 log = structlog.get_logger("kelpfront.rest")
 
@@ -155,8 +155,8 @@
             raise ApiError(503, "this server reads no output of tasks")
         key = target.namespace or "", target.name
         answer = log_answer(self._operations.store, request, key, self._read_log, _whole)
-        assert answer.later is not None
-        answer.later = self._or_error(answer.later)
+        assert answer.deferred is not None
+        answer.deferred = self._or_error(answer.deferred)
         return answer
 
     @staticmethod
--- a/kelpfront/fronts/rest/logs.py
+++ b/kelpfront/fronts/rest/logs.py
@@ -6,7 +6,7 @@
 
 from kelpfront.api.errors import ApiError
 from kelpfront.api.meta import JOBS, Object
-from kelpfront.http.server import Request, Response
+from kelpfront.http.messages import Request, Response
 from kelpfront.store import ResourceStore
 
 TAIL_USUAL = 1 << 20
@@ -47,4 +47,4 @@
         text = await read(machine, uid, number, TAIL_USUAL if tail is None else tail)
         return Response(200, text, "text/plain; charset=utf-8")
 
-    return Response(200, later=later())
+    return Response(200, deferred=later())
--- a/kelpfront/fronts/rest/watching.py
+++ b/kelpfront/fronts/rest/watching.py
@@ -12,7 +12,7 @@
 from kelpfront.api.errors import ApiError, expired
 from kelpfront.api.meta import API_VERSION, Resource
 from kelpfront.api.selectors import Selector
-from kelpfront.http.server import Peer
+from kelpfront.http.peer import Peer
 from kelpfront.store import ResourceStore, WatchEvent
 
 EVENTS_A_TURN = 200  # written before other work has its turn
@@ -102,8 +102,8 @@
             if initial:
                 initial = False
                 yield bookmark_line(request.resource, store.revision, INITIAL_END)
-            if over or now >= end_at or peer.gone:
-                if request.bookmarks and not peer.gone:
+            if over or now >= end_at or peer.closed:
+                if request.bookmarks and not peer.closed:
                     yield bookmark_line(request.resource, store.revision)
                 return
             if now >= bookmark_at:
--- a/kelpfront/http/client.py
+++ b/kelpfront/http/client.py
@@ -1,19 +1,22 @@
-"""HTTP/1.1 client connections and a bounded pool of them.
+"""HTTP/1.1 client connections.
 
-Errors say what matters to a caller who must not do a thing twice: `NotSentError` means that nothing was sent,
-`NoAnswerError` that the request may have arrived and the answer did not.
+Errors say what matters to a caller that must not do a thing twice: `NotSentError` means that nothing was
+sent, `NoAnswerError` that the request may have arrived although no answer did. Reuse of connections is left
+to `pool`, retries to the callers.
 """
 
 from __future__ import annotations
 
 import asyncio
-from collections import deque
 from collections.abc import AsyncIterator, Callable
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import h11
 
-READ_SIZE = 65536
+READ_BYTES = 65536
+MAX_BODY_BYTES = 64 << 20  # of an answer, unless the caller says otherwise
+_BODY_METHODS = ("POST", "PUT", "PATCH")  # servers expect a length with these, though the body be empty
 
 
 class HttpError(Exception):
@@ -21,52 +24,68 @@
 
 
 class NotSentError(HttpError):
-    """No connection could be had; nothing was sent."""
+    """There was no connection to send the request on; nothing was sent."""
 
 
 class NoAnswerError(HttpError):
-    """The request was sent, at least in part, and its answer did not arrive whole."""
+    """The request was sent, at least in part, and its answer did not arrive completely."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
+    """An answer; header names are in lower case."""
+
     status: int
     headers: dict[str, str]
     body: bytes
 
 
+class StreamingReply(NamedTuple):
+    """An answer whose body is read in fragments as they arrive; header names are in lower case."""
+
+    status: int
+    headers: dict[str, str]
+    fragments: AsyncIterator[bytes]
+
+
+class _ReplyHead(NamedTuple):
+    status: int
+    headers: dict[str, str]
+
+
 class HttpConnection:
-    """One connection; one request at a time. A request that is cancelled or interrupted breaks it."""
+    """One connection, for one request at a time. A request that is cancelled or interrupted breaks it."""
 
     def __init__(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str, most_body: int
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str, max_body_bytes: int
     ) -> None:
-        self._reader, self._writer, self._host, self._most_body = reader, writer, host, most_body
-        self._conn = h11.Connection(h11.CLIENT)
-        self.used_at = 0.0
+        self._reader = reader
+        self._writer = writer
+        self._host = host
+        self._max_body_bytes = max_body_bytes
+        self._protocol = h11.Connection(h11.CLIENT)
+        self.last_used_at = 0.0
 
     @classmethod
-    async def open(cls, host: str, port: int, most_body: int = 64 << 20) -> HttpConnection:
+    async def open(cls, host: str, port: int, max_body_bytes: int = MAX_BODY_BYTES) -> HttpConnection:
+        """Connect. Raises NotSentError."""
         try:
-            reader, writer = await asyncio.open_connection(host, port, limit=READ_SIZE)
+            reader, writer = await asyncio.open_connection(host, port, limit=READ_BYTES)
         except OSError as error:
-            raise NotSentError(f"{host}:{port}: {error.strerror or error}") from None
-        return cls(reader, writer, f"{host}:{port}", most_body)
+            raise NotSentError(f"{host}:{port}: {error.strerror or error}") from error
+        return cls(reader, writer, f"{host}:{port}", max_body_bytes)
 
     @property
     def usable(self) -> bool:
-        """Whether another request may go out on it: idle, and not known to be closed by the other end."""
-        return (
-            self._conn.our_state is h11.IDLE
-            and not self._writer.transport.is_closing()
-            and not self._reader.at_eof()
-            and self._reader.exception() is None
-        )
+        """Whether another request can be sent: the connection is idle, and not known to be closed."""
+        return self._protocol.our_state is h11.IDLE and self._is_open() and self._reader.exception() is None
 
     def abort(self) -> None:
+        """Break the connection at once."""
         self._writer.transport.abort()
 
     def close(self) -> None:
+        """Close the connection after what was written has been sent."""
         self._writer.close()
 
     async def request(
@@ -77,64 +96,74 @@
         headers: tuple[tuple[str, str], ...] = (),
         before_send: Callable[[], bool] | None = None,
     ) -> Reply:
-        """One exchange. `before_send` is asked at the last instant; False sends nothing: NotSentError."""
+        """Send a request and return its complete answer.
+
+        `before_send` is called immediately before the request is written; if it returns False, nothing is
+        sent and the call ends as NotSentError.
+
+        Raises NotSentError, and NoAnswerError where the request may have arrived.
+        """
         try:
-            status, its_headers = await self._start(method, target, body, headers, before_send)
-            parts: list[bytes] = []
-            size = 0
-            while not isinstance(event := await self._event(), h11.EndOfMessage):
-                assert isinstance(event, h11.Data)
-                size += len(event.data)
-                if size > self._most_body:
-                    raise NoAnswerError(f"an answer of over {self._most_body} bytes")
-                parts.append(bytes(event.data))
+            status, reply_headers = await self._send_request(method, target, body, headers, before_send)
+            reply_body = await self._read_body()
         except BaseException:
             self.abort()
             raise
-        self._end_cycle()
-        return Reply(status, its_headers, b"".join(parts))
+        self._finish_exchange()
+        return Reply(status, reply_headers, reply_body)
 
     async def stream(
         self, method: str, target: str, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()
-    ) -> tuple[int, dict[str, str], AsyncIterator[bytes]]:
-        """Status, headers, and the answer's body in pieces as they arrive."""
+    ) -> StreamingReply:
+        """Send a request and return its answer's head, with the body in fragments as they arrive.
+
+        Raises as `request` does; reading the fragments raises NoAnswerError.
+        """
         try:
-            status, its_headers = await self._start(method, target, body, headers, None)
+            status, reply_headers = await self._send_request(method, target, body, headers, None)
         except BaseException:
             self.abort()
             raise
-        return status, its_headers, self._pieces()
-
-    async def _pieces(self) -> AsyncIterator[bytes]:
+        return StreamingReply(status, reply_headers, self._fragments())
+
+    async def _read_body(self) -> bytes:
+        fragments: list[bytes] = []
+        size = 0
+        event = await self._next_event()
+        while not isinstance(event, h11.EndOfMessage):
+            assert isinstance(event, h11.Data)
+            size += len(event.data)
+            if size > self._max_body_bytes:
+                raise NoAnswerError(f"an answer of over {self._max_body_bytes} bytes")
+            fragments.append(bytes(event.data))
+            event = await self._next_event()
+        return b"".join(fragments)
+
+    async def _fragments(self) -> AsyncIterator[bytes]:
         ended = False
         try:
-            while not isinstance(event := await self._event(), h11.EndOfMessage):
+            event = await self._next_event()
+            while not isinstance(event, h11.EndOfMessage):
                 assert isinstance(event, h11.Data)
                 yield bytes(event.data)
+                event = await self._next_event()
             ended = True
         finally:
             if ended:
-                self._end_cycle()
+                self._finish_exchange()
             else:
                 self.abort()
 
-    async def _start(
+    async def _send_request(
         self,
         method: str,
         target: str,
         body: bytes,
         headers: tuple[tuple[str, str], ...],
         before_send: Callable[[], bool] | None,
-    ) -> tuple[int, dict[str, str]]:
-        its_headers = [("host", self._host), *headers]
-        if body or method in ("POST", "PUT", "PATCH"):
-            its_headers.append(("content-length", str(len(body))))
-        conn = self._conn
-        data = conn.send(h11.Request(method=method, target=target, headers=its_headers)) or b""
-        if body:
-            data += conn.send(h11.Data(data=body)) or b""
-        data += conn.send(h11.EndOfMessage()) or b""
-        if not self._open():
+    ) -> _ReplyHead:
+        data = self._encode_request(method, target, body, headers)
+        if not self._is_open():
             raise NotSentError(f"{self._host}: closed by the other end")
         if before_send is not None and not before_send():
             raise NotSentError("not sent")
@@ -142,106 +171,51 @@
         try:
             await self._writer.drain()
         except OSError as error:
-            raise NoAnswerError(f"{self._host}: {error}") from None
-        while True:
-            event = await self._event()
-            if isinstance(event, h11.Response):
-                found = {name.decode("ascii"): value.decode("latin-1") for name, value in event.headers}
-                return event.status_code, found
+            raise NoAnswerError(f"{self._host}: {error}") from error
+        return await self._read_head()
+
+    def _encode_request(
+        self, method: str, target: str, body: bytes, headers: tuple[tuple[str, str], ...]
+    ) -> bytes:
+        sent_headers = [("host", self._host), *headers]
+        if body or method in _BODY_METHODS:
+            sent_headers.append(("content-length", str(len(body))))
+        protocol = self._protocol
+        data = protocol.send(h11.Request(method=method, target=target, headers=sent_headers)) or b""
+        if body:
+            data += protocol.send(h11.Data(data=body)) or b""
+        data += protocol.send(h11.EndOfMessage()) or b""
+        return data
+
+    async def _read_head(self) -> _ReplyHead:
+        event = await self._next_event()
+        while not isinstance(event, h11.Response):
             assert isinstance(event, h11.InformationalResponse)
+            event = await self._next_event()
+        headers = {name.decode("ascii"): value.decode("latin-1") for name, value in event.headers}
+        return _ReplyHead(event.status_code, headers)
 
-    def _open(self) -> bool:
+    def _is_open(self) -> bool:
         return not (self._writer.transport.is_closing() or self._reader.at_eof())
 
-    async def _event(self) -> object:
+    async def _next_event(self) -> object:
         try:
-            while (event := self._conn.next_event()) is h11.NEED_DATA:
-                data = await self._reader.read(READ_SIZE)
-                self._conn.receive_data(data)
-        except h11.RemoteProtocolError as error:
-            raise NoAnswerError(f"{self._host}: {error}") from None
-        except OSError as error:
-            raise NoAnswerError(f"{self._host}: {error}") from None
+            event = self._protocol.next_event()
+            while event is h11.NEED_DATA:
+                data = await self._reader.read(READ_BYTES)
+                self._protocol.receive_data(data)
+                event = self._protocol.next_event()
+        except (h11.RemoteProtocolError, OSError) as error:
+            raise NoAnswerError(f"{self._host}: {error}") from error
         if isinstance(event, h11.ConnectionClosed):
             raise NoAnswerError(f"{self._host}: closed before the answer")
         return event
 
-    def _end_cycle(self) -> None:
-        if self._conn.our_state is h11.DONE and self._conn.their_state is h11.DONE:
-            self._conn.start_next_cycle()
-            self.used_at = asyncio.get_running_loop().time()
+    def _finish_exchange(self) -> None:
+        """Make the connection ready for the next request, or close it where it cannot carry another."""
+        protocol = self._protocol
+        if protocol.our_state is h11.DONE and protocol.their_state is h11.DONE:
+            protocol.start_next_cycle()
+            self.last_used_at = asyncio.get_running_loop().time()
         else:
             self.close()
-
-
-class HttpPool:
-    """Connections to one address: at most `most` at a time, kept for reuse while idle.
-
-    Idle ones are closed after `idle_s`, which must be less than the server's own idle time: a request that
-    meets the server's close cannot be told from one that arrived.
-    """
-
-    def __init__(self, host: str, port: int, most: int, connect_s: float, idle_s: float = 30.0) -> None:
-        self._host, self._port, self._most = host, port, most
-        self._connect_s, self._idle_s = connect_s, idle_s
-        self._turns = asyncio.Semaphore(most)
-        self._idle: deque[HttpConnection] = deque()
-        self._lent: dict[HttpConnection, None] = {}
-        self.closed = False
-
-    @property
-    def open(self) -> int:
-        return len(self._idle) + len(self._lent)
-
-    async def acquire(self) -> HttpConnection:
-        """A connection to use and give back by `release`; NotSentError where none is to be had in time."""
-        try:
-            async with asyncio.timeout(self._connect_s):
-                await self._turns.acquire()
-                try:
-                    connection = self._reuse() or await HttpConnection.open(self._host, self._port)
-                except BaseException:
-                    self._turns.release()
-                    raise
-        except TimeoutError:
-            raise NotSentError(
-                f"{self._host}:{self._port}: no connection within {self._connect_s * 1000:.0f} ms "
-                f"({self.open} of {self._most} are open)"
-            ) from None
-        if self.closed:
-            self._turns.release()
-            connection.abort()
-            raise NotSentError(f"{self._host}:{self._port}: the pool is closed")
-        self._lent[connection] = None
-        return connection
-
-    def _reuse(self) -> HttpConnection | None:
-        """The idle connection that was used last: the others may go stale."""
-        now = asyncio.get_running_loop().time()
-        while self._idle:
-            connection = self._idle.pop()
-            if connection.usable and now - connection.used_at < self._idle_s:
-                return connection
-            connection.abort()
-        return None
-
-    def release(self, connection: HttpConnection) -> None:
-        self._lent.pop(connection, None)
-        if connection.usable and not self.closed:
-            self._idle.append(connection)
-        else:
-            connection.abort()
-        self._turns.release()
-
-    def sweep(self) -> None:
-        """Closes what has been idle for long."""
-        now = asyncio.get_running_loop().time()
-        while self._idle and not (self._idle[0].usable and now - self._idle[0].used_at < self._idle_s):
-            self._idle.popleft().abort()
-
-    def close(self) -> None:
-        """Breaks all connections; requests on them end as NoAnswerError."""
-        self.closed = True
-        for connection in (*self._idle, *self._lent):
-            connection.abort()
-        self._idle.clear()
--- /dev/null
+++ b/kelpfront/http/limits.py
@@ -0,0 +1,23 @@
+"""The bounds on what one HTTP server spends on its clients.
+
+Their values come from the programs' configuration; `exchange` and `server` apply them.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class HttpLimits:
+    """Bounds of one server, on connections, requests and times."""
+
+    connections: int = 10_000
+    head_bytes: int = 32_768
+    headers: int = 100
+    body_bytes: int = 1 << 20
+    head_timeout_s: float = 10.0  # for the complete head, from its first byte
+    body_timeout_s: float = 10.0
+    idle_timeout_s: float = 90.0  # between requests of a connection
+    write_timeout_s: float = 20.0  # for a client that does not read its answer
+    write_buffer: int = 256 * 1024  # bytes of answer that may wait in this process for one client
--- a/kelpfront/http/pacing.py
+++ b/kelpfront/http/pacing.py
@@ -1,12 +1,12 @@
-"""Turns for work that comes from outside, so that a flood of it does not hold up work that was taken before.
+"""Pacing of requests, so that a flood of them does not delay work that was accepted before.
 
 An event loop runs all that is ready before it looks at its timers. With a thousand requests ready at once,
-answers that are due would wait for all of them. Here requests wait in line, and each turn of the loop serves
-a slice of them.
+answers that are due would wait for all of them. Here requests wait in a queue, and each iteration of the loop
+serves a time slice of them.
 
-The line is served in order while it is short. Once it is not, the newest go first: served in order, each
-would have waited for so long that it is of little use by then, and all the work would be for nothing. Those
-that have waited for too long are let through too, a few a turn, for the handler to turn them away.
+The queue is first in, first out while it is short. Once it is not, the newest go first (adaptive LIFO):
+served in order, each would have waited so long that its answer is of little use. Those that have waited too
+long are let through as well, a few in each iteration, for the handler to reject them.
 """
 
 from __future__ import annotations
@@ -15,69 +15,90 @@
 import time
 from collections import deque
 from collections.abc import Callable
+from typing import NamedTuple
 
-SLICE_S = 0.005  # of requests' work in one turn of the loop: well under the timers' tick
-IN_ORDER_S = 0.05  # while the first in line has waited for less
-LONGEST_S = 1.0  # in line; then its client is to be told, rather than wait on
-AVERAGE_WEIGHT = 0.05  # of the newest request in the average that says how many fit in a slice
+SLICE_S = 0.005  # of requests' work in one iteration of the loop: well under the timers' resolution
+MAX_FIFO_WAIT_S = 0.05  # the queue is served in order while its first has waited for less
+MAX_WAIT_S = 1.0  # in the queue; then its client is better rejected than kept waiting
+NEWEST_WEIGHT = 0.05  # of the newest request in the average cost, which says how many fit in a slice
+MIN_AVERAGE_S = 1e-6  # keeps the number that fits in a slice finite
+EXPIRED_SHARE = 4  # one request that waited too long is let through for each so many that fit
 
 
-class Turns:
-    """`enter` waits for a turn; `spent` tells what the work took, in seconds."""
+class _WaitingRequest(NamedTuple):
+    since: float
+    slot: asyncio.Future[None]
+
+
+class RequestPacer:
+    """Gives requests slots in the iterations of the event loop. `clock` is in seconds.
+
+    A request calls `wait_for_slot` before its work and `record_work` after it.
+    """
 
     def __init__(self, slice_s: float = SLICE_S, clock: Callable[[], float] = time.perf_counter) -> None:
-        self._slice = self._left = slice_s
+        self._slice_s = slice_s
+        self._remaining_s = slice_s
         self.clock = clock
-        self._average = slice_s / 10
-        self._line: deque[tuple[float, asyncio.Future[None]]] = deque()
-        self._armed = False
+        self._average_s = slice_s / 10
+        self._queue: deque[_WaitingRequest] = deque()
+        self._is_scheduled = False
 
     @property
     def waiting(self) -> int:
-        return len(self._line)
+        """How many requests wait, cancelled ones included until they are passed over."""
+        return len(self._queue)
 
-    async def enter(self) -> None:
-        if self._left > 0 and not self._line:
+    async def wait_for_slot(self) -> None:
+        """Wait until the request may be served."""
+        if self._remaining_s > 0 and not self._queue:
             return
-        turn = asyncio.get_running_loop().create_future()
-        self._line.append((self.clock(), turn))
-        self._arm()
-        await turn  # one that is cancelled meanwhile is passed over when its turn comes
-
-    def spent(self, seconds: float) -> None:
-        self._left -= seconds
-        self._average += AVERAGE_WEIGHT * (seconds - self._average)
-        self._arm()
-
-    def _arm(self) -> None:
-        if not self._armed:
-            self._armed = True
-            asyncio.get_running_loop().call_soon(self._next_turn)
-
-    def _next_turn(self) -> None:
-        self._armed = False
-        self._left = self._slice
-        fits = max(1, int(self._slice / max(self._average, 1e-6)))
+        slot = asyncio.get_running_loop().create_future()
+        self._queue.append(_WaitingRequest(self.clock(), slot))
+        self._schedule()
+        await slot  # a request that is cancelled here is passed over when it would be served
+
+    def record_work(self, seconds: float) -> None:
+        """Count the time that a request's work took against the present slice."""
+        self._remaining_s -= seconds
+        self._average_s += NEWEST_WEIGHT * (seconds - self._average_s)
+        self._schedule()
+
+    def _schedule(self) -> None:
+        if not self._is_scheduled:
+            self._is_scheduled = True
+            asyncio.get_running_loop().call_soon(self._begin_slice)
+
+    def _begin_slice(self) -> None:
+        self._is_scheduled = False
+        self._remaining_s = self._slice_s
+        capacity = max(1, int(self._slice_s / max(self._average_s, MIN_AVERAGE_S)))
         now = self.clock()
-        for turn in self._choose(now, fits):
-            turn.set_result(None)
-        if self._line:
-            self._arm()
-
-    def _choose(self, now: float, fits: int) -> list[asyncio.Future[None]]:
-        """Who is served in this turn."""
-        line = self._line
+        for slot in self._choose(now, capacity):
+            slot.set_result(None)
+        if self._queue:
+            self._schedule()
+
+    def _choose(self, now: float, capacity: int) -> list[asyncio.Future[None]]:
+        """Remove and return the slots of the requests that are served in this iteration."""
+        queue = self._queue
+        while queue and queue[0].slot.done():
+            queue.popleft()
+        chosen = self._choose_expired(now, max(1, capacity // EXPIRED_SHARE))
+        while queue and len(chosen) < capacity:
+            is_short = now - queue[0].since < MAX_FIFO_WAIT_S
+            request = queue.popleft() if is_short else queue.pop()
+            if not request.slot.done():
+                chosen.append(request.slot)
+        return chosen
+
+    def _choose_expired(self, now: float, limit: int) -> list[asyncio.Future[None]]:
+        queue = self._queue
         chosen: list[asyncio.Future[None]] = []
-        while line and line[0][1].done():
-            line.popleft()
-        if line and now - line[0][0] >= LONGEST_S:  # one for each few that are served
-            for _ in range(max(1, fits // 4)):
-                if line and now - line[0][0] >= LONGEST_S:
-                    _, turn = line.popleft()
-                    if not turn.done():
-                        chosen.append(turn)
-        while line and len(chosen) < fits:
-            _, turn = line.popleft() if now - line[0][0] < IN_ORDER_S else line.pop()
-            if not turn.done():
-                chosen.append(turn)
+        for _ in range(limit):
+            if not queue or now - queue[0].since < MAX_WAIT_S:
+                break
+            request = queue.popleft()
+            if not request.slot.done():
+                chosen.append(request.slot)
         return chosen
--- a/kelpfront/lab/agents.py
+++ b/kelpfront/lab/agents.py
@@ -22,7 +22,7 @@
 from kelpfront.agent.service import AgentError, AgentService, HostFacts
 from kelpfront.clock import CommonClock
 from kelpfront.config.agent import read_agent_config
-from kelpfront.http.server import Request
+from kelpfront.http.messages import Request
 from kelpfront.lab.recording import Recorder
 from kelpfront.lab.wrongagents import WRONG
 from kelpfront.logs import configure_logs
@@ -100,7 +100,7 @@
             answer = await super().answer_of(offered, request)
         finally:
             forget()
-        there = not (request.peer.gone or request.peer.half_closed)
+        there = not (request.peer.closed or request.peer.half_closed)
         self.record("answer", **key, answer=answer.answer, reason=answer.reason, delivered=there)
         return answer
 
--- a/kelpfront/lab/standin.py
+++ b/kelpfront/lab/standin.py
@@ -15,7 +15,9 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Literal
 
-from kelpfront.http.server import Abort, HttpLimits, Peer, Request, Response
+from kelpfront.http.limits import HttpLimits
+from kelpfront.http.messages import Abort, Request, Response
+from kelpfront.http.peer import Peer
 from kelpfront.lab.recording import Recorder
 from kelpfront.machine.idempotency_records import MachineIdempotencyRecords
 from kelpfront.machine.messages import (
@@ -115,7 +117,7 @@
         if troubles.reset_share and standin.rng.random() < troubles.reset_share:
             standin.record("answer", task=key[0], attempt=key[1], answer="lost")
             raise Abort
-        delivered = not (request.peer.gone or request.peer.half_closed)
+        delivered = not (request.peer.closed or request.peer.half_closed)
         standin.record(
             "answer",
             task=key[0],
--- a/kelpfront/machine/grpc_server.py
+++ b/kelpfront/machine/grpc_server.py
@@ -8,7 +8,8 @@
 
 import grpc
 
-from kelpfront.http.server import Abort, Peer, Request
+from kelpfront.http.messages import Abort, Request
+from kelpfront.http.peer import Peer
 from kelpfront.machine.grpc_conversion import (
     UnknownWordError,
     answer_message,
@@ -129,9 +130,9 @@
         finally:
             for task in list(self._tasks):
                 task.cancel()
-            self._peer.leave()
+            self._peer.mark_closed()
             for peer in list(self._offers.values()):
-                peer.leave()
+                peer.mark_closed()
             self._failed.cancel()
 
     async def _read(self, requests: AsyncIterator[pb.PlacerMessage]) -> None:
@@ -150,7 +151,7 @@
                 case "abandon":
                     peer = self._offers.get((request.abandon.task, request.abandon.attempt))
                     if peer is not None:
-                        peer.leave()
+                        peer.mark_closed()
                 case "stop":
                     its = request.stop
                     stop = StopRequest(self._open.placer, its.task, its.attempt, its.why)
@@ -176,7 +177,7 @@
             offered = OfferRequest(self._open.placer, self._open.incarnation, offer)
             answer = await self._server.offer_answer(offered, request)
         except asyncio.CancelledError:
-            if not peer.gone:
+            if not peer.closed:
                 raise
             return  # given up: nobody waits for the answer
         finally:
--- a/kelpfront/machine/server.py
+++ b/kelpfront/machine/server.py
@@ -13,7 +13,10 @@
 
 import msgspec
 
-from kelpfront.http.server import HttpLimits, HttpServer, Peer, Request, Response
+from kelpfront.http.limits import HttpLimits
+from kelpfront.http.messages import Request, Response
+from kelpfront.http.peer import Peer
+from kelpfront.http.server import HttpServer
 from kelpfront.machine.messages import (
     Answer,
     Heartbeat,
@@ -254,7 +257,7 @@
                 if out:
                     yield out
                     out = []
-                if self._streams.get(placer) is not wake or self.closed.is_set() or peer.gone:
+                if self._streams.get(placer) is not wake or self.closed.is_set() or peer.closed:
                     return
                 if at < outbox.next_seq:
                     continue
--- a/kelpfront/service/app.py
+++ b/kelpfront/service/app.py
@@ -24,8 +24,9 @@
 from kelpfront.controller.operations import Operations
 from kelpfront.fronts.rest import Health, RestFront, WatchTimes, error_body
 from kelpfront.http.client import HttpError
-from kelpfront.http.pacing import Turns
-from kelpfront.http.server import HttpLimits, HttpServer
+from kelpfront.http.limits import HttpLimits
+from kelpfront.http.pacing import RequestPacer
+from kelpfront.http.server import HttpServer
 from kelpfront.inventory import Inventory, InventoryError, KindSize, read_inventory
 from kelpfront.service.garbage import FREEZE_S, Collector
 from kelpfront.service.links import MachineLink, make_link
@@ -101,7 +102,7 @@
         self.operations = Operations(self.heart, self.clock.now, chance)
         self.operations.closed, self.operations.starting = STARTING, True
         self.front = RestFront(self.operations, self._common_time, self.health, chance, times, self._read_log)
-        turns = Turns(clock=stopwatch)  # of both fronts together
+        pacer = RequestPacer(clock=stopwatch)  # of both fronts together
         self.http = HttpServer(
             self.front.handle,
             HttpLimits(
@@ -113,7 +114,7 @@
                 idle_timeout_s=limits.idle_time / 1000,
             ),
             error_body,
-            turns,
+            pacer,
         )
         self.grpc: GrpcFront | None = None
         if config.placer.grpc is not None:
@@ -122,7 +123,7 @@
             self.grpc = GrpcFront(
                 self.operations,
                 self.clock.now,
-                turns,
+                pacer,
                 self.changed,
                 GrpcLimits(
                     connections=limits.connections,
--- a/kelpfront/service/links.py
+++ b/kelpfront/service/links.py
@@ -18,7 +18,8 @@
 from kelpfront.backoff import Backoff
 from kelpfront.controller.controller import Controller
 from kelpfront.controller.intents import AbandonOffer, SendOffer, SendProbe, SendStop
-from kelpfront.http.client import HttpConnection, HttpError, HttpPool
+from kelpfront.http.client import HttpConnection, HttpError
+from kelpfront.http.pool import HttpPool
 from kelpfront.machine.messages import (
     Answer,
     Hello,
@@ -219,7 +220,7 @@
             level = log.info if self._backoff.failures == 1 else log.debug
             level("stream broke", machine=self.host, error=error, again_ms=round(pause))
             await asyncio.sleep(pause / 1000.0)
-            self._pool.sweep()
+            self._pool.close_idle()
 
     async def _read_stream(self) -> None:
         target = f"{self._path}/v1/stream?placer={quote(self._heart.name)}"
--- a/tests/http/test_http.py
+++ b/tests/http/test_http.py
@@ -9,11 +9,14 @@
 import pytest
 from waiting import until
 
-from kelpfront.http.client import HttpConnection, HttpPool, NoAnswerError, NotSentError
-from kelpfront.http.server import Abort, HttpLimits, HttpServer, Request, Response
+from kelpfront.http.client import HttpConnection, NoAnswerError, NotSentError
+from kelpfront.http.limits import HttpLimits
+from kelpfront.http.messages import Abort, Request, Response
+from kelpfront.http.pool import HttpPool
+from kelpfront.http.server import HttpServer
 
 HOST = "127.0.0.1"
-QUICK = HttpLimits(head_timeout_s=0.3, body_timeout_s=0.3, write_timeout_s=0.5, body_bytes=100_000)
+SHORT_LIMITS = HttpLimits(head_timeout_s=0.3, body_timeout_s=0.3, write_timeout_s=0.5, body_bytes=100_000)
 
 
 async def echo(request: Request) -> Response:
@@ -23,7 +26,7 @@
 
 @asynccontextmanager
 async def serving(
-    handler: Callable[[Request], Awaitable[Response]] = echo, limits: HttpLimits = QUICK
+    handler: Callable[[Request], Awaitable[Response]] = echo, limits: HttpLimits = SHORT_LIMITS
 ) -> AsyncIterator[HttpServer]:
     server = HttpServer(handler, limits)
     await server.start(HOST, 0)
@@ -33,7 +36,7 @@
         await server.close(0.5)
 
 
-async def raw(server: HttpServer, data: bytes, *, half_close: bool = False) -> bytes:
+async def exchange_raw(server: HttpServer, data: bytes, *, half_close: bool = False) -> bytes:
     """All that the server answers until it closes."""
     reader, writer = await asyncio.open_connection(HOST, server.port)
     writer.write(data)
@@ -45,7 +48,7 @@
     return answer
 
 
-async def test_requests_on_one_connection() -> None:
+async def test_several_requests_are_answered_on_one_connection() -> None:
     async with serving() as server:
         connection = await HttpConnection.open(HOST, server.port)
         for n in range(3):
@@ -56,10 +59,10 @@
         connection.close()
 
 
-async def test_pipelined_and_half_closed_requests_are_all_answered() -> None:
+async def test_pipelined_requests_of_a_half_closed_client_are_all_answered() -> None:
     async with serving() as server:
         one = b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n"
-        answer = await raw(server, one % 1 + one % 2 + one % 3, half_close=True)
+        answer = await exchange_raw(server, one % 1 + one % 2 + one % 3, half_close=True)
         assert [answer.count(b"GET /%d" % n) for n in (1, 2, 3)] == [1, 1, 1]
 
 
@@ -83,15 +86,17 @@
     ],
     ids=lambda value: value if isinstance(value, int) else "",
 )
-async def test_requests_that_cannot_be_read_are_answered_and_closed(data: bytes, status: int) -> None:
+async def test_a_request_that_cannot_be_read_is_answered_and_its_connection_closed(
+    data: bytes, status: int
+) -> None:
     async with serving() as server:
-        answer = await raw(server, data)
+        answer = await exchange_raw(server, data)
         assert answer.startswith(b"HTTP/1.1 %d " % status), answer[:200]
         assert b"connection: close" in answer.lower()
-        assert (await raw(server, b"GET /ok HTTP/1.0\r\n\r\n")).endswith(b"GET /ok [] 0")
+        assert (await exchange_raw(server, b"GET /ok HTTP/1.0\r\n\r\n")).endswith(b"GET /ok [] 0")
 
 
-async def test_a_body_that_is_cut_off_reaches_no_handler() -> None:
+async def test_a_request_with_an_incomplete_body_does_not_reach_the_handler() -> None:
     calls: list[str] = []
 
     async def handler(request: Request) -> Response:
@@ -99,16 +104,18 @@
         return Response(200)
 
     async with serving(handler) as server:
-        await raw(server, b"POST /cut HTTP/1.1\r\nhost: a\r\ncontent-length: 50\r\n\r\nabc", half_close=True)
+        await exchange_raw(
+            server, b"POST /cut HTTP/1.1\r\nhost: a\r\ncontent-length: 50\r\n\r\nabc", half_close=True
+        )
         _, writer = await asyncio.open_connection(HOST, server.port)
         writer.write(b"POST /reset HTTP/1.1\r\nhost: a\r\ncontent-length: 50\r\n\r\nabc")
         await writer.drain()
         writer.transport.abort()
-        await raw(server, b"GET /after HTTP/1.0\r\n\r\n")
+        await exchange_raw(server, b"GET /after HTTP/1.0\r\n\r\n")
     assert calls == ["/after"]
 
 
-async def test_expect_100_continue() -> None:
+async def test_a_client_that_expects_100_continue_gets_it() -> None:
     async with serving() as server:
         reader, writer = await asyncio.open_connection(HOST, server.port)
         writer.write(b"POST / HTTP/1.1\r\nhost: a\r\ncontent-length: 3\r\nexpect: 100-continue\r\n\r\n")
@@ -118,33 +125,33 @@
         writer.close()
 
 
-async def test_connections_beyond_the_most_are_refused_and_free_ones_serve_on() -> None:
+async def test_connections_beyond_the_limit_are_refused_and_others_are_served_on() -> None:
     limits = HttpLimits(connections=2, head_timeout_s=5)
     async with serving(limits=limits) as server:
-        held = [await asyncio.open_connection(HOST, server.port) for _ in range(2)]
-        for _, writer in held:
+        connections = [await asyncio.open_connection(HOST, server.port) for _ in range(2)]
+        for _, writer in connections:
             writer.write(b"GET / HTTP/1.1\r\nhost: a\r\n")  # no end
             await writer.drain()
-        answer = await raw(server, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
+        answer = await exchange_raw(server, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 503 ")
-        held[0][1].write(b"\r\n")
-        assert b"200" in await held[0][0].readline()
-        for _, writer in held:
+        connections[0][1].write(b"\r\n")
+        assert b"200" in await connections[0][0].readline()
+        for _, writer in connections:
             writer.close()
 
 
-async def test_a_client_that_does_not_read_its_stream_is_dropped() -> None:
+async def test_a_client_that_does_not_read_its_stream_is_disconnected() -> None:
     ended = asyncio.Event()
 
-    async def endless(request: Request) -> Response:
-        async def pieces() -> AsyncIterator[bytes]:
+    async def endless(_: Request) -> Response:
+        async def fragments() -> AsyncIterator[bytes]:
             try:
                 while True:
                     yield b"x" * 65536
             finally:
                 ended.set()
 
-        return Response(200, stream=pieces())
+        return Response(200, stream=fragments())
 
     async with serving(endless) as server:
         _, writer = await asyncio.open_connection(HOST, server.port, limit=1024)
@@ -154,34 +161,34 @@
         writer.close()
 
 
-async def test_a_stream_arrives_in_pieces_and_the_connection_serves_on() -> None:
+async def test_a_stream_arrives_in_fragments_and_the_connection_can_be_used_again() -> None:
     async def handler(request: Request) -> Response:
-        async def pieces() -> AsyncIterator[bytes]:
+        async def fragments() -> AsyncIterator[bytes]:
             for n in range(3):
                 yield b"%d\n" % n
 
-        return Response(200, stream=pieces()) if request.path == "/stream" else await echo(request)
+        return Response(200, stream=fragments()) if request.path == "/stream" else await echo(request)
 
     async with serving(handler) as server:
         connection = await HttpConnection.open(HOST, server.port)
-        status, headers, pieces = await connection.stream("GET", "/stream")
-        assert (status, headers["transfer-encoding"]) == (200, "chunked")
-        assert b"".join([piece async for piece in pieces]) == b"0\n1\n2\n"
+        reply = await connection.stream("GET", "/stream")
+        assert (reply.status, reply.headers["transfer-encoding"]) == (200, "chunked")
+        assert b"".join([fragment async for fragment in reply.fragments]) == b"0\n1\n2\n"
         assert (await connection.request("GET", "/x")).body == b"GET /x [] 0"
         connection.close()
 
 
-async def test_close_lets_what_is_being_answered_end() -> None:
+async def test_close_waits_for_requests_that_are_being_answered() -> None:
     started = asyncio.Event()
     release = asyncio.Event()
 
-    async def slow(request: Request) -> Response:
+    async def slow(_: Request) -> Response:
         started.set()
         await release.wait()
         return Response(200, b"done")
 
     async with serving(slow) as server:
-        answer = asyncio.create_task(raw(server, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"))
+        answer = asyncio.create_task(exchange_raw(server, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n"))
         await started.wait()
         closing = asyncio.create_task(server.close(10))
         await asyncio.sleep(0)
@@ -190,7 +197,7 @@
         await closing
 
 
-async def test_what_was_not_sent_is_told_from_what_may_have_arrived() -> None:
+async def test_a_request_that_was_not_sent_is_told_from_one_that_may_have_arrived() -> None:
     async def handler(request: Request) -> Response:
         if request.path == "/break":
             raise Abort
@@ -201,15 +208,15 @@
         with pytest.raises(NoAnswerError):
             await connection.request("POST", "/break", b"x")
         assert not connection.usable
+        other = await HttpConnection.open(HOST, server.port)
         with pytest.raises(NotSentError):
-            again = await HttpConnection.open(HOST, server.port)
-            await again.request("POST", "/", b"x", before_send=lambda: False)
+            await other.request("POST", "/", b"x", before_send=lambda: False)
         port = server.port
     with pytest.raises(NotSentError):
         await HttpConnection.open(HOST, port)
 
 
-async def test_a_connection_that_the_server_closed_while_idle_is_not_used() -> None:
+async def test_a_connection_that_the_server_closed_while_idle_is_not_reused() -> None:
     async with serving(limits=HttpLimits(idle_timeout_s=0.05)) as server:
         pool = HttpPool(HOST, server.port, 1, 5.0)
         for _ in range(3):
@@ -221,7 +228,7 @@
         pool.close()
 
 
-async def test_a_pool_is_bounded_and_waits_no_longer_than_told() -> None:
+async def test_a_pool_is_bounded_and_waits_no_longer_than_its_timeout() -> None:
     async with serving() as server:
         pool = HttpPool(HOST, server.port, 2, 0.1)
         first, second = await pool.acquire(), await pool.acquire()
@@ -238,12 +245,14 @@
         await asyncio.gather(cancelled, return_exceptions=True)
         pool.release(second)
         pool.release(third)
-        assert [await pool.acquire(), await pool.acquire()] and pool.open <= 2
+        await pool.acquire()
+        await pool.acquire()
+        assert pool.open <= 2
         pool.close()
 
 
 async def test_a_cancelled_request_breaks_its_connection() -> None:
-    async def never(request: Request) -> Response:
+    async def never(_: Request) -> Response:
         await asyncio.Event().wait()
         raise AssertionError
 
@@ -255,5 +264,6 @@
         request.cancel()
         await asyncio.gather(request, return_exceptions=True)
         pool.release(connection)
-        assert not connection.usable and pool.open == 0
+        assert not connection.usable
+        assert pool.open == 0
         server.abort()
