--- a/kelpfront/client/bindings.py
+++ b/kelpfront/client/bindings.py
@@ -19,8 +19,8 @@
 from kelpfront.api.meta import name_of_token
 from kelpfront.client.interface import ServerUnreachableError
 from kelpfront.client.retry import Discipline
-from kelpfront.rpc.bounds import STREAM_JOBS_MOST
-from kelpfront.rpc.convert import spec_message
+from kelpfront.rpc.jobs import spec_message
+from kelpfront.rpc.limits import MAX_STREAM_JOBS
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import resources_pb2
 
@@ -77,8 +77,8 @@
             raise ValueError("a job on a stream needs a client token: the stream may break at any time")
         if ref in self._jobs:
             raise ValueError(f"{ref!r} is on this stream already")
-        if len(self._jobs) >= STREAM_JOBS_MOST:
-            raise OverflowError(f"{STREAM_JOBS_MOST} jobs are not at their end, which is the most")
+        if len(self._jobs) >= MAX_STREAM_JOBS:
+            raise OverflowError(f"{MAX_STREAM_JOBS} jobs are not at their end, which is the most")
         metadata = resources_pb2.ObjectMeta(name=name, labels=labels or {})
         message = spec_message(spec.model_dump(by_alias=True, exclude_none=True))
         submit = pb.BindingsRequest.Submit(ref=ref, metadata=metadata, spec=message)
--- a/kelpfront/client/grpc.py
+++ b/kelpfront/client/grpc.py
@@ -23,7 +23,8 @@
 from kelpfront.client.bindings import BindingsClient
 from kelpfront.client.disciplined import DisciplinedClient, Marks
 from kelpfront.client.interface import ServerUnreachableError
-from kelpfront.rpc.convert import job_object, machine_object, spec_message
+from kelpfront.rpc.jobs import job_object, spec_message
+from kelpfront.rpc.machines import machine_object
 from kelpfront.rpc.status import error_of
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
--- a/kelpfront/fronts/grpc/services.py
+++ b/kelpfront/fronts/grpc/services.py
@@ -17,7 +17,9 @@
 from kelpfront.controller.operations import Operations
 from kelpfront.fronts.grpc.bindings import BindingsStream, abort, mark_of, sent_at_of
 from kelpfront.http.pacing import RequestPacer
-from kelpfront.rpc.convert import job_data, job_message, machine_message, refuse_unknown
+from kelpfront.rpc.jobs import job_data, job_message
+from kelpfront.rpc.machines import machine_message
+from kelpfront.rpc.unknown_fields import refuse_unknown
 from kelpfront.store import Watch, WatchEvent
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc as rpc
--- a/kelpfront/fronts/grpc/session.py
+++ b/kelpfront/fronts/grpc/session.py
@@ -12,9 +12,10 @@
 
 from kelpfront.api.errors import ApiError, Cause
 from kelpfront.api.meta import Object
-from kelpfront.rpc.bounds import STREAM_JOBS_MOST
-from kelpfront.rpc.convert import STATES, duration_message
+from kelpfront.rpc.enums import TASK_STATES
+from kelpfront.rpc.limits import MAX_STREAM_JOBS
 from kelpfront.rpc.status import code_of
+from kelpfront.rpc.times import duration_message
 from kelpfront.v1 import api_pb2 as pb
 
 REJECTIONS_MOST = 1_000  # that a client has not taken; one that goes on without taking any is cut off
@@ -73,10 +74,10 @@
             raise ApiError(400, f"ref: {len(ref)} characters; 1 to {REF_MOST} are allowed")
         if ref in self._entries:
             raise ApiError(409, f"ref: {ref!r} is on this stream already", reason="AlreadyExists")
-        if len(self._entries) >= STREAM_JOBS_MOST:
+        if len(self._entries) >= MAX_STREAM_JOBS:
             raise ApiError(
                 429,
-                f"{STREAM_JOBS_MOST} jobs of this stream are not at their end, which is the most",
+                f"{MAX_STREAM_JOBS} jobs of this stream are not at their end, which is the most",
                 retry_after_s=1,
             )
 
@@ -167,7 +168,7 @@
             told.over = True
             over = Event.Over(
                 index=index,
-                state=STATES[task["state"]],
+                state=TASK_STATES.numbers[task["state"]],
                 exit_code=task.get("exitCode"),
                 reason=task.get("reason", ""),
             )
--- a/kelpfront/lab/protocols.py
+++ b/kelpfront/lab/protocols.py
@@ -27,7 +27,7 @@
 from kelpfront.lab.process import Placer, stand_in_machines
 from kelpfront.lab.setup import make_hosts
 from kelpfront.lab.standins import FleetModel
-from kelpfront.rpc.convert import spec_message
+from kelpfront.rpc.jobs import spec_message
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc
 
--- a/kelpfront/rpc/status.py
+++ b/kelpfront/rpc/status.py
@@ -1,13 +1,14 @@
 """Errors of the API as gRPC status with google.rpc details, and back; one to one with the REST API's Status.
 
-The status code is the nearest of gRPC's. What tells two REST reasons of one code apart is the reason itself,
-in `ErrorInfo`. A status without `ErrorInfo` is not the placer's word: it came from the transport, and whether
-the call arrived is for the caller to judge.
+The status code is the nearest of gRPC's. Two REST reasons with the same code are told apart by the reason
+itself, in `ErrorInfo`. A status without `ErrorInfo` is not from the placer but from the transport; whether
+the call arrived is for the caller to decide.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import grpc
 from google.rpc import code_pb2, error_details_pb2, status_pb2
@@ -48,12 +49,21 @@
 }
 
 
+class _Details(NamedTuple):
+    """What the details of a placer's status say."""
+
+    info: error_details_pb2.ErrorInfo
+    causes: tuple[Cause, ...]
+    retry_after_s: int
+
+
 def code_of(error: ApiError) -> grpc.StatusCode:
+    """Return the gRPC status code for an error."""
     return CODE_OF_REASON.get(error.reason, grpc.StatusCode.UNKNOWN)
 
 
-def status_of(error: ApiError) -> status_pb2.Status:
-    """The whole status, with its details."""
+def status_message(error: ApiError) -> status_pb2.Status:
+    """Return the complete status, with its details."""
     code: int = code_of(error).value[0]
     status = status_pb2.Status(code=code, message=error.message)
     metadata = {"code": str(error.code)}
@@ -79,44 +89,54 @@
 
 
 def trailers(error: ApiError) -> tuple[tuple[str, bytes], ...]:
-    return ((DETAILS_KEY, status_of(error).SerializeToString()),)
+    """Return the trailing metadata of a call that ends with an error."""
+    return ((DETAILS_KEY, status_message(error).SerializeToString()),)
 
 
 def error_of(
     code: grpc.StatusCode, message: str, metadata: Iterable[tuple[str, str | bytes]] | None
 ) -> ApiError | None:
-    """The placer's error that a call ended with; None where the status is the transport's."""
+    """Return the placer's error that a call ended with, or None where the status is the transport's."""
     raw = next((value for key, value in metadata or () if key == DETAILS_KEY), None)
-    if not isinstance(raw, bytes):
+    details = _read_details(raw) if isinstance(raw, bytes) else None
+    if details is None:
         return None
+    http_status = details.info.metadata.get("code", "")
+    return ApiError(
+        int(http_status) if http_status.isdigit() else HTTP_OF_CODE.get(code, 500),
+        message,
+        reason=details.info.reason,
+        name=details.info.metadata.get("name", ""),
+        causes=details.causes,
+        retry_after_s=details.retry_after_s,
+    )
+
+
+def _read_details(raw: bytes) -> _Details | None:
+    """Return the details of a serialized status, or None where it is not a placer's."""
     status = status_pb2.Status()
     try:
         status.ParseFromString(raw)
     except Exception:  # DecodeError is not exported by all versions
         return None
     info = error_details_pb2.ErrorInfo()
-    found = False
+    has_info = False
     causes: tuple[Cause, ...] = ()
     retry_after_s = 0
     for detail in status.details:
-        violations, retry = error_details_pb2.BadRequest(), error_details_pb2.RetryInfo()
+        bad_request, retry = error_details_pb2.BadRequest(), error_details_pb2.RetryInfo()
         if detail.Is(info.DESCRIPTOR):
-            found = detail.Unpack(info)
-        elif detail.Is(violations.DESCRIPTOR) and detail.Unpack(violations):
-            causes = tuple(Cause(v.field, v.description, v.reason) for v in violations.field_violations)
+            has_info = detail.Unpack(info)
+        elif detail.Is(bad_request.DESCRIPTOR) and detail.Unpack(bad_request):
+            causes = tuple(
+                Cause(violation.field, violation.description, violation.reason)
+                for violation in bad_request.field_violations
+            )
         elif detail.Is(retry.DESCRIPTOR) and detail.Unpack(retry):
             retry_after_s = max(1, round(retry.retry_delay.ToTimedelta().total_seconds()))
-    if not found or info.domain != DOMAIN:
+    if not has_info or info.domain != DOMAIN:
         return None
-    http = info.metadata.get("code", "")
-    return ApiError(
-        int(http) if http.isdigit() else HTTP_OF_CODE.get(code, 500),
-        message,
-        reason=info.reason,
-        name=info.metadata.get("name", ""),
-        causes=causes,
-        retry_after_s=retry_after_s,
-    )
+    return _Details(info, causes, retry_after_s)
 
 
 assert {code.value[0] for code in CODE_OF_REASON.values()} <= set(code_pb2.Code.values())
--- a/tests/client/test_clients.py
+++ b/tests/client/test_clients.py
@@ -39,7 +39,7 @@
     untold,
 )
 from kelpfront.client.sync import SyncClient
-from kelpfront.rpc.bounds import STREAM_JOBS_MOST
+from kelpfront.rpc.limits import MAX_STREAM_JOBS
 from kelpfront.service.app import PlacerService
 
 BOTH = pytest.mark.parametrize("protocol", ["rest", "grpc"])
@@ -416,7 +416,7 @@
     async def run() -> None:
         async with GrpcClient("127.0.0.1:1") as client:
             stream = client.bindings("climate")
-            for number in range(STREAM_JOBS_MOST):
+            for number in range(MAX_STREAM_JOBS):
                 stream.submit(f"r{number}", spec(client_token=f"t{number}"))
             with pytest.raises(OverflowError, match="which is the most"):
                 stream.submit("more", spec(client_token="more"))
--- a/tests/fronts/test_grpc.py
+++ b/tests/fronts/test_grpc.py
@@ -22,8 +22,9 @@
 from kelpfront.api.jobs import JOB_INPUT
 from kelpfront.api.meta import JOBS, MACHINES
 from kelpfront.fronts.grpc.session import CREDITS_MOST, REJECTIONS_MOST, BindingSession
-from kelpfront.rpc.bounds import STREAM_JOBS_MOST
-from kelpfront.rpc.convert import job_data, job_object, machine_message, machine_object, spec_message
+from kelpfront.rpc.jobs import job_data, job_object, spec_message
+from kelpfront.rpc.limits import MAX_STREAM_JOBS
+from kelpfront.rpc.machines import machine_message, machine_object
 from kelpfront.rpc.status import CODE_OF_REASON, code_of, error_of, trailers
 from kelpfront.service.app import PlacerService
 from kelpfront.v1 import api_pb2 as pb
@@ -554,7 +555,7 @@
 
 def test_a_session_is_bounded() -> None:
     session = BindingSession(False)
-    for number in range(STREAM_JOBS_MOST):
+    for number in range(MAX_STREAM_JOBS):
         session.check_ref(f"r{number}")
         session.submitted(f"r{number}", session_job("Pending", attempts=0), True)
     with pytest.raises(ApiError, match="which is the most"):
--- a/tests/project/test_fuzz.py
+++ b/tests/project/test_fuzz.py
@@ -29,7 +29,7 @@
 from kelpfront.lab.timeline.loop import VirtualLoop, run
 from kelpfront.lab.timeline.network import Network, at
 from kelpfront.lab.timeline.script import ScriptError, read_day
-from kelpfront.rpc.convert import job_data
+from kelpfront.rpc.jobs import job_data
 from kelpfront.v1 import api_pb2
 
 CORPUS = Path(__file__).parents[1] / "corpus"
