--- a/kelpfront/lab/standin.py
+++ b/kelpfront/lab/standin.py
@@ -15,7 +15,8 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Literal
 
-from kelpfront.http.server import Abort, HttpLimits, Request, Response
+from kelpfront.http.limits import HttpLimits
+from kelpfront.http.messages import Abort, Request, Response
 from kelpfront.lab.recording import Recorder
 from kelpfront.machine.effects import StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.idempotency_records import MachineIdempotencyRecords
@@ -117,7 +118,7 @@
         if troubles.reset_share and standin.rng.random() < troubles.reset_share:
             standin.record("answer", task=key[0], attempt=key[1], answer="lost")
             raise Abort
-        delivered = not (request.peer.gone or request.peer.half_closed)
+        delivered = not (request.peer.closed or request.peer.half_closed)
         standin.record(
             "answer",
             task=key[0],
--- a/kelpfront/machine/grpc_link.py
+++ b/kelpfront/machine/grpc_link.py
@@ -12,7 +12,8 @@
 
 import grpc
 
-from kelpfront.http.server import Abort, Peer, Request
+from kelpfront.http.messages import Abort, Request
+from kelpfront.http.peer import Peer
 from kelpfront.machine.grpc_conversion import (
     UnknownValueError,
     answer_message,
@@ -81,9 +82,9 @@
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
-        self._peer.leave()
+        self._peer.mark_closed()
         for peer in list(self._offer_peers.values()):
-            peer.leave()
+            peer.mark_closed()
         self._failed.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
@@ -113,7 +114,7 @@
     def _abandon(self, key: OfferKey) -> None:
         peer = self._offer_peers.get(key)
         if peer is not None:
-            peer.leave()
+            peer.mark_closed()
 
     async def _stop(self, message: pb.Stop) -> None:
         request = StopRequest(self._open.placer, message.task, message.attempt, message.why)
@@ -141,7 +142,7 @@
             offered = OfferRequest(self._open.placer, self._open.incarnation, offer)
             answer = await self._server.answer_offer(offered, request)
         except asyncio.CancelledError:
-            if not peer.gone:
+            if not peer.closed:
                 raise
             return  # abandoned: nobody waits for the answer
         finally:
--- a/kelpfront/machine/grpc_server.py
+++ b/kelpfront/machine/grpc_server.py
@@ -11,7 +11,7 @@
 
 import grpc
 
-from kelpfront.http.server import Abort
+from kelpfront.http.messages import Abort
 from kelpfront.machine.grpc_link import PlacerLink
 from kelpfront.machine.server import MachineServer
 from kelpfront.v1 import node_pb2 as pb
--- a/kelpfront/machine/message_stream.py
+++ b/kelpfront/machine/message_stream.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from kelpfront.http.server import Peer
+from kelpfront.http.peer import Peer
 from kelpfront.machine.messages import Heartbeat, Sequenced, StreamMessage
 from kelpfront.machine.node import Node
 
--- a/kelpfront/machine/server.py
+++ b/kelpfront/machine/server.py
@@ -14,7 +14,10 @@
 
 import msgspec
 
-from kelpfront.http.server import HttpLimits, HttpServer, Peer, Request, Response
+from kelpfront.http.limits import HttpLimits
+from kelpfront.http.messages import Request, Response
+from kelpfront.http.peer import Peer
+from kelpfront.http.server import HttpServer
 from kelpfront.machine.effects import AnswerOffer, Effect, StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.message_stream import PlacerStream, StreamHooks, StreamReader
 from kelpfront.machine.messages import (
@@ -240,7 +243,7 @@
 
     def _has_ended(self, stream: PlacerStream) -> bool:
         was_replaced = self._streams.get(stream.placer) is not stream
-        return was_replaced or self.closed.is_set() or stream.peer.gone
+        return was_replaced or self.closed.is_set() or stream.peer.closed
 
     # ---- Hooks --------------------------------------------------------------------------------------------
 
--- a/tests/machine/test_grpc_link.py
+++ b/tests/machine/test_grpc_link.py
@@ -10,7 +10,7 @@
 from machines import InstantRuntime, node_settings, offer
 from waiting import until
 
-from kelpfront.http.server import Abort
+from kelpfront.http.messages import Abort
 from kelpfront.machine.grpc_conversion import offer_message
 from kelpfront.machine.grpc_link import PlacerLink
 from kelpfront.machine.model import Incarnation
