--- a/kelpfront/lab/policies.py
+++ b/kelpfront/lab/policies.py
@@ -11,52 +11,80 @@
 from typing import Any
 
 from kelpfront.controller.controller import Controller
+from kelpfront.scheduling.capacity import Capacity
 from kelpfront.scheduling.events import MachineId
 from kelpfront.scheduling.model import Machine, Task
-from kelpfront.scheduling.scheduler import Scheduler, _home
-from kelpfront.scheduling.settings import TaskClass
+from kelpfront.scheduling.offer_backoff import OfferBackoff
+from kelpfront.scheduling.outlier_detection import OutlierDetector
+from kelpfront.scheduling.placement import Placement
+from kelpfront.scheduling.preferences import preference
+from kelpfront.scheduling.scheduler import Scheduler
+from kelpfront.scheduling.settings import SchedulerSettings, TaskClass
+from kelpfront.scheduling.utilization import Utilization
 
 
-class _Plain(Scheduler):
-    """Room and the rules alone: machines that serve badly are not avoided, and nothing is learned of use."""
+class _NoBackoff(OfferBackoff):
+    def on_rejection(self) -> None:
+        pass
+
 
-    def _fits_health(self, cls: TaskClass, machine: Machine) -> bool:
+class _NoOutliers(OutlierDetector):
+    def admits(self, task_class: TaskClass, machine: Machine) -> bool:
         return True
 
-    def _calm(self, task: Task, machines: list[Machine]) -> list[Machine]:
+
+class _NoUtilization(Utilization):
+    def select(self, task: Task, machines: list[Machine]) -> list[Machine]:
         return machines
 
-    def _hold(self) -> None:
-        pass
+
+class _Plain(Scheduler):
+    """Room and the rules alone: machines that serve badly are not avoided, and nothing is learned of use."""
+
+    backoff_type = _NoBackoff
+    outliers_type = _NoOutliers
+    utilization_type = _NoUtilization
+
+
+class _RandomPlacement(Placement):
+    def choose(self, task: Task) -> Machine | None:
+        passing = self.candidates(task).passing
+        return self._context.random.choice(passing) if passing else None
 
 
 class RandomChoice(_Plain):
     """Any machine that has room."""
 
-    def _pick(self, task: Task) -> Machine | None:
-        passing, _ = self._candidates(task)
-        return self._random.choice(passing) if passing else None
+    placement_type = _RandomPlacement
+
+
+class _LeastLoadedPlacement(Placement):
+    def choose(self, task: Task) -> Machine | None:
+        def share(machine: Machine) -> float:
+            return max(machine.requested_cores / machine.cores, machine.requested_memory / machine.memory)
+
+        passing = self.candidates(task).passing
+        return min(passing, key=lambda m: (share(m), preference(task.service, m.id)), default=None)
 
 
 class LeastLoaded(_Plain):
     """The machine of which the least is asked for, by what this placer knows."""
 
-    def _pick(self, task: Task) -> Machine | None:
-        def share(machine: Machine) -> float:
-            return max(machine.asked_cores / machine.cores, machine.asked_memory / machine.memory)
+    placement_type = _LeastLoadedPlacement
 
-        passing, _ = self._candidates(task)
-        return min(passing, key=lambda m: (share(m), _home(task.service, m.id)), default=None)
+
+class _PreferringPlacement(Placement):
+    def choose(self, task: Task) -> Machine | None:
+        passing = self.candidates(task).passing
+        running = {attempt.machine for attempt in self._attempts.of_service(task.service)}
+        best = [m for m in passing if m in running] or passing
+        return min(best, key=lambda m: preference(task.service, m.id), default=None)
 
 
 class WithoutGuardrails(Scheduler):
     """The module's filters and its preference for where a service runs, without counters between placers."""
 
-    def _pick(self, task: Task) -> Machine | None:
-        passing, _ = self._candidates(task)
-        held = {id(a.machine) for a in self._services.get(task.service, {}).values()}
-        near = [m for m in passing if id(m) in held] or passing
-        return min(near, key=lambda m: _home(task.service, m.id), default=None)
+    placement_type = _PreferringPlacement
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,31 +98,62 @@
     programs: frozenset[int]  # numbers of the services whose start is cheap there
 
 
-class PerfectKnowledge(Scheduler):
-    """Sees every machine as it is, with all placers' tasks; the laboratory sets `truth`. None: not usable."""
+KnowsMachine = Callable[[MachineId], Truth | None]
+
+
+def _knows_nothing(machine: MachineId) -> Truth | None:
+    return None
+
 
-    truth: Callable[[MachineId], Truth | None] = staticmethod(lambda machine: None)
+class _PerfectCapacity(Capacity):
+    truth: KnowsMachine = staticmethod(_knows_nothing)
 
-    def _roomy(self, task: Task, machines: list[Machine]) -> list[Machine]:
+    def select(self, task: Task, machines: list[Machine]) -> list[Machine]:
         seen = [(m, self.truth(m.id)) for m in machines]
         cores, memory = task.cores, task.memory
         return [m for m, its in seen if its and its.free_cores >= cores and its.free_memory >= memory]
 
-    def _fits_health(self, cls: TaskClass, machine: Machine) -> bool:
+
+class _PerfectOutliers(OutlierDetector):
+    truth: KnowsMachine = staticmethod(_knows_nothing)
+
+    def admits(self, task_class: TaskClass, machine: Machine) -> bool:
         its = self.truth(machine.id)
-        return its is not None and cls.name not in its.failing
+        return its is not None and task_class.name not in its.failing
 
-    def _hold(self) -> None:
-        pass
 
-    def _pick(self, task: Task) -> Machine | None:
-        def good(machine: Machine) -> tuple[bool, float]:
+class _PerfectPlacement(Placement):
+    truth: KnowsMachine = staticmethod(_knows_nothing)
+
+    def choose(self, task: Task) -> Machine | None:
+        def rating(machine: Machine) -> tuple[bool, float] | None:
             its = self.truth(machine.id)
-            assert its is not None
+            if its is None or task.task_class.name in its.failing:
+                return None
             return task.service in its.programs, its.free_cores / its.cores
 
-        passing = [m for m in self._candidates(task)[0] if self._fits_health(task.cls, m)]
-        return max(passing, key=lambda m: (good(m), -_home(task.service, m.id)), default=None)
+        rated = [(m, rating(m)) for m in self.candidates(task).passing]
+        usable = [(its, -preference(task.service, m.id), m) for m, its in rated if its is not None]
+        return max(usable, key=lambda entry: entry[:2], default=(None, None, None))[2]
+
+
+class PerfectKnowledge(Scheduler):
+    """Sees every machine as it is, with all placers' tasks; the laboratory tells it. None: not usable."""
+
+    backoff_type = _NoBackoff
+    capacity_type = _PerfectCapacity
+    outliers_type = _PerfectOutliers
+    placement_type = _PerfectPlacement
+
+    def __init__(self, settings: SchedulerSettings, seed: int) -> None:
+        super().__init__(settings, seed)
+        self.tell_truth(_knows_nothing)
+
+    def tell_truth(self, truth: KnowsMachine) -> None:
+        """Set what says how a machine really is."""
+        for part in (self._capacity, self._outliers, self._placement):
+            assert isinstance(part, _PerfectCapacity | _PerfectOutliers | _PerfectPlacement)
+            part.truth = truth
 
 
 POLICIES: dict[str, type[Scheduler]] = {
--- a/kelpfront/lab/timeline/emulation.py
+++ b/kelpfront/lab/timeline/emulation.py
@@ -188,7 +188,7 @@
             placer.service = service
             decides = service.heart._scheduler
             if isinstance(decides, PerfectKnowledge):
-                decides.truth = functools.partial(self._truth, service)
+                decides.tell_truth(functools.partial(self._truth, service))
             self._record_ends(service)
             await service.start()
         with contextlib.suppress(TimeoutError):
--- a/kelpfront/lab/wrongplacers.py
+++ b/kelpfront/lab/wrongplacers.py
@@ -220,23 +220,24 @@
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
-        count, kept = self._scheduler._taken, dict[int, tuple[float, Any]]()
+        constraints = self._scheduler._constraints
+        count, kept = constraints.spread_counts, dict[int, tuple[float, Any]]()
 
         def taken(task: Any) -> Any:
             at, found = kept.get(task.service, (-math.inf, None))
-            now = self._scheduler._now
+            now = self._scheduler._context.now
             if now - at >= 1_000.0:
                 at, found = kept[task.service] = now, count(task)
             return found
 
-        self._scheduler._taken = taken  # type: ignore[method-assign]
+        constraints.spread_counts = taken  # type: ignore[method-assign]
 
 
 class StopsLate(Controller):
     """Strays: copies that nobody wants are stopped, after ten seconds."""
 
     def _stop(self, host: str, uid: str, wire_number: int, why: str) -> None:
-        now = self._scheduler._now
+        now = self._scheduler._context.now
         self._timers.set(
             now + 10_000.0, lambda then: super(StopsLate, self)._stop(host, uid, wire_number, why)
         )
@@ -305,8 +306,8 @@
         super()._close(now, attempt, how, *args, **more)
         known = self._scheduler._tasks.get(attempt.task.number)
         if known is not None and how is not AttemptOutcome.REJECTED:
-            known.sent = 0
-            known.maybe_ran.clear()
+            known.attempt_count = 0
+            known.possibly_executed.clear()
 
 
 WRONG: dict[str, type[Controller]] = {
--- a/kelpfront/scheduling/model.py
+++ b/kelpfront/scheduling/model.py
@@ -1,6 +1,7 @@
-"""What the decisions remember of machines, tasks and attempts. Plain state: nothing is decided here.
+"""The records of machines, tasks and attempts that the parts of a scheduler work on.
 
-Times are milliseconds on the clock of the events; cores and memory are in the units of the deployment.
+Nothing is decided here. Times are milliseconds on the clock of the events; cores and memory are in the units
+of the deployment. A machine's fields stand in groups, each with the module that changes them.
 """
 
 from __future__ import annotations
@@ -8,147 +9,238 @@
 import math
 from collections import deque
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from kelpfront.scheduling.events import Endpoint, MachineId, MachineState, OutcomeReason, TaskId
-from kelpfront.scheduling.settings import TaskClass
+from kelpfront.scheduling.settings import FailureDomain, TaskClass
 
-Key = tuple[TaskId, int]
-"""A task and the number of one of its attempts."""
-Changes = deque[tuple[float, float, float]]
-"""When, cores, memory."""
+VIEW_LAG_MS = 1500.0
+"""How long an own offer may be missing from the endpoint list: reports, the list and the network are late."""
+
+
+class AttemptKey(NamedTuple):
+    """A task and the number of one of its attempts."""
+
+    task: TaskId
+    number: int
+
+
+class CapacityChange(NamedTuple):
+    """What one offer or one end of an attempt changed of the requested capacity of a machine."""
+
+    at: float
+    cores: float
+    memory: float
+
+
+@dataclass(frozen=True, slots=True)
+class CapacityBlock:
+    """A machine has rejected offers for want of capacity: it gets none as large until a time.
+
+    Attributes:
+        until: when the block ends.
+        minimum: the smallest request that is blocked, in cores or memory by the reason of the rejection.
+    """
+
+    until: float
+    minimum: float
 
 
 @dataclass(slots=True, eq=False)
-class Health:
-    """Bad outcomes, less what good ones took off, and when it is set aside."""
+class OutlierRecord:
+    """Failures of a machine, for one class of tasks or for all, and its ejection.
+
+    Attributes:
+        failure_score: recent failures, less what successes took off.
+        ejection_ms: length of the last ejection, which the next one doubles.
+        ejected_until: when the last ejection ends.
+    """
 
-    strikes: float = 0.0
-    aside_for: float = 0.0
-    aside_until: float = -math.inf
+    failure_score: float = 0.0
+    ejection_ms: float = 0.0
+    ejected_until: float = -math.inf
 
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A machine as the list, its answers and this placer's own binds show it."""
+    """A machine as the endpoint list, its answers and this scheduler's own offers show it.
+
+    Attributes:
+        requested_cores: cores requested there: the list's figure, with own changes that it cannot show yet.
+        requested_memory: the same of memory.
+        counters: the guardrail counter of each size rank (guardrails).
+        slow_start_slot: the slot of the common clock for which `slow_start_offers` counts (slow_start).
+        open_attempts: own attempts there that have not ended (attempts).
+        unaccepted_count: how many of them it has not accepted yet (attempts).
+        reported_cores: cores in use by its last load report, if that said so (utilization).
+        cores_since_report: own changes since that report, which it may lack.
+        capacity_blocks: for each reason of a rejection, what is not offered to it (capacity).
+        draining_until: it has said itself that it drains, which is taken for true until then (feedback).
+        last_migration_at: when a task was last moved away from it (migrations).
+        outlier_records: failures by class name, or for all classes (outlier_detection).
+        last_contact_at: when something was last received from it (health_checks, feedback).
+        missed_health_checks: health checks in a row without an answer (health_checks).
+        last_check_ended_at: when the last health check ended.
+        last_observed_at: when failure detectors last had an answer from it.
+        check_required_from: observations count as a health check only once one has ended after this time.
+    """
 
     id: MachineId
-    view: Endpoint
+    endpoint: Endpoint
     cores: float
     memory: float
-    lag_ms: float  # for which own binds and ends may be missing from the view
-    counters: dict[int, float] = field(default_factory=dict)
-    open: dict[Key, Attempt] = field(default_factory=dict)
-    last_bind: float = -math.inf
-    recent: Changes = field(default_factory=deque)  # own binds and ends that the view may lack
+    is_ready: bool = False
+    listed_cores: float = 0.0
+    listed_memory: float = 0.0
+    recent_changes: deque[CapacityChange] = field(default_factory=deque)
     recent_cores: float = 0.0
     recent_memory: float = 0.0
-    base_cores: float = 0.0
-    base_memory: float = 0.0
-    asked_cores: float = 0.0  # the view's, with own binds and ends that it cannot show yet
-    asked_memory: float = 0.0
-    cold_until: float = -math.inf
-    ready: bool = False
-    awaited: int = 0  # own attempts there without acknowledgement
-    told_cores: float | None = None  # in use by the machine's report, and own changes that it may lack
-    told_memory: float | None = None
-    own_cores: float = 0.0
-    own_memory: float = 0.0
-    load_at: float = -math.inf
-    slot: int = -1  # of the cold budget, and the turns left in it
-    turns: int = 0
-    shut: dict[OutcomeReason, tuple[float, float]] = field(
-        default_factory=dict
-    )  # until when, from which size
-    moved_at: float = -math.inf
-    leaves_until: float = -math.inf  # it has said itself that it drains: taken for true until then
-    heard_at: float = -math.inf
-    probing: bool = False
-    unheard: int = 0  # probes in a row
-    asked_at: float = -math.inf  # the end of the last probe
-    seen_at: float = -math.inf  # alive by what others say
-    check_from: float = -math.inf  # what others say stands for a probe once one has ended after that
-    health: dict[str, Health] = field(default_factory=dict)  # what spoke badly of it, by class or WHOLE
-
-    def show(self, view: Endpoint) -> None:
-        """Take the list's entry."""
-        self.view = view
-        self.ready = view.state is MachineState.READY
-        self.base_cores = self.cores - view.free_cores
-        self.base_memory = self.memory - view.free_memory
-        self._sum()
-
-    def note_change(self, now: float, cores: float, memory: float) -> None:
-        self.recent.append((now, cores, memory))
+    requested_cores: float = 0.0
+    requested_memory: float = 0.0
+    last_offer_at: float = -math.inf
+    counters: dict[int, float] = field(default_factory=dict)
+    warming_until: float = -math.inf
+    slow_start_slot: int = -1
+    slow_start_offers: int = 0
+    open_attempts: dict[AttemptKey, Attempt] = field(default_factory=dict)
+    unaccepted_count: int = 0
+    reported_cores: float | None = None
+    reported_memory: float | None = None
+    cores_since_report: float = 0.0
+    memory_since_report: float = 0.0
+    load_reported_at: float = -math.inf
+    capacity_blocks: dict[OutcomeReason, CapacityBlock] = field(default_factory=dict)
+    draining_until: float = -math.inf
+    last_migration_at: float = -math.inf
+    outlier_records: dict[str, OutlierRecord] = field(default_factory=dict)
+    last_contact_at: float = -math.inf
+    is_being_checked: bool = False
+    missed_health_checks: int = 0
+    last_check_ended_at: float = -math.inf
+    last_observed_at: float = -math.inf
+    check_required_from: float = -math.inf
+
+    def apply_endpoint(self, endpoint: Endpoint) -> None:
+        """Apply an endpoint-list update for this machine."""
+        self.endpoint = endpoint
+        self.is_ready = endpoint.state is MachineState.READY
+        self.listed_cores = self.cores - endpoint.free_cores
+        self.listed_memory = self.memory - endpoint.free_memory
+        self._update_requested()
+
+    def record_change(self, now: float, cores: float, memory: float) -> None:
+        """Add what an own offer requests, or what the end of an own attempt frees."""
+        self.recent_changes.append(CapacityChange(now, cores, memory))
         self.recent_cores += cores
         self.recent_memory += memory
-        self.own_cores += cores
-        self.own_memory += memory
-        self._sum()
-
-    def lapse(self, now: float) -> None:
-        """Drops own changes that the view has by now."""
-        while self.recent and self.recent[0][0] <= now - self.lag_ms:
-            _, cores, memory = self.recent.popleft()
-            self.recent_cores -= cores
-            self.recent_memory -= memory
-        self._sum()
+        self.cores_since_report += cores
+        self.memory_since_report += memory
+        self._update_requested()
+
+    def expire_changes(self, now: float) -> None:
+        """Drop own changes that the endpoint list shows by now."""
+        while self.recent_changes and self.recent_changes[0].at <= now - VIEW_LAG_MS:
+            change = self.recent_changes.popleft()
+            self.recent_cores -= change.cores
+            self.recent_memory -= change.memory
+        self._update_requested()
 
     @property
-    def alive_at(self) -> float:
+    def last_alive_at(self) -> float:
         """When any path last showed it alive."""
-        return max(self.heard_at, self.seen_at)
+        return max(self.last_contact_at, self.last_observed_at)
 
     @property
-    def quiet_from(self) -> float:
-        """When it was last heard; or seen by others, where that may stand for a probe."""
-        heard_at = self.heard_at
-        if self.seen_at <= heard_at or self.check_from > max(heard_at, self.asked_at):
-            return heard_at
-        return self.seen_at
-
-    def see(self, now: float, at: float, ask: bool) -> None:
-        """Take what others say."""
-        self.seen_at = max(self.seen_at, at)
-        if ask:
-            self.check_from = now
-
-    def probe_ended(self, now: float) -> None:
-        self.probing, self.asked_at = False, now
-
-    def start_anew(self) -> None:
-        """A new life: what was known of the former one says nothing of it."""
-        self.health.clear()
-        self.recent.clear()
-        self.recent_cores = self.recent_memory = 0.0
-        self.load_at = self.leaves_until = -math.inf
-        self._sum()
-
-    def _sum(self) -> None:
-        """Kept on each change: a pick reads the sums of all machines, several times."""
-        cores, memory = self.base_cores + self.recent_cores, self.base_memory + self.recent_memory
-        self.asked_cores = cores if cores > 0 else 0.0
-        self.asked_memory = memory if memory > 0 else 0.0
+    def silent_since(self) -> float:
+        """When it was last in contact, or last observed where an observation counts as a health check."""
+        last_contact_at = self.last_contact_at
+        is_check_required = self.check_required_from > max(last_contact_at, self.last_check_ended_at)
+        if self.last_observed_at <= last_contact_at or is_check_required:
+            return last_contact_at
+        return self.last_observed_at
+
+    def record_observation(self, now: float, observed_at: float, *, check_anyway: bool) -> None:
+        """Add that a failure detector had an answer to what it sent at `observed_at` or later."""
+        self.last_observed_at = max(self.last_observed_at, observed_at)
+        if check_anyway:
+            self.check_required_from = now
+
+    def end_health_check(self, now: float) -> None:
+        """Add that the health check under way has ended, with or without an answer."""
+        self.is_being_checked = False
+        self.last_check_ended_at = now
+
+    def reset_incarnation(self) -> None:
+        """Forget the incarnation before a restart: what was known of it says nothing of the new one."""
+        self.outlier_records.clear()
+        self.recent_changes.clear()
+        self.recent_cores = 0.0
+        self.recent_memory = 0.0
+        self.load_reported_at = -math.inf
+        self.draining_until = -math.inf
+        self._update_requested()
+
+    def domain_id(self, domain: FailureDomain) -> int:
+        """Return the number of the failure domain that the machine is in; 0 for `NONE` and `ALL`."""
+        match domain:
+            case FailureDomain.MACHINE:
+                return self.id
+            case FailureDomain.CELL:
+                return self.endpoint.cell
+            case FailureDomain.ZONE:
+                return self.endpoint.zone
+        return 0
+
+    def _update_requested(self) -> None:
+        # Kept on each change: one choice of a machine reads the sums of all machines, several times.
+        cores = self.listed_cores + self.recent_cores
+        memory = self.listed_memory + self.recent_memory
+        self.requested_cores = cores if cores > 0 else 0.0
+        self.requested_memory = memory if memory > 0 else 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
+    """One offer of a task to a machine.
+
+    Attributes:
+        machine: where it is; None for a task that was found on a machine which no list has named yet.
+        is_accepted: whether the machine has acknowledged it.
+        is_reported: whether the machine has sent a status report on it, so that it runs there.
+    """
+
     task: Task
     number: int
     machine: Machine | None
     sent_at: float
-    placed: bool = False
-    noted: bool = False  # the machine has told how it fares: it runs there
+    is_accepted: bool = False
+    is_reported: bool = False
+
+    @property
+    def key(self) -> AttemptKey:
+        """The key of the attempt in tables."""
+        return AttemptKey(self.task.id, self.number)
 
 
 @dataclass(slots=True, eq=False)
 class Task:
+    """A task that is to be placed, or runs.
+
+    Attributes:
+        deadline: when its final answer is due.
+        attempted_machines: machines where an attempt has ended; a dict, as most tasks have none and an empty
+            set takes three times the memory.
+        possibly_executed: ended attempts of which it is not known that they were not executed.
+        is_answered: whether it needs no further answer: it is placed, over, withdrawn or given up.
+    """
+
     id: TaskId
-    cls: TaskClass
+    task_class: TaskClass
     service: int
     cores: float
     memory: float
     deadline: float = math.inf
-    sent: int = 0
-    tried: dict[MachineId, None] = field(default_factory=dict)
-    maybe_ran: list[Attempt] = field(default_factory=list)
-    answered: bool = False
+    attempt_count: int = 0
+    attempted_machines: dict[MachineId, None] = field(default_factory=dict)
+    possibly_executed: list[Attempt] = field(default_factory=list)
+    is_answered: bool = False
--- /dev/null
+++ b/kelpfront/scheduling/timer_tokens.py
@@ -0,0 +1,40 @@
+"""Tokens of the scheduler's timers: what a timer is for, and the task that it belongs to.
+
+A token is one number on the wire. Its two lowest bits are the kind, the rest is the id of the task.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import NamedTuple
+
+from kelpfront.scheduling.events import TaskId
+
+KIND_BITS = 2
+KIND_MASK = (1 << KIND_BITS) - 1
+
+
+class TimerKind(IntEnum):
+    """What a timer is for. The values are part of the tokens on the wire."""
+
+    RETRY_WAITING = 0
+    POLL_ENDPOINT_LIST = 1
+    TASK_DEADLINE = 2
+    HEALTH_CHECK_SCAN = 3
+
+
+class TimerToken(NamedTuple):
+    """A token taken apart; `task` is 0 for a timer that belongs to no task."""
+
+    kind: TimerKind
+    task: TaskId
+
+
+def encode_token(kind: TimerKind, task: TaskId = 0) -> int:
+    """Return the token of a timer."""
+    return task << KIND_BITS | kind
+
+
+def decode_token(token: int) -> TimerToken:
+    """Return the kind and the task of a token."""
+    return TimerToken(TimerKind(token & KIND_MASK), token >> KIND_BITS)
--- a/tests/scheduling/test_filters.py
+++ b/tests/scheduling/test_filters.py
@@ -15,7 +15,6 @@
 from hypothesis import strategies as st
 
 from kelpfront import Scheduler
-from kelpfront.scheduling import scheduler as tunables
 from kelpfront.scheduling.actions import Bind
 from kelpfront.scheduling.events import (
     AttemptClosed,
@@ -31,8 +30,13 @@
     TaskPlaced,
     TaskStatusReported,
 )
-from kelpfront.scheduling.model import Machine, Task
+from kelpfront.scheduling.model import VIEW_LAG_MS, Machine, Task
 from kelpfront.scheduling.settings import FailureDomain, Idempotency
+from kelpfront.scheduling.utilization import (
+    MAX_LOAD_REPORT_AGE_MS,
+    MAX_MEMORY_UTILIZATION,
+    MIN_SERVED_SHARE,
+)
 
 CLASSES = (
     task_class(Idempotency.IDEMPOTENT, spread_domain=FailureDomain.CELL, max_per_domain=2, priority=0),
@@ -119,35 +123,39 @@
 
     def asked(self, m: Machine) -> tuple[float, float]:
         """By definition: the list's word with all own changes of the last VIEW_LAG_MS."""
-        recent = [c for c in self.changes if c[1] == m.id and c[0] > self.now - tunables.VIEW_LAG_MS]
+        recent = [c for c in self.changes if c[1] == m.id and c[0] > self.now - VIEW_LAG_MS]
         cores = m.cores - self.views[m.id].free_cores + sum(c[2] for c in recent)
         memory = m.memory - self.views[m.id].free_memory + sum(c[3] for c in recent)
         return max(0.0, cores), max(0.0, memory)
 
     def has_room(self, task: Task, m: Machine) -> bool:
-        for reason, (until, least) in m.shut.items():
-            asks = task.memory if reason is OutcomeReason.NO_MEMORY else task.cores
-            if self.now < until and asks >= least:
+        for reason, block in m.capacity_blocks.items():
+            requested = task.memory if reason is OutcomeReason.NO_MEMORY else task.cores
+            if self.now < block.until and requested >= block.minimum:
                 return False
-        (cores, memory), room = self.asked(m), 1 - self.scheduler._unseen
+        (cores, memory), room = self.asked(m), 1 - self.scheduler._capacity.unobserved_share
         return (
             cores + task.cores <= room * self.settings.cores_overcommit * m.cores + 1e-9
             and memory + task.memory <= room * self.settings.memory_overcommit * m.memory + 1e-9
         )
 
     def is_calm(self, task: Task, m: Machine) -> bool:
-        of_all = self.scheduler._ratios
-        ratios = self.scheduler._service_ratios.get(task.service, of_all)
-        cores, memory = (asked * ratio for asked, ratio in zip(self.asked(m), of_all, strict=True))
-        if self.now - m.load_at <= tunables.LOAD_OLD_MS:
-            if m.told_cores is not None:
-                cores = m.told_cores + m.own_cores * of_all[0]
-            if m.told_memory is not None:
-                memory = max(memory, m.told_memory + m.own_memory * of_all[1])
-        busy = task.cls.full_service_utilization + (1 - tunables.SERVED_WELL) * task.cls.degradation_range
+        overall = self.scheduler._utilization.overall_ratios()
+        ratios = self.scheduler._utilization.ratios_of(task.service)
+        requested_cores, requested_memory = self.asked(m)
+        cores, memory = requested_cores * overall.cores, requested_memory * overall.memory
+        if self.now - m.load_reported_at <= MAX_LOAD_REPORT_AGE_MS:
+            if m.reported_cores is not None:
+                cores = m.reported_cores + m.cores_since_report * overall.cores
+            if m.reported_memory is not None:
+                memory = max(memory, m.reported_memory + m.memory_since_report * overall.memory)
+        busy = (
+            task.task_class.full_service_utilization
+            + (1 - MIN_SERVED_SHARE) * task.task_class.degradation_range
+        )
         return (
-            memory + task.memory * ratios[1] <= tunables.MEMORY_SAFE * m.memory + 1e-9
-            and cores + task.cores * ratios[0] <= busy * m.cores + 1e-9
+            memory + task.memory * ratios.memory <= MAX_MEMORY_UTILIZATION * m.memory + 1e-9
+            and cores + task.cores * ratios.cores <= busy * m.cores + 1e-9
         )
 
 
@@ -159,16 +167,16 @@
         fleet.step()
         scheduler = fleet.scheduler
         scheduler.handle(fleet.now, TaskArrived(-1, -1, 0, 1.0, 1.0, 0.0))  # of no class: only time goes by
-        machines = list(scheduler._machines.values())
+        machines = list(scheduler._fleet.machines.values())
         for m in machines:
             asked = fleet.asked(m)
-            assert math.isclose(m.asked_cores, asked[0], abs_tol=1e-6)
-            assert math.isclose(m.asked_memory, asked[1], abs_tol=1e-6)
+            assert math.isclose(m.requested_cores, asked[0], abs_tol=1e-6)
+            assert math.isclose(m.requested_memory, asked[1], abs_tol=1e-6)
         cores, memory = fleet.random.choice([0.5, 2.0, 9.0]), fleet.random.choice([1.0, 4.0])
         for cls in CLASSES:
             task = Task(0, cls, fleet.random.randrange(5), cores, memory)
             roomy = [m.id for m in machines if fleet.has_room(task, m)]
-            assert [m.id for m in scheduler._roomy(task, machines)] == roomy
-            assert [m.id for m in scheduler._calm(task, machines)] == [
+            assert [m.id for m in scheduler._capacity.select(task, machines)] == roomy
+            assert [m.id for m in scheduler._utilization.select(task, machines)] == [
                 m.id for m in machines if fleet.is_calm(task, m)
             ]
--- a/tests/scheduling/test_mechanism.py
+++ b/tests/scheduling/test_mechanism.py
@@ -21,7 +21,7 @@
     TaskStatusReported,
     TimerFired,
 )
-from kelpfront.scheduling.scheduler import LEAST_TIGHTNESS
+from kelpfront.scheduling.guardrails import MIN_TIGHTNESS
 from kelpfront.scheduling.settings import SchedulerSettings
 
 
@@ -49,7 +49,7 @@
     driver.listing(machine(0, free_cores=290.0, free_memory=900.0), *(machine(n) for n in range(1, 4)))
     counts = place_many(driver, range(120))
     assert (
-        max(counts.values()) - min(counts.values()) <= 3 * LEAST_TIGHTNESS
+        max(counts.values()) - min(counts.values()) <= 3 * MIN_TIGHTNESS
     )  # as the load moves the rank width
 
 
@@ -76,7 +76,7 @@
     driver = Driver(crowded())
     driver.listing(machine(0), machine(1))
     place_many(driver, range(20))
-    fair = 60 / 3 + 2 * LEAST_TIGHTNESS
+    fair = 60 / 3 + 2 * MIN_TIGHTNESS
     driver.listing(machine(2, free_cores=29.0), kind=EndpointListKind.CHANGES)
     assert place_many(driver, range(100, 160), cores=0.1)[2] <= fair
     driver.listing(machine(2, state=MachineState.DRAINING), kind=EndpointListKind.CHANGES)
@@ -89,7 +89,7 @@
     driver = Driver()
     empty = machine(0, free_cores=30.0, free_memory=50.0)
     driver.listing(empty, machine(1, free_cores=1.0), machine(2, free_cores=1.0))
-    machines = driver.scheduler._machines
+    machines = driver.scheduler._fleet.machines
     bound = driver.bind(1, cores=0.5)
     assert bound == 0
     driver.place(1, 0, 0)
@@ -102,7 +102,7 @@
     driver.bind(2, cores=4.0)  # the others' counters come to have ranks of their own
     driver.listing(empty, kind=EndpointListKind.CHANGES, after=5000.0)
     for rank, value in machines[0].counters.items():
-        if not machines[0].open:
+        if not machines[0].open_attempts:
             assert value == min(machines[n].counters.get(rank, 0.0) for n in (1, 2))
 
 
@@ -110,10 +110,10 @@
     driver = Driver()
     driver.listing(machine(0, free_cores=29.0), machine(1))
     first = driver.bind(1)
-    before = dict(driver.scheduler._machines[first].counters)
+    before = dict(driver.scheduler._fleet.machines[first].counters)
     second = only(driver.close(1, 0, first, AttemptOutcome.REJECTED, after=5.0), Bind).machine
     assert second != first
-    assert driver.scheduler._machines[first].counters == before
+    assert driver.scheduler._fleet.machines[first].counters == before
 
 
 def test_the_same_events_give_the_same_actions() -> None:
--- a/tests/scheduling/test_rules.py
+++ b/tests/scheduling/test_rules.py
@@ -29,7 +29,7 @@
     TaskStatusReported,
     TimerFired,
 )
-from kelpfront.scheduling.scheduler import BLIND_MS
+from kelpfront.scheduling.offer_backoff import MAX_STALE_LIST_HOLD_MS
 from kelpfront.scheduling.settings import FailureDomain, Idempotency
 
 FLEET = [machine(n) for n in range(12)]
@@ -371,4 +371,4 @@
     actions, since = driver.arrive(7, patience_ms=8_000.0), driver.now
     while not of(actions, Bind):
         actions = driver.send(TimerFired(0), after=100.0)  # the wake of those that wait
-    assert BLIND_MS <= driver.now - since <= BLIND_MS + 200.0
+    assert MAX_STALE_LIST_HOLD_MS <= driver.now - since <= MAX_STALE_LIST_HOLD_MS + 200.0
