--- a/kelpfront/simhost.py
+++ b/kelpfront/simhost.py
@@ -1,7 +1,7 @@
 """Hosts many isolated schedulers on the simulator's wire: standard input to standard output.
 
-It translates and decides nothing. An exception in a scheduler becomes the wire's fault action; a
-malformed frame becomes one line on standard error and exit code 2.
+It translates and decides nothing. An exception in a scheduler becomes the wire's fault action; a malformed
+frame becomes one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -9,43 +9,83 @@
 import sys
 from typing import BinaryIO
 
-from kelpfront.scheduling.actions import SchedulerAction
 from kelpfront.scheduling.scheduler import Scheduler
-from kelpfront.wire import BadSettings, BailOut, Born, Decoder, Killed, WireError, encode_reply, frames
+from kelpfront.wire import (
+    Decoder,
+    HostAction,
+    HostEvent,
+    InstanceAction,
+    InstanceFailed,
+    InstanceStarted,
+    InstanceStopped,
+    InvalidSettings,
+    WireError,
+    encode_reply,
+    read_frames,
+)
+
+EXIT_BROKEN_PIPE = 1
+EXIT_MALFORMED_FRAME = 2
+
+
+class Host:
+    """The schedulers of one process, by the number of their instance."""
+
+    def __init__(self) -> None:
+        self._schedulers: dict[int, Scheduler] = {}
+
+    def handle(self, now: float, instance: int, event: HostEvent) -> list[HostAction]:
+        """Handle one event of an instance and return its actions.
+
+        A scheduler that raises an exception is stopped, so that it harms no other.
+        """
+        try:
+            return self._handle(now, instance, event)
+        except Exception as error:
+            self._schedulers.pop(instance, None)
+            return [InstanceFailed(f"{type(error).__name__}: {error}")]
+
+    def _handle(self, now: float, instance: int, event: HostEvent) -> list[HostAction]:
+        match event:
+            case InstanceStarted():
+                self._schedulers[instance] = Scheduler(event.settings, event.seed)
+            case InstanceStopped():
+                self._schedulers.pop(instance, None)
+            case InvalidSettings():
+                return [InstanceFailed(event.text)]
+            case _ if instance in self._schedulers:
+                return [*self._schedulers[instance].handle(now, event)]
+        return []
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answers batches until the input ends; raises WireError on a malformed frame."""
+    """Answer batches until the input ends.
+
+    Raises:
+        WireError: a frame is malformed.
+    """
     decoder = Decoder()
-    schedulers: dict[int, Scheduler] = {}
-    for frame in frames(source.read):
-        now, number, events = decoder.batch(frame)
-        reply: list[tuple[int, SchedulerAction | BailOut]] = []
-        for inst, event in events:
-            try:
-                if isinstance(event, Born):
-                    schedulers[inst] = Scheduler(event.settings, event.seed)
-                elif isinstance(event, Killed):
-                    schedulers.pop(inst, None)
-                elif isinstance(event, BadSettings):
-                    reply.append((inst, BailOut(event.text)))
-                elif inst in schedulers:
-                    reply.extend((inst, action) for action in schedulers[inst].handle(now, event))
-            except Exception as error:
-                reply.append((inst, BailOut(f"{type(error).__name__}: {error}")))
-                schedulers.pop(inst, None)
-        sink.write(encode_reply(number, reply))
+    host = Host()
+    for frame in read_frames(source.read):
+        batch = decoder.decode(frame)
+        reply = [
+            InstanceAction(instance, action)
+            for instance, event in batch.events
+            for action in host.handle(batch.now, instance, event)
+        ]
+        sink.write(encode_reply(batch.number, reply))
         sink.flush()
 
 
 def main() -> int:
+    """Serve standard input and output; return the exit code."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
         print(f"kelpfront.simhost: {error}", file=sys.stderr)
-        return 2
+        return EXIT_MALFORMED_FRAME
     except BrokenPipeError:
-        return 1
+        return EXIT_BROKEN_PIPE
     return 0
 
 
--- /dev/null
+++ b/kelpfront/wire/errors.py
@@ -0,0 +1,23 @@
+"""The error of the simulator's wire, and the look-up of the wire's words that raises it."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, TypeVar
+
+T = TypeVar("T")
+
+
+class WireError(ValueError):
+    """A frame that the wire's description does not allow."""
+
+
+def lookup(table: Mapping[Any, T], word: object, what: str) -> T:
+    """Return what a word of the wire stands for.
+
+    Raises:
+        WireError: the word is unknown; the message names it and what it should be.
+    """
+    if not isinstance(word, str | int) or word not in table:
+        raise WireError(f"unknown {what} {word!r:.60}")
+    return table[word]
--- a/tests/scheduling/test_wire.py
+++ b/tests/scheduling/test_wire.py
@@ -21,13 +21,23 @@
     TimerFired,
 )
 from kelpfront.scheduling.settings import FailureDomain, Idempotency
-from kelpfront.wire import BadSettings, BailOut, Born, Decoder, Killed, WireError, encode_reply
+from kelpfront.wire import (
+    Decoder,
+    HostAction,
+    InstanceAction,
+    InstanceFailed,
+    InstanceStarted,
+    InstanceStopped,
+    InvalidSettings,
+    WireError,
+    encode_reply,
+)
 
 MACHINE = 0x0A0B0C0D << 16 | 8080
 
 
 def test_a_batch_with_an_instance_its_list_and_a_task() -> None:
-    _, number, events = Decoder().batch(
+    _, number, events = Decoder().decode(
         frames.batch(
             4,
             77.5,
@@ -39,15 +49,17 @@
     )
     assert number == 4
     (_, born), (_, listed), (inst, arrived) = events
-    assert isinstance(born, Born)
+    assert isinstance(born, InstanceStarted)
     (cls,) = born.settings.classes
     assert (cls.idempotency, cls.idempotency_scope, cls.spread_domain) == (
         Idempotency.IDEMPOTENCY_KEY,
         FailureDomain.CELL,
         FailureDomain.CELL,
     )
-    assert born.settings.endpoint_list_on_request and not born.settings.accepted_when_running
-    assert isinstance(listed, EndpointList) and listed.kind is EndpointListKind.CACHED
+    assert born.settings.endpoint_list_on_request
+    assert not born.settings.accepted_when_running
+    assert isinstance(listed, EndpointList)
+    assert listed.kind is EndpointListKind.CACHED
     assert [(m.id, m.state, m.free_cores) for m in listed.endpoints] == [
         (MACHINE, MachineState.READY, 12.5),
         (MACHINE + 1, MachineState.DRAINING, -3.0),
@@ -58,18 +70,30 @@
 
 def test_an_outcome_with_a_report_of_which_one_value_is_not_finite() -> None:
     decoder = Decoder()
-    decoder.batch(frames.batch(1, 1.0, frames.born(3)))
-    _, _, events = decoder.batch(
+    decoder.decode(frames.batch(1, 1.0, frames.born(3)))
+    _, _, events = decoder.decode(
         frames.batch(2, 2.0, frames.closed(3, 41, MACHINE, 8, 2, 4.0, math.nan, 6.0))
     )
     load = LoadReport(free_cores=4.0, queue=6.0)
     assert events == [
-        (3, AttemptClosed(41, 0, MACHINE, AttemptOutcome.REJECTED, OutcomeReason.NO_MEMORY, False, 7.5, load))
+        (
+            3,
+            AttemptClosed(
+                41,
+                0,
+                MACHINE,
+                AttemptOutcome.REJECTED,
+                OutcomeReason.NO_MEMORY,
+                task_finished=False,
+                elapsed_ms=7.5,
+                load=load,
+            ),
+        )
     ]
 
 
 def test_a_list_number_is_looked_up_in_the_order_of_events() -> None:
-    _, _, events = Decoder().batch(
+    _, _, events = Decoder().decode(
         frames.batch(
             1,
             1.0,
@@ -83,10 +107,10 @@
 
 
 def test_small_records() -> None:
-    _, _, events = Decoder().batch(
+    _, _, events = Decoder().decode(
         frames.batch(1, 1.0, struct.pack(">BIQ", 7, 3, 99), struct.pack(">BI", 10, 3))
     )
-    assert events == [(3, TimerFired(99)), (3, Killed())]
+    assert events == [(3, TimerFired(99)), (3, InstanceStopped())]
 
 
 @pytest.mark.parametrize(
@@ -100,8 +124,8 @@
     ],
 )
 def test_missing_or_impossible_settings_are_named(name: str, settings: dict[str, object]) -> None:
-    _, _, [(_, event)] = Decoder().batch(frames.batch(1, 1.0, frames.born(3, settings)))
-    assert isinstance(event, BadSettings)
+    _, _, [(_, event)] = Decoder().decode(frames.batch(1, 1.0, frames.born(3, settings)))
+    assert isinstance(event, InvalidSettings)
     assert name.lower() in event.text.lower()
 
 
@@ -124,21 +148,19 @@
 )
 def test_malformed_frames_say_what_is_wrong(frame: bytes, says: str) -> None:
     with pytest.raises(WireError, match=says):
-        Decoder().batch(frame)
+        Decoder().decode(frame)
 
 
 def test_replies() -> None:
-    reply = encode_reply(
-        9,
-        [
-            (3, Bind(41, MACHINE, 80.0)),
-            (3, SetTimer(5.5, 2)),
-            (3, Subscribe(True)),
-            (3, Reject(41)),
-            (3, Fail(41)),
-            (3, BailOut("no")),
-        ],
-    )
+    actions: list[HostAction] = [
+        Bind(41, MACHINE, 80.0),
+        SetTimer(5.5, 2),
+        Subscribe(on=True),
+        Reject(41),
+        Fail(41),
+        InstanceFailed("no"),
+    ]
+    reply = encode_reply(9, [InstanceAction(3, action) for action in actions])
     expected = (
         struct.pack(">BIQdIH", 8, 3, 41, 80.0, 0x0A0B0C0D, 8080)
         + struct.pack(">BIdQ", 13, 3, 5.5, 2)
--- a/tests/surfaces/surface_frames.py
+++ b/tests/surfaces/surface_frames.py
@@ -70,11 +70,11 @@
 
 
 def simulator_batch_read() -> bytes:
-    clock, number, events = simulator.Decoder().batch(from_hex(golden("simulator-batch.hex"))["batch"])
+    clock, number, events = simulator.Decoder().decode(from_hex(golden("simulator-batch.hex"))["batch"])
     load_fields = [field.name for field in dataclasses.fields(LoadReport)]
     shown = []
     for instance, event in events:
-        if isinstance(event, simulator.Born):
+        if isinstance(event, simulator.InstanceStarted):
             its_load = [load_fields.index(name) for name in event.load_names]
             shown.append([instance, [event.seed, values(event.settings), its_load]])
         else:
@@ -97,10 +97,12 @@
         ("unsubscribe", Subscribe(False)),
         ("fetch-list", FetchEndpointList()),
         ("log", LogMachineEjected(ident, "once", "timed out", 1500.0)),
-        ("bail-out", simulator.BailOut("no")),
+        ("bail-out", simulator.InstanceFailed("no")),
     ]
-    frames = [(name, simulator.encode_reply(9, [(_INSTANCE, action)])) for name, action in actions]
-    return as_hex([*frames, ("all", simulator.encode_reply(10, [(_INSTANCE, it) for _, it in actions]))])
+    records = [simulator.InstanceAction(_INSTANCE, action) for _, action in actions]
+    names = [name for name, _ in actions]
+    frames = [(name, simulator.encode_reply(9, [it])) for name, it in zip(names, records, strict=True)]
+    return as_hex([*frames, ("all", simulator.encode_reply(10, records))])
 
 
 def datagrams() -> bytes:
