--- a/kelpfront/scheduling/attempts.py
+++ b/kelpfront/scheduling/attempts.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from collections.abc import Collection
 
 from kelpfront.scheduling.context import SchedulingContext
 from kelpfront.scheduling.events import MachineId
@@ -37,9 +37,10 @@
         """Return an open attempt, or None."""
         return self._attempts.get(key)
 
-    def of_service(self, service: int) -> Iterator[Attempt]:
-        """Yield the open attempts of a service."""
-        yield from self._by_service.get(service, {}).values()
+    def of_service(self, service: int) -> Collection[Attempt]:
+        """Return the open attempts of a service."""
+        attempts = self._by_service.get(service)
+        return attempts.values() if attempts is not None else ()
 
     def unaccepted_of(self, task: Task) -> list[Attempt]:
         """Return the open attempts of a task that no machine has accepted."""
--- a/kelpfront/scheduling/constraints.py
+++ b/kelpfront/scheduling/constraints.py
@@ -5,8 +5,7 @@
 
 from __future__ import annotations
 
-from collections import Counter
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from kelpfront.scheduling.attempts import AttemptTable
 from kelpfront.scheduling.context import SchedulingContext
@@ -16,8 +15,7 @@
 from kelpfront.scheduling.slow_start import SlowStart
 
 
-@dataclass(frozen=True, slots=True)
-class SpreadCounts:
+class SpreadCounts(NamedTuple):
     """Open attempts of one service.
 
     Attributes:
@@ -25,7 +23,7 @@
         unlisted: on machines that no list has named yet.
     """
 
-    by_domain: Counter[int]
+    by_domain: dict[int, int]
     unlisted: int
 
 
@@ -61,10 +59,15 @@
     def spread_counts(self, task: Task) -> SpreadCounts:
         """Count the open attempts of the task's service in its spread domain."""
         domain = task.task_class.spread_domain
-        running_on = [attempt.machine for attempt in self._attempts.of_service(task.service)]
-        listed = [m for m in running_on if m is not None]
-        by_domain = Counter(m.domain_id(domain) for m in listed)
-        return SpreadCounts(by_domain, len(running_on) - len(listed))
+        by_domain: dict[int, int] = {}
+        unlisted = 0
+        for attempt in self._attempts.of_service(task.service):
+            if attempt.machine is None:
+                unlisted += 1
+            else:
+                domain_id = attempt.machine.domain_id(domain)
+                by_domain[domain_id] = by_domain.get(domain_id, 0) + 1
+        return SpreadCounts(by_domain, unlisted)
 
     def _select_by_spread(self, task: Task, machines: list[Machine]) -> list[Machine]:
         """Return the machines in whose failure domain the service may run one more task.
--- a/kelpfront/scheduling/filters.py
+++ b/kelpfront/scheduling/filters.py
@@ -95,4 +95,5 @@
 
 
 def _not_attempted(task: Task, machines: list[Machine]) -> list[Machine]:
-    return [m for m in machines if m.id not in task.attempted_machines]
+    attempted = task.attempted_machines
+    return [m for m in machines if m.id not in attempted] if attempted else machines
--- a/kelpfront/scheduling/model.py
+++ b/kelpfront/scheduling/model.py
@@ -182,13 +182,12 @@
 
     def domain_id(self, domain: FailureDomain) -> int:
         """Return the number of the failure domain that the machine is in; 0 for `NONE` and `ALL`."""
-        match domain:
-            case FailureDomain.MACHINE:
-                return self.id
-            case FailureDomain.CELL:
-                return self.endpoint.cell
-            case FailureDomain.ZONE:
-                return self.endpoint.zone
+        if domain is FailureDomain.MACHINE:
+            return self.id
+        if domain is FailureDomain.CELL:
+            return self.endpoint.cell
+        if domain is FailureDomain.ZONE:
+            return self.endpoint.zone
         return 0
 
     def _update_requested(self) -> None:
--- a/kelpfront/scheduling/timer_tokens.py
+++ b/kelpfront/scheduling/timer_tokens.py
@@ -23,6 +23,9 @@
     HEALTH_CHECK_SCAN = 3
 
 
+_KINDS = tuple(TimerKind)
+
+
 class TimerToken(NamedTuple):
     """A token taken apart; `task` is 0 for a timer that belongs to no task."""
 
@@ -37,4 +40,4 @@
 
 def decode_token(token: int) -> TimerToken:
     """Return the kind and the task of a token."""
-    return TimerToken(TimerKind(token & KIND_MASK), token >> KIND_BITS)
+    return TimerToken(_KINDS[token & KIND_MASK], token >> KIND_BITS)
--- a/kelpfront/scheduling/utilization.py
+++ b/kelpfront/scheduling/utilization.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from kelpfront.scheduling.context import SchedulingContext
 from kelpfront.scheduling.events import LoadReport, MachineId
@@ -34,35 +34,24 @@
     memory: float
 
 
-class _RunningMean:
-    """A mean whose first values count in full, as one placer of many gets few, and later ones by a weight."""
-
-    def __init__(self) -> None:
-        self.value = 1.0
-        self._count = 0
-
-    def add(self, value: float) -> None:
-        self._count += 1
-        self.value += max(MIN_REPORT_WEIGHT, 1 / self._count) * (value - self.value)
-
-
 class Utilization:
     """Estimates the use of machines, and filters those with capacity left by use."""
 
     def __init__(self, context: SchedulingContext, fleet: Fleet) -> None:
         self._context = context
         self._fleet = fleet
-        self._cores_ratio = _RunningMean()
-        self._memory_ratio = _RunningMean()
+        self._overall = UsageRatios(1.0, 1.0)
+        self._cores_report_count = 0
+        self._memory_report_count = 0
         self._service_ratios: dict[int, UsageRatios] = {}
 
     def overall_ratios(self) -> UsageRatios:
         """Return the ratios of use to request over all own tasks."""
-        return UsageRatios(self._cores_ratio.value, self._memory_ratio.value)
+        return self._overall
 
     def ratios_of(self, service: int) -> UsageRatios:
         """Return the ratios of a service, or the overall ones while it has none of its own."""
-        return self._service_ratios.get(service) or self.overall_ratios()
+        return self._service_ratios.get(service, self._overall)
 
     def apply_load_report(self, machine_id: MachineId, load: LoadReport | None) -> None:
         """Take over a machine's own report of its load."""
@@ -78,14 +67,16 @@
     def learn_cores(self, task: Task, used_cores: float) -> None:
         """Learn from a report what a task uses of its requested cores."""
         ratio = used_cores / task.cores
-        self._cores_ratio.add(ratio)
+        self._cores_report_count += 1
+        self._overall.cores += _mean_weight(self._cores_report_count) * (ratio - self._overall.cores)
         of_service = self._learned_ratios(task.service)
         of_service.cores += (ratio - of_service.cores) * SERVICE_REPORT_WEIGHT
 
     def learn_memory(self, task: Task, used_memory: float) -> None:
         """Learn from a report what a task uses of its requested memory."""
         ratio = used_memory / task.memory
-        self._memory_ratio.add(ratio)
+        self._memory_report_count += 1
+        self._overall.memory += _mean_weight(self._memory_report_count) * (ratio - self._overall.memory)
         of_service = self._learned_ratios(task.service)
         of_service.memory += (ratio - of_service.memory) * SERVICE_REPORT_WEIGHT
 
@@ -97,8 +88,8 @@
         # One loop without calls: it goes over all machines for each task, and a placer that is late with that
         # is late with all.
         now = self._context.now
-        ratio = self._cores_ratio.value
-        memory_ratio = self._memory_ratio.value
+        ratio = self._overall.cores
+        memory_ratio = self._overall.memory
         of_service = self.ratios_of(task.service)
         more = task.cores * of_service.cores
         more_memory = task.memory * of_service.memory
@@ -120,8 +111,13 @@
     def _learned_ratios(self, service: int) -> UsageRatios:
         ratios = self._service_ratios.get(service)
         if ratios is None:
-            ratios = self._service_ratios[service] = self.overall_ratios()
+            ratios = self._service_ratios[service] = replace(self._overall)
             if len(self._service_ratios) > MAX_LEARNED_SERVICES:
                 # The longest known goes first: services come and go.
                 del self._service_ratios[next(iter(self._service_ratios))]
         return ratios
+
+
+def _mean_weight(report_count: int) -> float:
+    """Return the weight of a report in a mean: the first count in full, as one placer of many gets few."""
+    return max(MIN_REPORT_WEIGHT, 1 / report_count)
