--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,18 +1,20 @@
-"""Settings and events of the tests' own, and a driver that keeps a scheduler's actions."""
+"""Builders of settings and events for tests, and a driver that keeps a scheduler's actions."""
 
 from __future__ import annotations
 
+from collections import Counter
 from dataclasses import replace
 from typing import Any, TypeVar
 
 from kelpfront import Scheduler
-from kelpfront.scheduling.actions import Bind, SchedulerAction
+from kelpfront.scheduling.actions import Bind, SchedulerAction, SetTimer
 from kelpfront.scheduling.events import (
     AttemptClosed,
     AttemptOutcome,
     Endpoint,
     EndpointList,
     EndpointListKind,
+    LoadReport,
     MachineState,
     OutcomeReason,
     SchedulerEvent,
@@ -32,15 +34,15 @@
 A = TypeVar("A", bound=SchedulerAction)
 
 
-def task_class(effect: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> TaskClass:
+def task_class(idempotency: Idempotency = Idempotency.IDEMPOTENT, **changes: Any) -> TaskClass:
     plain = TaskClass(
-        name=effect.value,
+        name=idempotency.value,
         latency_objective_ms=900.0,
         deadline_ms=4000.0,
         priority_weight=2.0,
         start_utility_s=9.0,
         late_start_share=0.3,
-        idempotency=effect,
+        idempotency=idempotency,
         idempotency_scope=FailureDomain.ZONE,
         idempotency_window_ms=7000.0,
         priority=1,
@@ -117,12 +119,12 @@
     def __init__(self, its_settings: SchedulerSettings | None = None, seed: int = 7) -> None:
         self.scheduler = Scheduler(its_settings or settings(), seed)
         self.now = 1000.0
-        self.done: list[tuple[float, SchedulerAction]] = []
+        self.history: list[tuple[float, SchedulerAction]] = []
 
     def send(self, event: SchedulerEvent, after: float = 0.0) -> list[SchedulerAction]:
         self.now += after
         actions = self.scheduler.handle(self.now, event)
-        self.done.extend((self.now, action) for action in actions)
+        self.history.extend((self.now, action) for action in actions)
         return actions
 
     def listing(
@@ -134,25 +136,40 @@
         self, task: int, cls: int = 0, service: int = 1, cores: float = 1.0, **more: Any
     ) -> list[SchedulerAction]:
         after = more.pop("after", 0.0)
-        patience = more.pop("patience_ms", 4000.0)
+        timeout_ms = more.pop("timeout_ms", 4000.0)
         memory = more.pop("memory", 1.5)
-        return self.send(TaskArrived(task, cls, service, cores, memory, patience), after)
+        return self.send(TaskArrived(task, cls, service, cores, memory, timeout_ms), after)
 
     def bind(self, task: int, **more: Any) -> int:
         """Arrive and return the machine of the one bind."""
-        return only(self.arrive(task, **more), Bind).machine
+        return only_action(self.arrive(task, **more), Bind).machine
 
     def close(
         self,
         task: int,
         attempt: int,
         machine: int,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
         reason: OutcomeReason = OutcomeReason.UNSPECIFIED,
-        over: bool = False,
-        after: float = 0.0,
+        **more: Any,
     ) -> list[SchedulerAction]:
-        return self.send(AttemptClosed(task, attempt, machine, end, reason, over, 5.0), after)
+        after = more.pop("after", 0.0)
+        task_finished = more.pop("task_finished", False)
+        return self.send(AttemptClosed(task, attempt, machine, outcome, reason, task_finished, 5.0), after)
+
+    def report_load(self, machine: int, load: LoadReport) -> list[SchedulerAction]:
+        """Send a load report with the end of an attempt that the scheduler does not know."""
+        closed = AttemptClosed(
+            77,
+            0,
+            machine,
+            AttemptOutcome.ENDED,
+            OutcomeReason.UNSPECIFIED,
+            task_finished=True,
+            elapsed_ms=5.0,
+            load=load,
+        )
+        return self.send(closed)
 
     def place(self, task: int, attempt: int, machine: int, after: float = 0.0) -> list[SchedulerAction]:
         return self.send(TaskPlaced(task, attempt, machine, 5.0), after)
@@ -161,11 +178,35 @@
         return self.send(TaskFound(task, cls, service, 1.0, 1.5, machine))
 
 
-def of(actions: list[SchedulerAction], kind: type[A]) -> list[A]:
+def actions_of(actions: list[SchedulerAction], kind: type[A]) -> list[A]:
     return [action for action in actions if isinstance(action, kind)]
 
 
-def only(actions: list[SchedulerAction], kind: type[A]) -> A:
-    found = of(actions, kind)
+def only_action(actions: list[SchedulerAction], kind: type[A]) -> A:
+    found = actions_of(actions, kind)
     assert len(found) == 1, actions
     return found[0]
+
+
+def deadline_timer(actions: list[SchedulerAction]) -> SetTimer:
+    """The timer of a task's final answer: the latest of those that were set."""
+    return max(actions_of(actions, SetTimer), key=lambda timer: timer.at)
+
+
+def crowded_settings(**changes: Any) -> SchedulerSettings:
+    """No machine serves in full, so the least-loaded pick decides; one placer, and sizes that make g least.
+
+    The class is above the lowest priority, so it does not wait for room by use.
+    """
+    classes = task_class(full_service_utilization=0.01, degradation_range=0.0), task_class(priority=0)
+    plain = settings(*classes, replica_count=1, **changes)
+    return replace(plain, mean_cores=min(plain.kind_cores) * plain.cores_overcommit)
+
+
+def place_many(driver: Driver, tasks: range, cores: float = 1.0) -> Counter[int]:
+    counts: Counter[int] = Counter()
+    for task in tasks:
+        bound = driver.bind(task, cores=cores, after=20.0)
+        driver.place(task, 0, bound, after=5.0)
+        counts[bound] += 1
+    return counts
--- a/tests/scheduling/test_filters.py
+++ b/tests/scheduling/test_scheduling_filters.py
@@ -1,4 +1,4 @@
-"""The filters go over all machines at once; here each machine is asked alone, by the filters' definitions.
+"""The filters go over all machines at once; here each machine is checked alone, by the filters' definitions.
 
 Guards against: sums that are kept up to date and miss a change, and a pass over the fleet that costs so much
 that sixteen placers on 400 machines fall behind (zone+mass: answers over a second late, requests lost).
@@ -19,12 +19,14 @@
 from kelpfront.scheduling.events import (
     AttemptClosed,
     AttemptOutcome,
+    Endpoint,
     EndpointList,
     EndpointListKind,
     HealthCheckCompleted,
     LoadReport,
     MachineState,
     OutcomeReason,
+    SchedulerEvent,
     StatusTopic,
     TaskArrived,
     TaskPlaced,
@@ -47,102 +49,122 @@
 
 
 class Fleet:
-    """One scheduler that hears things at random, and what the lists and its own binds were."""
+    """One scheduler that gets random events, and what the lists and its own offers were."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
         self.settings = settings(*CLASSES, replica_count=4, machines_preempt=self.random.random() < 0.5)
         self.scheduler = Scheduler(self.settings, seed)
-        self.now, self.numbers = 1000.0, 0
-        self.open: dict[tuple[int, int], int] = {}
-        self.placed: dict[tuple[int, int], int] = {}
-        self.sent: dict[int, int] = {}
+        self.now = 1000.0
+        self.task_count = 0
+        self.unaccepted: dict[tuple[int, int], int] = {}
+        self.accepted: dict[tuple[int, int], int] = {}
+        self.attempt_counts: dict[int, int] = {}
         self.changes: list[tuple[float, int, float, float]] = []
-        self.asks: dict[int, tuple[float, float]] = {}
+        self.requests: dict[int, tuple[float, float]] = {}
         self.views = {n: self.view(n) for n in range(1, FLEET + 1)}
         self.scheduler.handle(self.now, EndpointList(EndpointListKind.FULL, 1, tuple(self.views.values())))
 
-    def view(self, ident: int):  # type: ignore[no-untyped-def]
+    def view(self, machine_id: int) -> Endpoint:
         cores, memory = self.random.uniform(0, 30), self.random.uniform(0, 50)
         state = self.random.choice([MachineState.READY] * 5 + [MachineState.DRAINING])
-        return machine(ident, kind=ident % 2, free_cores=cores, free_memory=memory, state=state)
+        return machine(machine_id, kind=machine_id % 2, free_cores=cores, free_memory=memory, state=state)
 
-    def hear(self, event: object) -> None:
-        for action in self.scheduler.handle(self.now, event):  # type: ignore[arg-type]
+    def send(self, event: SchedulerEvent) -> None:
+        for action in self.scheduler.handle(self.now, event):
             if isinstance(action, Bind):
-                number = self.sent.get(action.task, 0)
-                self.sent[action.task] = number + 1
-                self.open[action.task, number] = action.machine
-                self.changes.append((self.now, action.machine, *self.asks[action.task]))
+                number = self.attempt_counts.get(action.task, 0)
+                self.attempt_counts[action.task] = number + 1
+                self.unaccepted[action.task, number] = action.machine
+                self.changes.append((self.now, action.machine, *self.requests[action.task]))
 
     def step(self) -> None:
-        what, rng = self.random.random(), self.random
-        self.now += rng.expovariate(1 / 40)
+        what = self.random.random()
+        self.now += self.random.expovariate(1 / 40)
         if what < 0.4:
-            self.numbers += 1
-            self.asks[self.numbers] = cores, memory = rng.choice([0.5, 1, 4]), rng.choice([1, 2, 6])
-            self.hear(TaskArrived(self.numbers, rng.randrange(3), rng.randrange(5), cores, memory, 3000.0))
-        elif what < 0.7 and self.open:
-            key = rng.choice(list(self.open))
-            where = self.open.pop(key)
-            if rng.random() < 0.6:
-                self.placed[key] = where
-                self.hear(TaskPlaced(*key, where, 20.0))
-                return
-            end = rng.choice([AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE])
-            reason = (
-                rng.choice([OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY])
-                if end is AttemptOutcome.REJECTED
-                else OutcomeReason.UNSPECIFIED
-            )
-            self.back(key, where, end is not AttemptOutcome.TIMED_OUT)
-            self.hear(AttemptClosed(*key, where, end, reason, False, 5.0, None))
-        elif what < 0.8 and self.placed:
-            key = rng.choice(list(self.placed))
-            where = self.placed.pop(key)
-            self.back(key, where, True)
-            self.hear(
-                AttemptClosed(*key, where, AttemptOutcome.ENDED, OutcomeReason.UNSPECIFIED, True, 5.0, None)
-            )
-        elif what < 0.9 and self.placed:
-            key = rng.choice(list(self.placed))
-            topic = rng.choice([StatusTopic.CORES_USED, StatusTopic.MEMORY_USED])
-            self.hear(TaskStatusReported(*key, self.placed[key], topic, rng.uniform(0, 3)))
+            self.submit()
+        elif what < 0.7 and self.unaccepted:
+            self.accept_or_end()
+        elif what < 0.8 and self.accepted:
+            self.end_accepted()
+        elif what < 0.9 and self.accepted:
+            self.report_use()
         elif what < 0.95:
-            load = LoadReport(rng.uniform(0, 30), rng.choice([None, rng.uniform(0, 50)]))
-            self.hear(HealthCheckCompleted(rng.randint(1, FLEET), True, 1.0, load))
+            self.report_load()
         else:
-            ident = rng.randint(1, FLEET)
-            self.views[ident] = self.view(ident)
-            self.hear(EndpointList(EndpointListKind.CHANGES, 2, (self.views[ident],)))
-
-    def back(self, key: tuple[int, int], where: int, known: bool) -> None:
-        if known:
-            cores, memory = self.asks[key[0]]
-            self.changes.append((self.now, where, -cores, -memory))
-
-    def asked(self, m: Machine) -> tuple[float, float]:
-        """By definition: the list's word with all own changes of the last VIEW_LAG_MS."""
+            self.update_list()
+
+    def submit(self) -> None:
+        rng = self.random
+        self.task_count += 1
+        cores, memory = rng.choice([0.5, 1, 4]), rng.choice([1, 2, 6])
+        self.requests[self.task_count] = cores, memory
+        self.send(TaskArrived(self.task_count, rng.randrange(3), rng.randrange(5), cores, memory, 3000.0))
+
+    def accept_or_end(self) -> None:
+        rng = self.random
+        key = rng.choice(list(self.unaccepted))
+        where = self.unaccepted.pop(key)
+        if rng.random() < 0.6:
+            self.accepted[key] = where
+            self.send(TaskPlaced(*key, where, 20.0))
+            return
+        end = rng.choice([AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE])
+        reason = OutcomeReason.UNSPECIFIED
+        if end is AttemptOutcome.REJECTED:
+            reason = rng.choice([OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY])
+        if end is not AttemptOutcome.TIMED_OUT:
+            self.record_freed(key, where)
+        self.send(AttemptClosed(*key, where, end, reason, task_finished=False, elapsed_ms=5.0))
+
+    def end_accepted(self) -> None:
+        key = self.random.choice(list(self.accepted))
+        where = self.accepted.pop(key)
+        self.record_freed(key, where)
+        end, reason = AttemptOutcome.ENDED, OutcomeReason.UNSPECIFIED
+        self.send(AttemptClosed(*key, where, end, reason, task_finished=True, elapsed_ms=5.0))
+
+    def report_use(self) -> None:
+        key = self.random.choice(list(self.accepted))
+        topic = self.random.choice([StatusTopic.CORES_USED, StatusTopic.MEMORY_USED])
+        self.send(TaskStatusReported(*key, self.accepted[key], topic, self.random.uniform(0, 3)))
+
+    def report_load(self) -> None:
+        rng = self.random
+        load = LoadReport(rng.uniform(0, 30), rng.choice([None, rng.uniform(0, 50)]))
+        self.send(HealthCheckCompleted(rng.randint(1, FLEET), ok=True, elapsed_ms=1.0, load=load))
+
+    def update_list(self) -> None:
+        machine_id = self.random.randint(1, FLEET)
+        self.views[machine_id] = self.view(machine_id)
+        self.send(EndpointList(EndpointListKind.CHANGES, 2, (self.views[machine_id],)))
+
+    def record_freed(self, key: tuple[int, int], where: int) -> None:
+        cores, memory = self.requests[key[0]]
+        self.changes.append((self.now, where, -cores, -memory))
+
+    def requested(self, m: Machine) -> tuple[float, float]:
+        """By definition: the list's figure with all own changes of the last VIEW_LAG_MS."""
         recent = [c for c in self.changes if c[1] == m.id and c[0] > self.now - VIEW_LAG_MS]
         cores = m.cores - self.views[m.id].free_cores + sum(c[2] for c in recent)
         memory = m.memory - self.views[m.id].free_memory + sum(c[3] for c in recent)
         return max(0.0, cores), max(0.0, memory)
 
-    def has_room(self, task: Task, m: Machine) -> bool:
+    def has_capacity(self, task: Task, m: Machine) -> bool:
         for reason, block in m.capacity_blocks.items():
             requested = task.memory if reason is OutcomeReason.NO_MEMORY else task.cores
             if self.now < block.until and requested >= block.minimum:
                 return False
-        (cores, memory), room = self.asked(m), 1 - self.scheduler._capacity.unobserved_share
+        (cores, memory), room = self.requested(m), 1 - self.scheduler._capacity.unobserved_share
         return (
             cores + task.cores <= room * self.settings.cores_overcommit * m.cores + 1e-9
             and memory + task.memory <= room * self.settings.memory_overcommit * m.memory + 1e-9
         )
 
-    def is_calm(self, task: Task, m: Machine) -> bool:
+    def has_capacity_by_use(self, task: Task, m: Machine) -> bool:
         overall = self.scheduler._utilization.overall_ratios()
         ratios = self.scheduler._utilization.ratios_of(task.service)
-        requested_cores, requested_memory = self.asked(m)
+        requested_cores, requested_memory = self.requested(m)
         cores, memory = requested_cores * overall.cores, requested_memory * overall.memory
         if self.now - m.load_reported_at <= MAX_LOAD_REPORT_AGE_MS:
             if m.reported_cores is not None:
@@ -161,7 +183,7 @@
 
 @runs(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_the_filters_find_what_each_machine_asked_alone_would_say(seed: int) -> None:
+def test_the_filters_agree_with_their_definitions_for_each_machine(seed: int) -> None:
     fleet = Fleet(seed)
     for _ in range(80):
         fleet.step()
@@ -169,14 +191,14 @@
         scheduler.handle(fleet.now, TaskArrived(-1, -1, 0, 1.0, 1.0, 0.0))  # of no class: only time goes by
         machines = list(scheduler._fleet.machines.values())
         for m in machines:
-            asked = fleet.asked(m)
-            assert math.isclose(m.requested_cores, asked[0], abs_tol=1e-6)
-            assert math.isclose(m.requested_memory, asked[1], abs_tol=1e-6)
+            requested = fleet.requested(m)
+            assert math.isclose(m.requested_cores, requested[0], abs_tol=1e-6)
+            assert math.isclose(m.requested_memory, requested[1], abs_tol=1e-6)
         cores, memory = fleet.random.choice([0.5, 2.0, 9.0]), fleet.random.choice([1.0, 4.0])
         for cls in CLASSES:
             task = Task(0, cls, fleet.random.randrange(5), cores, memory)
-            roomy = [m.id for m in machines if fleet.has_room(task, m)]
-            assert [m.id for m in scheduler._capacity.select(task, machines)] == roomy
+            with_capacity = [m.id for m in machines if fleet.has_capacity(task, m)]
+            assert [m.id for m in scheduler._capacity.select(task, machines)] == with_capacity
             assert [m.id for m in scheduler._utilization.select(task, machines)] == [
-                m.id for m in machines if fleet.is_calm(task, m)
+                m.id for m in machines if fleet.has_capacity_by_use(task, m)
             ]
--- a/tests/scheduling/test_cold_fleet.py
+++ b/tests/scheduling/test_scheduling_slow_start.py
@@ -13,7 +13,13 @@
 from dataclasses import replace
 
 import pytest
-from helpers import Driver, full_list, machine, of, settings
+from helpers import (
+    Driver,
+    actions_of,
+    full_list,
+    machine,
+    settings,
+)
 from hypothesis import given
 from hypothesis import settings as runs
 from hypothesis import strategies as st
@@ -37,62 +43,68 @@
 IDENT = 0x5A17
 
 
-class ColdFleet:
+class WarmingFleet:
     """Placers and the offers that each machine may see, as the first and last instant of each."""
 
     def __init__(
-        self, placers: int, budget: float, cold: tuple[Endpoint, ...] = (), numbers: range | None = None
+        self, placers: int, budget: float, warming: tuple[Endpoint, ...] = (), indexes: range | None = None
     ) -> None:
         base = settings(replica_count=placers, connect_timeout_ms=CONNECT)
         rules = replace(base.slow_start, window_ms=WINDOW, max_offers_per_window=budget, duration_ms=1e9)
         self.settings = replace(base, slow_start=rules)
-        self.listed = cold or (machine(IDENT, started_at=BEGIN - 10.0),)
+        self.listed = warming or (machine(IDENT, started_at=BEGIN - 10.0),)
         self.budget = budget
-        self.numbers = numbers or range(placers)
-        self.schedulers = {me: self.born(me) for me in self.numbers}
-        self.ahead = dict.fromkeys(self.numbers, 0.0)  # of each placer's clock, in milliseconds
+        self.indexes = indexes or range(placers)
+        self.schedulers = {placer: self.start(placer) for placer in self.indexes}
+        self.clock_ahead_ms = dict.fromkeys(self.indexes, 0.0)  # of each placer's clock, in milliseconds
         self.offers: dict[int, list[tuple[float, float]]] = defaultdict(list)
         self.tasks = 0
 
-    def born(self, me: int, life: int = 0) -> Scheduler:
-        return Scheduler(replace(self.settings, replica_index=me), seed=me + 1000 * life)
+    def start(self, placer: int, incarnation: int = 0) -> Scheduler:
+        return Scheduler(replace(self.settings, replica_index=placer), seed=placer + 1000 * incarnation)
 
-    def tell(
-        self, me: int, at: float, *machines: Endpoint, kind: EndpointListKind = EndpointListKind.FULL
+    def list_machines(
+        self, placer: int, at: float, *machines: Endpoint, kind: EndpointListKind = EndpointListKind.FULL
     ) -> None:
-        self.handle(me, at, full_list(*(machines or self.listed), kind=kind))
+        self.handle(placer, at, full_list(*(machines or self.listed), kind=kind))
 
-    def handle(self, me: int, at: float, event: SchedulerEvent) -> list[Bind]:
-        return of(self.schedulers[me].handle(at + self.ahead[me], event), Bind)
+    def handle(self, placer: int, at: float, event: SchedulerEvent) -> list[Bind]:
+        return actions_of(self.schedulers[placer].handle(at + self.clock_ahead_ms[placer], event), Bind)
 
-    def spend(self, me: int, at: float, size: float = 1e-6) -> int:
+    def spend(self, placer: int, at: float, size: float = 1e-6) -> int:
         """The placer offers all that it may at this instant; the number."""
         for made in range(10_000):
             self.tasks += 1
             arrived = TaskArrived(self.tasks, 0, self.tasks, size, size, 4000.0)
-            binds = self.handle(me, at, arrived)
+            binds = self.handle(placer, at, arrived)
             if not binds:
-                self.handle(me, at, TaskWithdrawn(self.tasks))
+                self.handle(placer, at, TaskWithdrawn(self.tasks))
                 return made
             (bind,) = binds
             until = at + min(bind.timeout_ms, bind.send_within_ms)
             self.offers[bind.machine].append((at, until))
             closed = AttemptClosed(
-                self.tasks, 0, bind.machine, AttemptOutcome.REJECTED, OutcomeReason.NOT_HERE, True, 1.0
+                self.tasks,
+                0,
+                bind.machine,
+                AttemptOutcome.REJECTED,
+                OutcomeReason.NOT_HERE,
+                task_finished=True,
+                elapsed_ms=1.0,
             )
-            self.handle(me, at, closed)
+            self.handle(placer, at, closed)
         raise AssertionError("no end of offers")
 
     def worst(self) -> int:
         """The most offers that any machine may see in any window."""
-        return max((most_in_a_window(offers) for offers in self.offers.values()), default=0)
+        return max((max_in_a_window(offers) for offers in self.offers.values()), default=0)
 
     def excess(self) -> float:
         """Of the worst window over the budget, in roots of the budget."""
         return (self.worst() - self.budget) / math.sqrt(self.budget)
 
 
-def most_in_a_window(offers: list[tuple[float, float]]) -> int:
+def max_in_a_window(offers: list[tuple[float, float]]) -> int:
     """Each offer falls anywhere in its interval; windows are half open."""
     marks = sorted([(first, 1) for first, _ in offers] + [(last + WINDOW, -1) for _, last in offers])
     most = held = 0
@@ -102,7 +114,7 @@
     return most
 
 
-def put_down_to_chance(budget: float) -> float:
+def allowed_by_chance(budget: float) -> float:
     return budget + 2 * math.sqrt(budget) + 2
 
 
@@ -123,11 +135,11 @@
     return draw
 
 
-def play(fleet: ColdFleet, draw: Callable[[], list[float]]) -> None:
+def spend_all(fleet: WarmingFleet, draw: Callable[[], list[float]]) -> None:
     """Each placer spends what it may once in each of its slots, in the order of time."""
-    turns = [(at - fleet.ahead[me], me) for me in fleet.numbers for at in draw()]
-    for at, me in sorted(turns):
-        fleet.spend(me, at)
+    slots = [(at - fleet.clock_ahead_ms[placer], placer) for placer in fleet.indexes for at in draw()]
+    for at, placer in sorted(slots):
+        fleet.spend(placer, at)
 
 
 BUDGETS = st.sampled_from([1, 2, 3, 5, 9, 10, 20, 30, 57, 120, 250])
@@ -136,22 +148,22 @@
 
 @runs(max_examples=60)
 @given(PLACERS, BUDGETS, st.integers(0, 2**48), st.integers(1, 12), st.integers(0, 2**32))
-def test_no_window_sees_more_though_offers_are_held_up_and_clocks_differ(
+def test_no_window_exceeds_the_limit_though_connections_are_late_and_clocks_differ(
     placers: int, budget: int, ident: int, pivot: int, seed: int
 ) -> None:
     """Guards against offers that wait for a connection until their time-out, and go out in a later slot."""
     chance = random.Random(seed)
-    fleet = ColdFleet(placers, budget, (machine(ident, started_at=BEGIN - 10.0),))
-    for me in fleet.numbers:
-        fleet.ahead[me] = chance.choice([0.0, CONNECT / 2, chance.uniform(0.0, CONNECT / 2)])
-        fleet.tell(me, BEGIN)
-    play(fleet, instants(13, pivot, chance))
+    fleet = WarmingFleet(placers, budget, (machine(ident, started_at=BEGIN - 10.0),))
+    for placer in fleet.indexes:
+        fleet.clock_ahead_ms[placer] = chance.choice([0.0, CONNECT / 2, chance.uniform(0.0, CONNECT / 2)])
+        fleet.list_machines(placer, BEGIN)
+    spend_all(fleet, instants(13, pivot, chance))
     assert fleet.worst() <= budget
 
 
 @runs(max_examples=60)
 @given(PLACERS, BUDGETS, st.integers(1, 12), st.integers(0, 2**32))
-def test_no_window_sees_more_though_placers_restart_and_the_machine_leaves_the_list_and_returns(
+def test_no_window_exceeds_the_limit_though_placers_restart_and_the_machine_is_relisted(
     placers: int, budget: int, pivot: int, seed: int
 ) -> None:
     """Guards against turns of one slot that are had twice: by two lives of a placer, or of a list's entry.
@@ -159,24 +171,26 @@
     Placers also learn of the machine one after another, and one that is started anew has another seed.
     """
     chance = random.Random(seed)
-    fleet = ColdFleet(placers, budget)
-    gone = replace(fleet.listed[0], state=MachineState.REMOVED)
-    knowing: set[int] = set()
-    for at, me in sorted((at, me) for me in fleet.numbers for at in instants(13, pivot, chance)()):
-        if me not in knowing:
+    fleet = WarmingFleet(placers, budget)
+    removed = replace(fleet.listed[0], state=MachineState.REMOVED)
+    listed_to: set[int] = set()
+    for at, placer in sorted(
+        (at, placer) for placer in fleet.indexes for at in instants(13, pivot, chance)()
+    ):
+        if placer not in listed_to:
             if chance.random() < 0.5:
-                fleet.tell(me, at)
-                knowing.add(me)
+                fleet.list_machines(placer, at)
+                listed_to.add(placer)
             continue
-        fleet.spend(me, at)
+        fleet.spend(placer, at)
         match chance.randrange(4):
             case 0:
-                fleet.schedulers[me] = fleet.born(me, chance.randrange(100))
-                fleet.tell(me, at + 0.1)
+                fleet.schedulers[placer] = fleet.start(placer, chance.randrange(100))
+                fleet.list_machines(placer, at + 0.1)
             case 1:
-                fleet.tell(me, at + 0.1, gone, kind=EndpointListKind.CHANGES)
-                fleet.tell(me, at + 0.2, kind=EndpointListKind.CHANGES)
-        fleet.spend(me, at + 0.3)
+                fleet.list_machines(placer, at + 0.1, removed, kind=EndpointListKind.CHANGES)
+                fleet.list_machines(placer, at + 0.2, kind=EndpointListKind.CHANGES)
+        fleet.spend(placer, at + 0.3)
     assert fleet.worst() <= budget
 
 
@@ -197,45 +211,43 @@
     has all turns of some seconds, and the other part has its own by another clock at the same time.
     """
     chance = random.Random(seed)
-    fleet = ColdFleet(placers, budget, (machine(chance.getrandbits(48), started_at=BEGIN - 10.0),))
+    fleet = WarmingFleet(placers, budget, (machine(chance.getrandbits(48), started_at=BEGIN - 10.0),))
     first = chance.randrange(placers)
     for number in range(round(share * placers)):
-        fleet.ahead[(first + number) % placers] = slots * slot_ms()
-    for me in fleet.numbers:
-        fleet.tell(me, BEGIN - 20.0 * slot_ms())
-    play(fleet, instants(24, 12, chance))
-    assert fleet.worst() <= put_down_to_chance(budget)
+        fleet.clock_ahead_ms[(first + number) % placers] = slots * slot_ms()
+    for placer in fleet.indexes:
+        fleet.list_machines(placer, BEGIN - 20.0 * slot_ms())
+    spend_all(fleet, instants(24, 12, chance))
+    assert fleet.worst() <= allowed_by_chance(budget)
 
 
 @pytest.mark.parametrize("budget", [5, 57, 250])
 @pytest.mark.parametrize("beyond", [1, 10, 20])
-def test_placers_that_the_settings_do_not_count_have_no_turns_of_others(beyond: int, budget: int) -> None:
+def test_placers_beyond_the_replica_count_have_no_offers(beyond: int, budget: int) -> None:
     """Guards against a fleet that grew while its settings did not: number 20 of 20 took number 0's turns."""
-    fleet = ColdFleet(20, budget, numbers=range(20 + beyond))
-    for me in fleet.numbers:
-        fleet.tell(me, BEGIN)
-    play(fleet, instants(9, 5))
+    fleet = WarmingFleet(20, budget, indexes=range(20 + beyond))
+    for placer in fleet.indexes:
+        fleet.list_machines(placer, BEGIN)
+    spend_all(fleet, instants(9, 5))
     assert fleet.worst() <= budget
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("budget", [9, 57])
 @pytest.mark.parametrize("placers", [3, 20, 30, 60])
-def test_the_turns_are_not_fewer_than_the_page_of_the_design_says(
-    placers: int, budget: int, seed: int
-) -> None:
+def test_three_quarters_of_the_limit_go_out_over_a_long_time(placers: int, budget: int, seed: int) -> None:
     """All that is told goes out in four slots, so over a long time a window has three quarters of it.
 
     The slots are lengthened by a connect time-out, which takes its part. Guards against a ramp that starves.
     """
-    fleet = ColdFleet(placers, budget, (machine(seed * 977, started_at=BEGIN - 10.0),))
-    for me in fleet.numbers:
-        fleet.tell(me, BEGIN)
-    play(fleet, instants(40, 40, random.Random(seed)))
+    fleet = WarmingFleet(placers, budget, (machine(seed * 977, started_at=BEGIN - 10.0),))
+    for placer in fleet.indexes:
+        fleet.list_machines(placer, BEGIN)
+    spend_all(fleet, instants(40, 40, random.Random(seed)))
     assert sum(len(offers) for offers in fleet.offers.values()) == 10 * budget
 
 
-def test_a_cold_machine_whose_connections_do_not_come_up_is_set_aside() -> None:
+def test_a_warming_machine_whose_connections_do_not_come_up_is_ejected() -> None:
     """Its offers wait for less than a connect time-out, so that their end is another: not sent."""
     its = settings(replica_count=1)
     driver = Driver(replace(its, slow_start=replace(its.slow_start, max_offers_per_window=400.0)))
@@ -244,10 +256,43 @@
     driver.listing(machine(1, started_at=driver.now - 10.0), kind=EndpointListKind.CHANGES)
     went: list[int] = []
     for task in range(60):
-        (bind,) = of(driver.arrive(task, service=task, cores=0.01, memory=0.01), Bind)
+        (bind,) = actions_of(driver.arrive(task, service=task, cores=0.01, memory=0.01), Bind)
         went.append(bind.machine)
         if bind.machine == 1 and went.count(1) <= 2:
             assert bind.send_within_ms == its.connect_timeout_ms / 2
-            driver.close(task, 0, 1, AttemptOutcome.NOT_SENT, over=True, after=bind.send_within_ms)
+            driver.close(task, 0, 1, AttemptOutcome.NOT_SENT, task_finished=True, after=bind.send_within_ms)
     assert went.count(1) == 2
     assert went[-1] == 2
+
+
+@pytest.mark.parametrize(("placers", "budget"), [(1, 7), (3, 7), (220, 60), (220, 3), (2, 1)])
+def test_all_placers_together_keep_the_limit_of_a_warming_machine_and_use_it(
+    placers: int, budget: int
+) -> None:
+    base = settings(replica_count=placers)
+    rules = replace(base.slow_start, max_offers_per_window=float(budget))
+    drivers = [Driver(replace(base, replica_index=placer, slow_start=rules)) for placer in range(placers)]
+    for driver in drivers:
+        driver.listing(machine(1))
+        driver.now = 60_000.0
+        driver.listing(machine(1, started_at=driver.now - 10.0), kind=EndpointListKind.CHANGES)
+    sent: list[float] = []
+    for step in range(60):
+        at = 60_000.0 + step * 150.0
+        for placer, driver in enumerate(drivers):
+            driver.now = at
+            actions = driver.arrive(step * 1000 + placer, cores=0.001, memory=0.001)
+            for bound in actions_of(actions, Bind):
+                sent.append(at)
+                driver.close(
+                    bound.task, 0, 1, AttemptOutcome.REJECTED, OutcomeReason.NOT_HERE, task_finished=True
+                )
+    assert sent
+    for at in sent:
+        assert sum(at - rules.window_ms < other <= at for other in sent) <= budget
+
+
+def test_a_placer_that_has_just_started_offers_a_warming_machine_nothing() -> None:
+    driver = Driver()
+    driver.listing(machine(1, started_at=driver.now - 10.0), kind=EndpointListKind.CACHED)
+    assert actions_of(driver.arrive(5), Bind) == []
--- a/tests/scheduling/test_properties.py
+++ b/tests/scheduling/test_scheduling_under_faults.py
@@ -61,7 +61,7 @@
 class Client:
     """One placer with its task records, checked against the rules at each of its actions."""
 
-    def __init__(self, me: int, on_request: bool, cold: dict[int, list[float]]) -> None:
+    def __init__(self, me: int, cold: dict[int, list[float]], *, on_request: bool) -> None:
         self.settings = settings(
             *CLASSES, replica_index=me, endpoint_list_on_request=on_request, machines_preempt=True
         )
@@ -93,7 +93,8 @@
                     {"machine": target, "sent": now, "open": True, "placed": False, "end": None}
                 )
             case Reject(task) | Fail(task):
-                assert task in self.tasks and task not in self.over
+                assert task in self.tasks
+                assert task not in self.over
                 self.answers[task] += 1
                 self.over.add(task)
                 assert now <= self.deadline[task]
@@ -111,7 +112,8 @@
                 assert task in self.over
 
     def check_bind(self, now: float, task: int, target: int) -> None:
-        assert task in self.tasks and task not in self.over
+        assert task in self.tasks
+        assert task not in self.over
         made = self.attempts[task]
         assert len(made) < self.settings.max_attempts
         assert not any(a["open"] for a in made)
@@ -162,11 +164,11 @@
 
 
 @runs(derandomize=True, deadline=None, max_examples=60)
-@given(st.integers(0, 2**32), st.booleans())
-def test_rules_hold_under_random_faults(seed: int, on_request: bool) -> None:
+@given(seed=st.integers(0, 2**32), on_request=st.booleans())
+def test_rules_hold_under_random_faults(*, seed: int, on_request: bool) -> None:
     chance = random.Random(seed)
     cold: dict[int, list[float]] = defaultdict(list)
-    clients = [Client(me, on_request, cold) for me in range(PLACERS)]
+    clients = [Client(me, cold, on_request=on_request) for me in range(PLACERS)]
     fleet = {n: machine(n, free_cores=chance.uniform(-25, 25)) for n in range(FLEET)}
     now, next_task = 5000.0, 1
     for client in clients:
--- a/tests/scheduling/test_simhost.py
+++ b/tests/scheduling/test_simhost.py
@@ -47,13 +47,15 @@
         done = host(START + bad)
         assert done.returncode != 0
         assert len(replies(done.stdout)) == 1
-        assert done.stderr.count(b"\n") == 1 and b"Traceback" not in done.stderr
+        assert done.stderr.count(b"\n") == 1
+        assert b"Traceback" not in done.stderr
 
 
 def test_bad_settings_become_the_fault_action_with_their_text() -> None:
     done = host(frames.batch(1, 1.0, frames.born(3, frames.info(Siblings=0))))
     (reply,) = replies(done.stdout)
-    assert reply[12] == 5 and b"Siblings: must be at least 1" in reply
+    assert reply[12] == 5
+    assert b"Siblings: must be at least 1" in reply
 
 
 def test_instances_know_nothing_of_each_other() -> None:
