--- a/kelpfront/scheduling/offer_backoff.py
+++ b/kelpfront/scheduling/offer_backoff.py
@@ -10,7 +10,7 @@
 from kelpfront.scheduling.context import SchedulingContext
 from kelpfront.scheduling.model import Task
 
-MAX_STALE_LIST_HOLD_MS = 3000.0
+STALE_LIST_BACKOFF_MS = 3000.0
 """Nothing is offered by a list that may hide drains, for so long; then by the list as it was."""
 MIN_BACKOFF_DIVISOR = 32
 """The shortest backoff is the longest one divided by this."""
@@ -37,7 +37,7 @@
 
     def on_list_stale(self) -> None:
         """Stop offers for a while: an outage of seconds ends soon; a longer one must not end all placing."""
-        self._stale_list_until = self._context.now + MAX_STALE_LIST_HOLD_MS
+        self._stale_list_until = self._context.now + STALE_LIST_BACKOFF_MS
 
     def on_list_received(self) -> None:
         """Go on with offers: the list is current again."""
--- a/kelpfront/scheduling/outlier_detection.py
+++ b/kelpfront/scheduling/outlier_detection.py
@@ -20,8 +20,8 @@
 """Below this a record is dropped: it would not lead to an ejection soon."""
 MAX_EJECTED_SHARE = 0.5
 """Of the ready cores: more failures at once are load or this placer's own fault."""
-WHOLE_MACHINE = ""
-"""Scope of a failure that speaks of all classes; other scopes are the names of classes."""
+ALL_CLASSES = ""
+"""Scope of a failure that speaks of the machine for all classes; other scopes are the names of classes."""
 
 
 class OutlierDetector:
@@ -46,7 +46,7 @@
         if not failing:
             return True
         if len(failing - {task_class.name}) < 2:
-            failing &= {WHOLE_MACHINE, task_class.name}
+            failing &= {ALL_CLASSES, task_class.name}
         if not failing:
             return True
         is_trial_free = machine.unaccepted_count == 0
@@ -54,7 +54,7 @@
 
     def record_success(self, machine: Machine, task_class: TaskClass) -> None:
         """Halve the score and the next ejection, of the class and of the whole machine."""
-        for scope in (WHOLE_MACHINE, task_class.name):
+        for scope in (ALL_CLASSES, task_class.name):
             record = machine.outlier_records.get(scope)
             if record is None:
                 continue
@@ -75,11 +75,11 @@
             case AttemptOutcome.TIMED_OUT | AttemptOutcome.ERROR:
                 scope, score = attempt.task.task_class.name, 1.0
             case AttemptOutcome.UNREACHABLE:
-                scope, score = WHOLE_MACHINE, 1.0
+                scope, score = ALL_CLASSES, 1.0
             case AttemptOutcome.NOT_SENT if self._slow_start.did_connection_fail(attempt, machine):
-                scope, score = WHOLE_MACHINE, 1.0
+                scope, score = ALL_CLASSES, 1.0
             case AttemptOutcome.RESET if event.reason in (OutcomeReason.UNSPECIFIED, OutcomeReason.DRAINED):
-                scope, score = WHOLE_MACHINE, EJECTION_SCORE if attempt.is_accepted else 1.0
+                scope, score = ALL_CLASSES, EJECTION_SCORE if attempt.is_accepted else 1.0
             case _:
                 return
         self._record_failure(machine, scope, score, event.outcome.value)
@@ -90,14 +90,14 @@
 
     def record_missed_health_check(self, machine: Machine) -> None:
         """Record that a health check was not answered."""
-        self._record_failure(machine, WHOLE_MACHINE, EJECTION_SCORE, "silent")
+        self._record_failure(machine, ALL_CLASSES, EJECTION_SCORE, "silent")
 
     def _record_failure(self, machine: Machine, scope: str, score: float, cause: str) -> None:
         record = machine.outlier_records.setdefault(scope, OutlierRecord())
         record.failure_score = min(2 * EJECTION_SCORE, record.failure_score + score)
         if record.failure_score < EJECTION_SCORE or self._context.now < record.ejected_until:
             return
-        if scope == WHOLE_MACHINE and self._are_too_many_ejected():
+        if scope == ALL_CLASSES and self._are_too_many_ejected():
             record.failure_score = EJECTION_SCORE / 2
             return
         self._eject(machine, scope, record, cause)
@@ -116,5 +116,5 @@
 
 
 def _is_failing(machine: Machine) -> bool:
-    record = machine.outlier_records.get(WHOLE_MACHINE)
+    record = machine.outlier_records.get(ALL_CLASSES)
     return record is not None and record.failure_score >= EJECTION_SCORE
--- a/kelpfront/scheduling/preferences.py
+++ b/kelpfront/scheduling/preferences.py
@@ -13,7 +13,7 @@
 
 MAX_CACHED_MACHINES = 1 << 18
 """Machines in the cached orders of all services together: some megabytes."""
-_WORD = 0xFFFFFFFFFFFFFFFF
+_MASK_64_BITS = 0xFFFFFFFFFFFFFFFF
 
 
 def preference(service: int, machine: MachineId) -> int:
@@ -21,9 +21,9 @@
 
     The steps are those of the finalizer of splitmix64 (Steele, Lea, Flood).
     """
-    mixed = (service ^ machine * 0x9E3779B97F4A7C15) & _WORD
-    mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & _WORD
-    mixed = (mixed ^ mixed >> 27) * 0x94D049BB133111EB & _WORD
+    mixed = (service ^ machine * 0x9E3779B97F4A7C15) & _MASK_64_BITS
+    mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & _MASK_64_BITS
+    mixed = (mixed ^ mixed >> 27) * 0x94D049BB133111EB & _MASK_64_BITS
     return mixed ^ mixed >> 31
 
 
--- a/kelpfront/scheduling/retries.py
+++ b/kelpfront/scheduling/retries.py
@@ -27,7 +27,7 @@
 from kelpfront.scheduling.tasks import TaskTable
 from kelpfront.scheduling.timer_tokens import TimerKind, encode_token
 
-MAX_FAILED_TRIES_PER_SHAPE = 4
+MAX_STALLED_TASKS_PER_SHAPE = 4
 """Waiting tasks of one shape that are tried in vain in a pass: the rest would meet the same."""
 ANSWER_MARGIN_TICKS = 2
 """The final answer is given so many resolutions of the timer before the task's time-out."""
@@ -123,13 +123,13 @@
 
     def retry_waiting(self) -> None:
         """Attempt the waiting tasks in order; one that waits on goes to the end of the queue."""
-        failed_tries: Counter[_TaskShape] = Counter()
+        stalled: Counter[_TaskShape] = Counter()
         for task in self._tasks.waiting_by_priority():
             shape = _TaskShape(task.task_class.name, task.cores, task.memory)
-            is_worth_trying = failed_tries[shape] < MAX_FAILED_TRIES_PER_SHAPE
-            if is_worth_trying or task.possibly_executed:
+            may_find_machine = stalled[shape] < MAX_STALLED_TASKS_PER_SHAPE
+            if may_find_machine or task.possibly_executed:
                 self._attempt(task)
-                failed_tries[shape] += self._tasks.is_waiting(task)
+                stalled[shape] += self._tasks.is_waiting(task)
 
     def _attempt(self, task: Task) -> None:
         """Offer the task, let it wait where no machine passes, or give the final answer."""
--- a/kelpfront/wire/decoder.py
+++ b/kelpfront/wire/decoder.py
@@ -93,17 +93,17 @@
         self.at += layout.size
         return values
 
-    def code(self) -> int:
+    def read_code(self) -> int:
         code = self.frame[self.at]
         self.at += 1
         return code
 
-    def floats(self, count: int) -> tuple[float, ...]:
+    def read_floats(self, count: int) -> tuple[float, ...]:
         values = struct.unpack_from(f">{count}f", self.frame, self.at)
         self.at += 4 * count
         return values
 
-    def take(self, size: int) -> bytes:
+    def read_bytes(self, size: int) -> bytes:
         left = len(self.frame) - self.at
         if size > left:
             raise WireError(f"says {size} bytes more, {left} are left")
@@ -145,7 +145,7 @@
         return Batch(now, number, events)
 
     def _decode_record(self, reader: _RecordReader) -> InstanceEvent | None:
-        code = reader.code()
+        code = reader.read_code()
         decode = _RECORDS.get(code)
         if decode is None:
             raise WireError(f"unknown record code {code}")
@@ -153,7 +153,7 @@
 
     def _started(self, reader: _RecordReader) -> InstanceEvent:
         instance, seed, size = reader.unpack(_STARTED)
-        text = reader.take(size)
+        text = reader.read_bytes(size)
         try:
             info = json.loads(text)
         except ValueError as error:
@@ -177,7 +177,7 @@
         number, count = reader.unpack(_LIST)
         if number > MAX_LIST_NUMBER:
             raise WireError(f"list number {number} is not from 0 to {MAX_LIST_NUMBER}")
-        rows = reader.take(count * _ENDPOINT.size)
+        rows = reader.read_bytes(count * _ENDPOINT.size)
         self._lists[number] = tuple(_endpoint(*row) for row in _ENDPOINT.iter_unpack(rows))
 
     def _list_update(self, reader: _RecordReader) -> InstanceEvent:
@@ -249,7 +249,7 @@
     def _gossip(self, reader: _RecordReader) -> None:
         """Skip a message between instances: schedulers share nothing."""
         _, _, size = reader.unpack(_GOSSIP)
-        reader.take(size)
+        reader.read_bytes(size)
 
     def _status(self, reader: _RecordReader) -> InstanceEvent | None:
         instance, task, attempt, address, port, topic, value = reader.unpack(_STATUS)
@@ -264,7 +264,7 @@
         names = self._load_names.get(instance, ())
         fields = {
             name: value
-            for name, value in zip(names, reader.floats(count), strict=False)
+            for name, value in zip(names, reader.read_floats(count), strict=False)
             if name and math.isfinite(value)
         }
         return LoadReport(**fields) if fields else None
--- a/kelpfront/wire/errors.py
+++ b/kelpfront/wire/errors.py
@@ -1,4 +1,4 @@
-"""The error of the simulator's wire, and the look-up of the wire's words that raises it."""
+"""The error of the simulator's wire, and the look-up of the wire's codes that raises it."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     """A frame that the wire's description does not allow."""
 
 
-def lookup(table: Mapping[Any, T], word: object, what: str) -> T:
-    """Return what a word of the wire stands for.
+def lookup(table: Mapping[Any, T], code: object, what: str) -> T:
+    """Return what a code of the wire stands for.
 
     Raises:
-        WireError: the word is unknown; the message names it and what it should be.
+        WireError: the code is unknown; the message names it and what it should be.
     """
-    if not isinstance(word, str | int) or word not in table:
-        raise WireError(f"unknown {what} {word!r:.60}")
-    return table[word]
+    if not isinstance(code, str | int) or code not in table:
+        raise WireError(f"unknown {what} {code!r:.60}")
+    return table[code]
--- a/tests/scheduling/test_scheduling_endpoints.py
+++ b/tests/scheduling/test_scheduling_endpoints.py
@@ -29,7 +29,7 @@
     TaskPlaced,
     TimerFired,
 )
-from kelpfront.scheduling.offer_backoff import MAX_STALE_LIST_HOLD_MS
+from kelpfront.scheduling.offer_backoff import STALE_LIST_BACKOFF_MS
 from kelpfront.scheduling.settings import Idempotency
 
 FLEET = [machine(n) for n in range(12)]
@@ -109,4 +109,4 @@
     actions, since = driver.arrive(7, timeout_ms=8_000.0), driver.now
     while not actions_of(actions, Bind):
         actions = driver.send(TimerFired(0), after=100.0)  # the timer of waiting tasks
-    assert MAX_STALE_LIST_HOLD_MS <= driver.now - since <= MAX_STALE_LIST_HOLD_MS + 200.0
+    assert STALE_LIST_BACKOFF_MS <= driver.now - since <= STALE_LIST_BACKOFF_MS + 200.0
