--- a/kelpfront/cli/lab.py
+++ b/kelpfront/cli/lab.py
@@ -268,7 +268,7 @@
     broken.
     """
     from kelpfront.config import ConfigError
-    from kelpfront.lab.policies import heart_of
+    from kelpfront.lab.policies import controller_for
     from kelpfront.lab.timeline.emulation import play
 
     def show(line: dict[str, Any]) -> None:
@@ -291,7 +291,7 @@
         return
     began = time.perf_counter()
     try:
-        played = play(its, seed, show if log else None, heart_of(policy), overrides)
+        played = play(its, seed, show if log else None, controller_for(policy), overrides)
     except ConfigError as error:
         fail(f"--set: {error}")
     figures = played.figures
@@ -344,12 +344,12 @@
     The bound errs to the high side: no placer can reach it, since it knows what will come and go.
     """
     from kelpfront.lab.bound import BoundError, best, machines_of, work_of
-    from kelpfront.lab.policies import heart_of
+    from kelpfront.lab.policies import controller_for
     from kelpfront.lab.timeline.emulation import play
 
     if not 10.0 <= slot <= 60_000.0:
         fail(f"--slot: {slot:g} is not between 10 and 60000")
-    played = play(_read_day(day), seed, heart_class=heart_of(policy))
+    played = play(_read_day(day), seed, controller_class=controller_for(policy))
     work = work_of(played.lines, played.config, 1.0, 1.0)
     try:
         found = best(work, machines_of(played.lines, played.config), slot, "exact" if exact else "pool")
--- a/kelpfront/cli/wrongserve.py
+++ b/kelpfront/cli/wrongserve.py
@@ -13,7 +13,7 @@
 
 def serve() -> None:
     name = sys.argv.pop(1)
-    service: Any = functools.partial(app.PlacerService, heart_class=WRONG[name])
+    service: Any = functools.partial(app.PlacerService, controller_class=WRONG[name])
     setattr(app, "PlacerService", service)  # noqa: B010 - where the command line takes it from
     main()
 
--- /dev/null
+++ b/kelpfront/controller/answers.py
@@ -0,0 +1,73 @@
+"""Gives each task its one answer, and keeps a failed one for as long as it may turn out to run.
+
+What the answer is follows from the scheduler's decisions and from what machines report; it is decided there.
+"""
+
+from __future__ import annotations
+
+from kelpfront.api.jobs import TaskState
+from kelpfront.controller.context import ControllerContext
+from kelpfront.controller.tasks import Task
+from kelpfront.scheduling.events import TaskId
+
+FINAL_ANSWER_EVENTS = {TaskState.REFUSED: "task refused", TaskState.FAILED: "task failed"}
+"""The log's event for each final answer."""
+NOT_EXECUTED_ENDS = frozenset({"refused"})
+"""How an attempt that was sent may end so that it is known not to have been executed."""
+
+
+class TaskAnswers:
+    """Answers tasks, each once."""
+
+    def __init__(self, context: ControllerContext) -> None:
+        self._context = context
+
+    def answer(self, now: float, task: Task, state: TaskState) -> None:
+        """Move a task to the state that is its answer; a failed task that is found to run keeps its own."""
+        context = self._context
+        if task.needs_answer:
+            context.tasks.record_answered()
+            context.degradation.on_answered(now, task, state)
+        task.move(now, state)
+        context.publisher.job_answered(task.job)
+
+    def finish_unplaced(self, now: float, task_id: TaskId, state: TaskState, retry_after_ms: float) -> None:
+        """Answer a task that the scheduler gave up, with REFUSED or FAILED.
+
+        Args:
+            now: the present.
+            task_id: the task as the scheduler knows it.
+            state: the final state.
+            retry_after_ms: how long its client should wait before it submits the task again.
+        """
+        context = self._context
+        task = context.tasks.by_scheduler_id.get(task_id)
+        if task is None or task.withdrawn or not task.needs_answer:
+            return
+        task.reason = _reason_of_last_attempt(task)
+        task.retry_after_ms = retry_after_ms
+        self.answer(now, task, state)
+        context.log.info(FINAL_ANSWER_EVENTS[state], task, reason=task.reason)
+        context.jobs.check_finished(now, task.job)
+        if task.open_attempt is None and not task.possibly_executed:
+            context.tasks.remove(task)
+        else:
+            recheck_at = now + context.cluster.settings.orphan_check_ms
+            context.timers.set(recheck_at, lambda then: self._stop_looking(then, task))
+
+    def _stop_looking(self, _now: float, task: Task) -> None:
+        """The time is over in which a failed task may turn out to run: its client may submit it again."""
+        if task.state not in (TaskState.REFUSED, TaskState.FAILED):
+            return
+        for attempt in task.attempts:
+            if attempt.sent_at is not None and attempt.end not in NOT_EXECUTED_ENDS:
+                self._context.stops.request(attempt.host, task.uid, attempt.number, "given up")
+        self._context.tasks.remove(task)
+
+
+def _reason_of_last_attempt(task: Task) -> str:
+    """Return why a task has no place, as clients read it."""
+    last = next((attempt for attempt in reversed(task.attempts) if attempt.end), None)
+    if last is not None:
+        return last.reason or last.end.upper().replace(" ", "_")
+    return "NO_ANSWER" if task.attempts else "NO_MACHINE"
--- a/kelpfront/controller/degradation.py
+++ b/kelpfront/controller/degradation.py
@@ -1,12 +1,14 @@
-"""The levels of reduced service within a placer: tells the governor what happens, and shows what it says.
+"""Connects the controller with the levels of reduced service: reports what happens, and publishes the level.
 
-No I/O. It decides nothing: which level, and what is taken at it, is `kelpfront.degradation`'.
+It decides nothing: which level applies and what is accepted at it is left to `kelpfront.degradation`.
+No I/O.
 """
 
 from __future__ import annotations
 
 import math
 import statistics
+from dataclasses import dataclass
 from typing import Any
 
 from kelpfront.api.errors import ApiError, Cause
@@ -17,7 +19,7 @@
 from kelpfront.controller.cluster import Cluster
 from kelpfront.controller.intents import LogLine
 from kelpfront.controller.machine_registry import MachineRegistry
-from kelpfront.controller.tasks import Task
+from kelpfront.controller.tasks import Job, Task
 from kelpfront.degradation import (
     AdmissionRequest,
     CapacityView,
@@ -35,85 +37,124 @@
 from kelpfront.store import ResourceStore
 from kelpfront.units import format_duration
 
-SHOW_MS = 2_000.0  # between changes of the object that only renew its figures
-FULL = frozenset({OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY, OutcomeReason.QUEUE_FULL})
-CHANGES_SHOWN = 20
+PUBLISH_PERIOD_MS = 2_000.0
+"""Between changes of the object that only renew its figures."""
+PUBLISHED_CHANGES = 20
+"""How many of the last changes of level the object shows."""
+NO_CAPACITY = frozenset({OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY, OutcomeReason.QUEUE_FULL})
+"""Reasons of a rejected offer which say that the machine is full."""
 
 
-class Sight:
-    """What the placer's own process tells of itself, between two looks."""
+@dataclass(slots=True)
+class _RoomCores:
+    """Cores of the machines of one room: all, those in reach, and of these those with a late heartbeat."""
+
+    known: float = 0.0
+    ready: float = 0.0
+    overdue: float = 0.0
+
+
+class ProcessLoad:
+    """What the process tells of its own load, between two observations.
+
+    Attributes:
+        lag_ms: by how much a timer was late at the worst.
+        busy_ms: how long the scheduler was at work.
+        memory_share: the memory in use, as a share of what is allowed.
+    """
 
     def __init__(self) -> None:
         self.lag_ms = 0.0
         self.busy_ms = 0.0
         self.memory_share = 0.0
-        self._looked_at: float | None = None
-
-    def late(self, ms: float) -> None:
-        """A timer was so late."""
-        self.lag_ms = max(self.lag_ms, ms)
-
-    def look(self, now: float, directory: MachineRegistry, open_share: float, mean_cores: float) -> Seen:
-        """What is seen since the last look; `mean_cores` is what a task asks for in the mean."""
-        span = 0.0 if self._looked_at is None else now - self._looked_at
-        busy = min(1.0, self.busy_ms / span) if span > 0 else 0.0
-        rooms: dict[str, list[float]] = {}
-        ages = []
-        free = 0.0
-        for entry in directory.entries.values():
+        self._observed_at: float | None = None
+
+    def record_timer_lag(self, lag_ms: float) -> None:
+        """A timer was late by so much."""
+        self.lag_ms = max(self.lag_ms, lag_ms)
+
+    def observe(self, now: float, registry: MachineRegistry, open_share: float, mean_cores: float) -> Seen:
+        """Return what was observed since the last call.
+
+        Args:
+            now: the present.
+            registry: the machines.
+            open_share: tasks without an answer, as a share of the limit.
+            mean_cores: what a task requests in the mean.
+        """
+        span_ms = 0.0 if self._observed_at is None else now - self._observed_at
+        busy_share = min(1.0, self.busy_ms / span_ms) if span_ms > 0 else 0.0
+        rooms: dict[str, _RoomCores] = {}
+        heartbeat_ages_ms: list[float] = []
+        free_cores = 0.0
+        for entry in registry.entries.values():
             if not entry.boot or entry.removed:
-                continue  # what was never heard is not lost, what was taken out is not missed
-            room = rooms.setdefault(entry.host.room, [0.0, 0.0, 0.0])
-            room[0] += entry.host.cores
+                continue  # what was never in contact is not lost, what was taken out is not missed
+            room = rooms.setdefault(entry.host.room, _RoomCores())
+            room.known += entry.host.cores
             if entry.state is State.READY:
-                room[1] += entry.host.cores
-                free += 0.0 if entry.load is None else max(0.0, entry.load.free_cores)
-                age = now - entry.heard_at
-                ages.append(age)
-                if age > OVERDUE_BEATS * entry.heartbeat_ms:
-                    room[2] += entry.host.cores
+                room.ready += entry.host.cores
+                free_cores += 0.0 if entry.load is None else max(0.0, entry.load.free_cores)
+                age_ms = now - entry.last_contact_at
+                heartbeat_ages_ms.append(age_ms)
+                if age_ms > OVERDUE_BEATS * entry.heartbeat_ms:
+                    room.overdue += entry.host.cores
         seen = Seen(
-            {name: CapacityView(*figures) for name, figures in rooms.items()},
-            statistics.median(ages) if ages else 0.0,
+            {name: CapacityView(room.known, room.ready, room.overdue) for name, room in rooms.items()},
+            statistics.median(heartbeat_ages_ms) if heartbeat_ages_ms else 0.0,
             self.lag_ms,
-            busy,
+            busy_share,
             open_share,
             self.memory_share,
-            free / mean_cores,
+            free_cores / mean_cores,
         )
-        self.lag_ms, self.busy_ms, self._looked_at = 0.0, 0.0, now
+        self.lag_ms = 0.0
+        self.busy_ms = 0.0
+        self._observed_at = now
         return seen
 
 
 class DegradationReporter:
-    """Of one placer; its object is named as the placer is."""
+    """The levels of one controller; their object in the API has the controller's name.
+
+    Attributes:
+        governor: decides which level applies and what is accepted at it.
+        process_load: the load of the process itself.
+    """
 
     def __init__(
         self, cluster: Cluster, store: ResourceStore, name: str, settings: LevelSettings, seed: int
     ) -> None:
         self.governor = DegradationController(settings, cluster.settings.classes, seed)
-        self.sight = Sight()
+        self.process_load = ProcessLoad()
         self._classes = cluster.settings.classes
         self._mean_cores = cluster.settings.mean_cores
-        self._store, self._name = store, name
+        self._store = store
+        self._name = name
         self._created_at = 0.0
-        self._shown_at = -math.inf
+        self._published_at = -math.inf
         self._generation = 1
         self._pin: Object | None = None
         self._pin_until = 0.0
 
     @property
     def level(self) -> Level:
+        """The level that applies now."""
         return self.governor.level
 
     @property
     def measures(self) -> Measures:
+        """What is done less often, or not at all, at this level."""
         return self.governor.measures
 
     # ---- Work -----------------------------------------------------------------------------------------
 
-    def weigh(self, now: float, ask: AdmissionRequest, name: str) -> None:
-        """ApiError 429 where a job is not taken at the present level: nothing of it went anywhere."""
+    def check_admission(self, now: float, ask: AdmissionRequest, name: str) -> None:
+        """Check that a job is accepted at the present level.
+
+        Raises:
+            ApiError: 429; nothing of the job went anywhere.
+        """
         turned = self.governor.weigh(now, ask)
         if turned is not None:
             cause = Cause(f"level:{self.level.word}", turned.text, turned.reason)
@@ -126,42 +167,67 @@
                 retry_after_s=max(1, math.ceil(turned.retry_ms / 1000.0)),
             )
 
-    def answered(self, now: float, task: Task, state: TaskState) -> None:
+    def on_accepted(self, job: Job, count: int) -> None:
+        """So many tasks of a job need their answer from now on."""
+        self.governor.taken(job.class_index, job.namespace, count)
+
+    def on_withdrawn(self, job: Job) -> None:
+        """A task of the job that had no answer needs none any more."""
+        self.governor.withdrawn(job.class_index, job.namespace)
+
+    def on_rejected_early(self, now: float, count: int) -> None:
+        """Tasks were rejected before they were checked: still a sign of what is wanted."""
+        self.governor.symptoms.asked(self.governor.elapsed(now), count)
+
+    def on_answered(self, now: float, task: Task, state: TaskState) -> None:
+        """A task has its answer."""
         job = task.job
-        if not job.possible:  # its refusal says nothing of the cluster
-            self.governor.withdrawn(job.cls, job.namespace)
+        if not job.feasible:  # its refusal says nothing of the cluster
+            self.governor.withdrawn(job.class_index, job.namespace)
             return
         tell = self.governor.placed if state is TaskState.PLACED else self.governor.not_placed
-        tell(now, job.cls, job.namespace, now - task.created_at, job.patience_ms)
-
-    def rank(self, task: Task) -> int:
-        return self.governor.ranks.of[task.job.cls]
+        tell(now, job.class_index, job.namespace, now - task.created_at, job.timeout_ms)
 
-    def offer_closed(self, now: float, task: Task, how: AttemptOutcome, reason: OutcomeReason) -> None:
+    def on_offer_closed(self, now: float, task: Task, how: AttemptOutcome, reason: OutcomeReason) -> None:
+        """An offer was accepted, or its attempt ended."""
         if how in (AttemptOutcome.REJECTED, AttemptOutcome.ENDED):
-            full = how is AttemptOutcome.REJECTED and reason in FULL
-            self.governor.offer_answered(now, task.job.cls, full)
+            full = how is AttemptOutcome.REJECTED and reason in NO_CAPACITY
+            self.governor.offer_answered(now, task.job.class_index, full)
 
-    # ---- Looks ----------------------------------------------------------------------------------------
+    def priority_rank(self, task: Task) -> int:
+        """Return the rank of a task's class, the most important first."""
+        return self.governor.ranks.of[task.job.class_index]
 
-    def look(self, now: float, directory: MachineRegistry, open_share: float) -> list[LogLine]:
-        """Weighs what is seen; the lines say what changed."""
-        change = self.governor.observe(now, self.sight.look(now, directory, open_share, self._mean_cores))
+    def client_weight(self, namespace: str) -> float:
+        """Return the share of a namespace in what is handed to the scheduler."""
+        return self.governor.door.owners.weight(namespace)
+
+    def placement_time_ms(self, task: Task, remaining_ms: float) -> float:
+        """Return how long a task is tried: at reduced levels less than remains, for fewer attempts."""
+        return self.governor.tried_for(task.job.class_index, remaining_ms)
+
+    # ---- Levels ---------------------------------------------------------------------------------------
+
+    def observe(self, now: float, registry: MachineRegistry, open_share: float) -> list[LogLine]:
+        """Evaluate what is observed, and return log lines of what changed."""
+        change = self.governor.observe(
+            now, self.process_load.observe(now, registry, open_share, self._mean_cores)
+        )
         if self._pin is not None and self.governor.pinned is None:
             self._pin = None
             self._generation += 1
-            self._shown_at = -math.inf
-        if change is not None or now >= self._shown_at + SHOW_MS * self.measures.background:
-            self.show(now)
+            self._published_at = -math.inf
+        if change is not None or now >= self._published_at + PUBLISH_PERIOD_MS * self.measures.background:
+            self.publish(now)
         return [] if change is None else [self._line(change)]
 
     def pin(self, now: float, level: Level | None, for_ms: float) -> list[LogLine]:
-        """An operator's word."""
+        """Hold a level by an operator's word, or let go of it; return log lines of what changed."""
         change = self.governor.pin(now, level, for_ms)
         self._pin = None if level is None else {"level": level.word, "for": format_duration(for_ms)}
         self._pin_until = now + for_ms
         self._generation += 1
-        self.show(now)
+        self.publish(now)
         return [] if change is None else [self._line(change)]
 
     def _line(self, change: Change) -> LogLine:
@@ -174,79 +240,87 @@
         }
         return LogLine("warning" if raised else "info", "level changed", fields)
 
-    # ---- What is shown --------------------------------------------------------------------------------
+    # ---- The API --------------------------------------------------------------------------------------
 
-    def show(self, now: float) -> None:
-        """Brings the object to the store."""
-        if self._shown_at == -math.inf and not self._created_at:
+    def publish(self, now: float) -> None:
+        """Bring the object to the store."""
+        if self._published_at == -math.inf and not self._created_at:
             self._created_at = now
-        self._shown_at = now
+        self._published_at = now
         key = "", self._name
         if self._store.find(LEVELS, key) is None:
-            self._store.create(LEVELS, key, self.render(now))
+            self._store.create(LEVELS, key, self.to_api(now))
         else:
-            self._store.update(LEVELS, key, self.render(now))
+            self._store.update(LEVELS, key, self.to_api(now))
 
-    def render(self, now: float) -> Object:
+    def to_api(self, now: float) -> Object:
+        """Return the object as the API shows it."""
+        return {
+            "apiVersion": API_VERSION,
+            "kind": "Level",
+            "metadata": {
+                "name": self._name,
+                "uid": f"level-{self._name}",
+                "resourceVersion": "",
+                "generation": self._generation,
+                "creationTimestamp": timestamp(self._created_at)[:19] + "Z",
+            },
+            "spec": {} if self._pin is None else {"pin": self._pin},
+            "status": self._status(now),
+        }
+
+    def _status(self, now: float) -> Object:
         governor, ladder = self.governor, self.governor.ladder
         level = governor.level
-
-        def when(at: float) -> str:  # of elapsed time
-            return timestamp(now - (governor.at - at))
-
-        changes = list(ladder.changes)[-CHANGES_SHOWN:]
-        pace = governor.symptoms.pace(governor.at)
-        classes = []
-        for number, cls in enumerate(self._classes):
-            rank = governor.ranks.of[number]
-            shown: Object = {
-                "name": cls.name,
-                "rank": rank,
-                "essential": governor.ranks.is_essential(number),
-                "waiting": governor.waiting.of_class(number),
-            }
-            if level is not Level.FULL:
-                shown["places"] = math.ceil(governor.door.places(ladder, rank, pace))
-            classes.append(shown)
+        changes = list(ladder.changes)[-PUBLISHED_CHANGES:]
         status: Object = {
             "level": level.word,
-            "since": when(ladder.since),
+            "since": self._timestamp(now, ladder.since),
             "meaning": MEANING[level],
             "why": changes[-1].why if changes else "the placer has started",
             "givenUp": given_up(governor),
             "leavesWhen": leaves_when(governor),
             "calls": calls(governor),
             "symptoms": {name: round(value, 3) for name, value in governor.readings.items()},
-            "classes": classes,
+            "classes": self._class_statuses(),
             "turnedAway": dict(governor.turned),
-            "changes": [
-                {
-                    "at": when(change.at),
-                    "before": change.before.word,
-                    "after": change.after.word,
-                    "why": change.why,
-                    "evidence": [
-                        {"symptom": one.symptom, "value": round(one.value, 4), "bound": one.bound}
-                        for one in change.evidence
-                    ],
-                }
-                for change in changes
-            ],
+            "changes": [self._change_status(now, change) for change in changes],
             "changesInHour": ladder.changes_in_hour,
             "changesMost": ladder.budget,
         }
         if self._pin is not None:
             status["pinnedUntil"] = timestamp(self._pin_until)
+        return status
+
+    def _timestamp(self, now: float, at: float) -> str:
+        """Return a moment of the elapsed time that the levels count in."""
+        return timestamp(now - (self.governor.at - at))
+
+    def _class_statuses(self) -> list[Object]:
+        governor, ladder = self.governor, self.governor.ladder
+        pace = governor.symptoms.pace(governor.at)
+        classes = []
+        for number, cls in enumerate(self._classes):
+            rank = governor.ranks.of[number]
+            shown: Object = {
+                "name": cls.name,
+                "rank": rank,
+                "essential": governor.ranks.is_essential(number),
+                "waiting": governor.waiting.of_class(number),
+            }
+            if governor.level is not Level.FULL:
+                shown["places"] = math.ceil(governor.door.places(ladder, rank, pace))
+            classes.append(shown)
+        return classes
+
+    def _change_status(self, now: float, change: Change) -> Object:
         return {
-            "apiVersion": API_VERSION,
-            "kind": "Level",
-            "metadata": {
-                "name": self._name,
-                "uid": f"level-{self._name}",
-                "resourceVersion": "",
-                "generation": self._generation,
-                "creationTimestamp": timestamp(self._created_at)[:19] + "Z",
-            },
-            "spec": {} if self._pin is None else {"pin": self._pin},
-            "status": status,
+            "at": self._timestamp(now, change.at),
+            "before": change.before.word,
+            "after": change.after.word,
+            "why": change.why,
+            "evidence": [
+                {"symptom": one.symptom, "value": round(one.value, 4), "bound": one.bound}
+                for one in change.evidence
+            ],
         }
--- a/kelpfront/controller/machine_registry.py
+++ b/kelpfront/controller/machine_registry.py
@@ -1,13 +1,15 @@
-"""The machines as one placer sees them: inventory, what they say, and whether they are still heard. No I/O.
+"""The machines as one controller sees them: the inventory, their reports, and whether they are in contact.
 
-It decides what the machine list tells the decisions: which machines are ready, draining or gone. Whether a
-machine that is ready is *healthy* is the decisions' own to judge, by what their offers meet.
+It decides what the endpoint list says to the scheduler: which machines are ready, draining or removed.
+Whether a ready machine is *healthy* is left to the scheduler, which judges by what its offers meet. No I/O.
 """
 
 from __future__ import annotations
 
 import math
+from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
+from typing import NamedTuple
 
 from kelpfront.api.machines import State
 from kelpfront.api.meta import API_VERSION, Object
@@ -18,25 +20,54 @@
 from kelpfront.numbers import Places, machine_number
 from kelpfront.scheduling.events import Endpoint, EndpointList, EndpointListKind, MachineId, MachineState
 
-MISSED_BEATS = 4  # heartbeats a machine may miss: one late by a stall is ordinary, four in a row are not
-RECONNECT_MS = 1_000.0  # a broken stream may take so long to be back before its machine counts as gone
-LIST_PERIOD_MS = 250.0  # between lists that tell only of room: finer than what the decisions allow for lag
-SHOW_PERIOD_MS = 5_000.0  # between changes of a machine's object that only renew its figures
-SHOW_TASKS_MS = 1_000.0  # ... where its tasks have come or gone
-
-MODULE_STATE = {
+MAX_MISSED_HEARTBEATS = 4
+"""Heartbeats a machine may miss: one that is late by a stall is ordinary, four in a row are not."""
+RECONNECT_MS = 1_000.0
+"""How long a broken stream may take to be back before its machine counts as gone."""
+ENDPOINT_UPDATE_PERIOD_MS = 250.0
+"""Between updates that tell only of capacity: finer than what the scheduler allows for lag."""
+STATUS_PERIOD_MS = 5_000.0
+"""Between changes of a machine's object that only renew its figures."""
+STATUS_PERIOD_TASKS_MS = 1_000.0
+"""Between such changes where the machine's number of tasks is another."""
+
+ENDPOINT_STATES = {
     State.READY: MachineState.READY,
     State.DRAINING: MachineState.DRAINING,
     State.GONE: MachineState.REMOVED,
 }
 
 
+class _MachineSize(NamedTuple):
+    kind: int
+    cores: float
+    memory: float
+
+
 @dataclass(slots=True, eq=False)
-class Entry:
-    """One machine of the inventory, or one that was and still holds tasks."""
+class MachineRecord:
+    """One machine of the inventory, or one that was and still holds tasks.
+
+    Attributes:
+        machine_id: the machine as the scheduler knows it.
+        cell: its rack, as the scheduler counts it; `zone` is its room.
+        cordoned: whether an operator drains it.
+        removed: whether the inventory names it no longer.
+        link_up: whether its stream is connected; `down_since` tells since when it is not.
+        last_contact_at: when its last message came.
+        boot: the id of its agent's start; empty before the first contact.
+        reconciled: whether it has reported which of this controller's tasks it holds.
+        reported_state: the state by its own word.
+        state_since: when it entered `state`.
+        published_endpoint: what the scheduler was told of it last.
+        endpoint_changed: whether the scheduler may have to be told something new.
+        published_at: when its object was last brought to the store, with `published_task_count` tasks.
+        declared_lost: whether its tasks were declared lost.
+        task_count: how many tasks are placed on it.
+    """
 
     host: Host
-    number: MachineId
+    machine_id: MachineId
     kind: int
     cell: int
     zone: int
@@ -46,214 +77,266 @@
     generation: int = 1
     link_up: bool = False
     down_since: float = -math.inf
-    heard_at: float = -math.inf
+    last_contact_at: float = -math.inf
     heartbeat_ms: float = 1_000.0
     boot: str = ""
-    settled: bool = False  # it has told what it holds of this placer's
+    reconciled: bool = False
     started_at: float = 0.0
-    reported: str = "ready"
+    reported_state: str = "ready"
     load: LoadReport | None = None
     state: State = State.UNKNOWN
-    since: float = 0.0
+    state_since: float = 0.0
     message: str = "not heard from yet"
-    told: Endpoint | None = None
-    stale: bool = False  # the list has something new of it
-    shown_at: float = -math.inf
-    given_up: bool = False  # its tasks were declared lost
-    tasks: int = 0
-    shown_tasks: int = 0
+    published_endpoint: Endpoint | None = None
+    endpoint_changed: bool = False
+    published_at: float = -math.inf
+    declared_lost: bool = False
+    task_count: int = 0
+    published_task_count: int = 0
 
     @property
     def name(self) -> str:
+        """The machine's name in the inventory."""
         return self.host.name
 
+    def silent_too_long(self, now: float) -> bool:
+        """Whether it has missed so many heartbeats that it counts as gone."""
+        return now - self.last_contact_at >= MAX_MISSED_HEARTBEATS * self.heartbeat_ms
+
+    def disconnected_too_long(self, now: float) -> bool:
+        """Whether its stream has been down for longer than reconnecting takes."""
+        return not self.link_up and now >= self.down_since + RECONNECT_MS
+
 
 @dataclass(slots=True)
-class Changes:
-    """What came of an input: entries whose state changed, and hosts whose tasks are to be given up."""
+class MachineChanges:
+    """What came of an input.
+
+    Attributes:
+        states: machines whose object changed.
+        lost: machines whose tasks are to be declared lost.
+    """
 
-    states: list[Entry] = field(default_factory=list)
-    lost: list[Entry] = field(default_factory=list)
+    states: list[MachineRecord] = field(default_factory=list)
+    lost: list[MachineRecord] = field(default_factory=list)
 
 
 class MachineRegistry:
-    """All machines; times are milliseconds of the common clock."""
+    """All machines; times are milliseconds of the common clock.
+
+    Attributes:
+        entries: the machines by name.
+        by_id: the machines by the id that the scheduler knows.
+    """
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._places = Places()
-        self.entries: dict[str, Entry] = {}
-        self.by_number: dict[MachineId, Entry] = {}
-        self._sizes: set[tuple[int, float, float]] | None = None  # kind, cores, memory of what there is
+        self.entries: dict[str, MachineRecord] = {}
+        self.by_id: dict[MachineId, MachineRecord] = {}
+        self._sizes: set[_MachineSize] | None = None  # None: to be collected anew
         self._version = 0
-        self._listed_at = -math.inf
-        self._urgent = False
+        self._updated_at = -math.inf
+        self._update_is_urgent = False
 
-    # ---- What happens ---------------------------------------------------------------------------------
+    # ---- Inputs ---------------------------------------------------------------------------------------
 
-    def take_inventory(self, now: float, inventory: Inventory) -> Changes:
-        """The machines that there are from now on. One that is named no more is gone."""
-        changes = Changes()
+    def apply_inventory(self, now: float, inventory: Inventory) -> MachineChanges:
+        """Take over the machines that there are from now on. One that is named no more is gone."""
+        changes = MachineChanges()
         self._sizes = None
         for name, entry in self.entries.items():
-            host = inventory.hosts.get(name)
-            if host is None and not entry.removed:
-                entry.removed = True
-                entry.generation += 1
-                self._judge(now, entry, changes)
-            elif host is not None and (entry.removed or host != entry.host):
-                entry.removed = False
-                entry.generation += 1
-                self._describe(entry, host)
-                entry.stale = True
-                self._judge(now, entry, changes)
+            self._apply_host(now, entry, inventory.hosts.get(name), changes)
         for name, host in inventory.hosts.items():
             if name not in self.entries:
-                entry = Entry(host, machine_number(name), 0, 0, 0, created_at=now, since=now)
-                self._describe(entry, host)
-                self.entries[name] = self.by_number[entry.number] = entry
-                changes.states.append(entry)
+                changes.states.append(self._add(now, host))
         return changes
 
-    def ever_fits(self, kind: int | None, cores: float, memory: float) -> bool:
-        """Whether some machine, of a kind if one is given, is as large as this."""
+    def _apply_host(
+        self, now: float, entry: MachineRecord, host: Host | None, changes: MachineChanges
+    ) -> None:
+        if host is None and not entry.removed:
+            entry.removed = True
+            entry.generation += 1
+            self._update_state(now, entry, changes)
+        elif host is not None and (entry.removed or host != entry.host):
+            entry.removed = False
+            entry.generation += 1
+            self._describe(entry, host)
+            entry.endpoint_changed = True
+            self._update_state(now, entry, changes)
+
+    def _add(self, now: float, host: Host) -> MachineRecord:
+        entry = MachineRecord(host, machine_number(host.name), 0, 0, 0, created_at=now, state_since=now)
+        self._describe(entry, host)
+        self.entries[host.name] = entry
+        self.by_id[entry.machine_id] = entry
+        return entry
+
+    def _describe(self, entry: MachineRecord, host: Host) -> None:
+        entry.host = host
+        entry.kind = self._cluster.kind_numbers[host.kind]
+        entry.cell = self._places.cell(host.room, host.rack)
+        entry.zone = self._places.zone(host.room)
+
+    def any_fits(self, kind: int | None, cores: float, memory: float) -> bool:
+        """Return whether some machine, of a kind if one is given, is as large as this."""
         if self._sizes is None:  # there are few sizes, however many machines
             self._sizes = {
-                (entry.kind, entry.host.cores, entry.host.memory)
+                _MachineSize(entry.kind, entry.host.cores, entry.host.memory)
                 for entry in self.entries.values()
                 if not entry.removed
             }
         return any(
-            kind in (None, its) and cores <= its_cores and memory <= its_memory
-            for its, its_cores, its_memory in self._sizes
+            kind in (None, size.kind) and cores <= size.cores and memory <= size.memory
+            for size in self._sizes
         )
 
-    def _describe(self, entry: Entry, host: Host) -> None:
-        entry.host = host
-        entry.kind = self._cluster.kind_numbers[host.kind]
-        entry.cell = self._places.cell(host.room, host.rack)
-        entry.zone = self._places.zone(host.room)
-
-    def cordon(self, now: float, name: str, on: bool) -> Changes:
-        """An operator drains the machine, or takes that back."""
-        changes = Changes()
+    def cordon(self, now: float, name: str, *, unschedulable: bool) -> MachineChanges:
+        """Drain a machine by an operator's word, or take that back."""
+        changes = MachineChanges()
         entry = self.entries[name]
-        if entry.cordoned != on:
-            entry.cordoned = on
+        if entry.cordoned != unschedulable:
+            entry.cordoned = unschedulable
             entry.generation += 1
-            self._judge(now, entry, changes)
+            self._update_state(now, entry, changes)
             if entry not in changes.states:
                 changes.states.append(entry)
         return changes
 
-    def hello(self, now: float, name: str, hello: Hello) -> Changes:
+    def on_hello(self, now: float, name: str, hello: Hello) -> MachineChanges:
         """A machine's stream is up."""
-        changes = Changes()
+        changes = MachineChanges()
         entry = self.entries[name]
-        entry.link_up, entry.heard_at, entry.heartbeat_ms = True, now, hello.heartbeat_ms
-        entry.given_up = False
+        entry.link_up = True
+        entry.last_contact_at = now
+        entry.heartbeat_ms = hello.heartbeat_ms
+        entry.declared_lost = False
         if hello.boot != entry.boot:
-            entry.boot, entry.started_at, entry.load = hello.boot, now - hello.age_ms, None
-            entry.stale = self._urgent = True
-        self._judge(now, entry, changes)
+            entry.boot = hello.boot
+            entry.started_at = now - hello.age_ms
+            entry.load = None
+            entry.endpoint_changed = True
+            self._update_is_urgent = True
+        self._update_state(now, entry, changes)
         return changes
 
-    def heartbeat(self, now: float, name: str, beat: Heartbeat) -> Changes:
-        changes = Changes()
+    def on_heartbeat(self, now: float, name: str, heartbeat: Heartbeat) -> MachineChanges:
+        """A machine reports its state and load."""
+        changes = MachineChanges()
         entry = self.entries[name]
-        entry.heard_at = now
-        entry.reported, entry.load = beat.state, beat.load
-        entry.stale = True
-        self._judge(now, entry, changes)
+        entry.last_contact_at = now
+        entry.reported_state = heartbeat.state
+        entry.load = heartbeat.load
+        entry.endpoint_changed = True
+        self._update_state(now, entry, changes)
         return changes
 
-    def heard(self, now: float, name: str) -> None:
-        """Any other message of the machine's."""
-        self.entries[name].heard_at = now
+    def record_contact(self, now: float, name: str) -> None:
+        """A message of the machine came, of whatever kind."""
+        self.entries[name].last_contact_at = now
 
-    def link_down(self, now: float, name: str) -> None:
+    def on_link_down(self, now: float, name: str) -> None:
+        """A machine's stream broke."""
         entry = self.entries.get(name)
         if entry is not None and entry.link_up:
-            entry.link_up, entry.down_since = False, now
+            entry.link_up = False
+            entry.down_since = now
 
-    def advance(self, now: float) -> Changes:
-        """Machines that have not been heard for too long."""
-        changes = Changes()
+    def advance(self, now: float) -> MachineChanges:
+        """Find the machines that have been out of contact for too long."""
+        changes = MachineChanges()
         for entry in self.entries.values():
-            self._judge(now, entry, changes)
-            if (
-                entry.state is State.GONE
-                and not entry.given_up
-                and not entry.link_up
-                and now >= entry.since + self._cluster.lost_after_ms
-            ):
-                entry.given_up = True
+            self._update_state(now, entry, changes)
+            if self._is_newly_lost(now, entry):
+                entry.declared_lost = True
                 changes.lost.append(entry)
         return changes
 
+    def _is_newly_lost(self, now: float, entry: MachineRecord) -> bool:
+        if entry.state is not State.GONE or entry.declared_lost or entry.link_up:
+            return False
+        return now >= entry.state_since + self._cluster.lost_after_ms
+
     def forget(self, name: str) -> None:
-        """Drops a removed machine that holds nothing any more."""
+        """Drop a removed machine that holds nothing any more."""
         entry = self.entries.pop(name)
-        del self.by_number[entry.number]
+        del self.by_id[entry.machine_id]
+
+    # ---- States ---------------------------------------------------------------------------------------
 
-    def _judge(self, now: float, entry: Entry, changes: Changes) -> None:
-        state, message = self._state(now, entry)
-        entry.message = message
+    def _update_state(self, now: float, entry: MachineRecord, changes: MachineChanges) -> None:
+        state, entry.message = self.evaluate_state(now, entry)
         if state is entry.state:
             return
-        entry.state, entry.since, entry.stale = state, now, True
-        self._urgent = True
+        entry.state = state
+        entry.state_since = now
+        entry.endpoint_changed = True
+        self._update_is_urgent = True
         changes.states.append(entry)
 
-    def _state(self, now: float, entry: Entry) -> tuple[State, str]:
+    def evaluate_state(self, now: float, entry: MachineRecord) -> tuple[State, str]:
+        """Return a machine's state by what is known of it, and why for its operator."""
+        return self._out_of_contact(now, entry) or self._reported(entry)
+
+    @staticmethod
+    def _out_of_contact(now: float, entry: MachineRecord) -> tuple[State, str] | None:
         if entry.removed:
             return State.GONE, "no longer in the inventory"
         if not entry.boot:
             return State.UNKNOWN, "not heard from yet"
-        silent_ms = now - entry.heard_at
-        if not entry.link_up and now >= entry.down_since + RECONNECT_MS:
+        if entry.disconnected_too_long(now):
             return State.GONE, "no connection"
-        if silent_ms >= MISSED_BEATS * entry.heartbeat_ms:
-            return State.GONE, f"silent for {MISSED_BEATS} heartbeats"
-        if entry.load is None:  # a hello without its first heartbeat: neither room nor state is known
-            return (State.UNKNOWN if entry.told is None else State.GONE), "no heartbeat yet"
+        if entry.silent_too_long(now):
+            return State.GONE, f"silent for {MAX_MISSED_HEARTBEATS} heartbeats"
+        return None
+
+    @staticmethod
+    def _reported(entry: MachineRecord) -> tuple[State, str]:
+        if entry.load is None:  # a hello without its first heartbeat: neither capacity nor state is known
+            return (State.UNKNOWN if entry.published_endpoint is None else State.GONE), "no heartbeat yet"
         if entry.cordoned:
             return State.DRAINING, "unschedulable"
-        if entry.reported == "draining":
+        if entry.reported_state == "draining":
             return State.DRAINING, "draining by its own word"
         return State.READY, ""
 
-    # ---- What the decisions are told ------------------------------------------------------------------
+    # ---- The endpoint list ----------------------------------------------------------------------------
 
-    def list_due(self, now: float) -> bool:
-        """Whether there may be something to tell: at once of states, now and then of room."""
-        return self._urgent or now >= self._listed_at + LIST_PERIOD_MS
+    def endpoint_update_due(self, now: float) -> bool:
+        """Return whether there may be something to tell: states at once, capacity now and then."""
+        return self._update_is_urgent or now >= self._updated_at + ENDPOINT_UPDATE_PERIOD_MS
 
-    def take_list(self, now: float) -> EndpointList | None:
-        """The changes since the last list."""
-        machines = []
-        for entry in self.entries.values():
-            if not entry.stale:
-                continue
-            entry.stale = False
-            machine = self._machine(entry)
-            if machine is not None and machine != entry.told:
-                entry.told = machine
-                machines.append(machine)
-        self._listed_at, self._urgent = now, False
-        if not machines:
+    def take_endpoint_update(self, now: float) -> EndpointList | None:
+        """Return the changes since the last update; None where there are none."""
+        endpoints = tuple(self._changed_endpoints(self.entries.values()))
+        self._updated_at = now
+        self._update_is_urgent = False
+        if not endpoints:
             return None
         self._version += 1
-        return EndpointList(EndpointListKind.CHANGES, self._version, tuple(machines))
+        return EndpointList(EndpointListKind.CHANGES, self._version, endpoints)
 
-    def _machine(self, entry: Entry) -> Endpoint | None:
+    def _changed_endpoints(self, entries: Iterable[MachineRecord]) -> Iterable[Endpoint]:
+        for entry in entries:
+            if not entry.endpoint_changed:
+                continue
+            entry.endpoint_changed = False
+            endpoint = self.endpoint_of(entry)
+            if endpoint is not None and endpoint != entry.published_endpoint:
+                entry.published_endpoint = endpoint
+                yield endpoint
+
+    def endpoint_of(self, entry: MachineRecord) -> Endpoint | None:
+        """Return a machine as the scheduler is to see it; None where it is not to be told of yet."""
         if entry.state is State.UNKNOWN:
             return None
-        state = MODULE_STATE[entry.state]
+        state = ENDPOINT_STATES[entry.state]
         if entry.load is None:
-            return None if entry.told is None else replace(entry.told, state=state)
+            known = entry.published_endpoint
+            return None if known is None else replace(known, state=state)
         return Endpoint(
-            entry.number,
+            entry.machine_id,
             entry.kind,
             entry.cell,
             entry.zone,
@@ -263,36 +346,30 @@
             entry.started_at,
         )
 
-    # ---- What owners are shown ------------------------------------------------------------------------
+    # ---- The API --------------------------------------------------------------------------------------
 
     @staticmethod
-    def worth_showing(now: float, entry: Entry, slower: float = 1.0) -> bool:
-        """Whether figures that only drift are to be shown anew; `slower` times less often than usual."""
-        period = SHOW_PERIOD_MS if entry.tasks == entry.shown_tasks else SHOW_TASKS_MS
-        return entry.load is not None and now >= entry.shown_at + slower * period
-
-    def render(self, entry: Entry) -> Object:
-        """The machine's object for the API."""
-        status: Object = {"state": entry.state.value, "tasks": entry.tasks, "free": {}, "unused": {}}
-        if entry.load is not None:
-            status["free"] = {"cores": entry.load.free_cores, "memory": entry.load.free_memory}
-            status["unused"] = {"cores": entry.load.unused_cores, "memory": entry.load.unused_memory}
-            status["waiting"] = entry.load.waiting
-        if entry.boot:
-            status |= {
-                "heartbeatAt": timestamp(entry.heard_at),
-                "startedAt": timestamp(entry.started_at),
-                "bootId": entry.boot,
-            }
-        if entry.message:
-            status["message"] = entry.message
+    def status_due(now: float, entry: MachineRecord, period_factor: float = 1.0) -> bool:
+        """Return whether figures that only drift are to be published again.
+
+        Args:
+            now: the present.
+            entry: the machine.
+            period_factor: how many times less often than usual this is done.
+        """
+        same_tasks = entry.task_count == entry.published_task_count
+        period_ms = STATUS_PERIOD_MS if same_tasks else STATUS_PERIOD_TASKS_MS
+        return entry.load is not None and now >= entry.published_at + period_factor * period_ms
+
+    def to_api(self, entry: MachineRecord) -> Object:
+        """Return the machine's object as the API shows it."""
         host = entry.host
         return {
             "apiVersion": API_VERSION,
             "kind": "Machine",
             "metadata": {
                 "name": host.name,
-                "uid": f"{entry.number:012x}",
+                "uid": f"{entry.machine_id:012x}",
                 "resourceVersion": "",
                 "generation": entry.generation,
                 "creationTimestamp": timestamp(entry.created_at)[:19] + "Z",
@@ -306,5 +383,22 @@
                 "address": host.address,
                 "unschedulable": entry.cordoned,
             },
-            "status": status,
+            "status": self._status(entry),
         }
+
+    @staticmethod
+    def _status(entry: MachineRecord) -> Object:
+        status: Object = {"state": entry.state.value, "tasks": entry.task_count, "free": {}, "unused": {}}
+        if entry.load is not None:
+            status["free"] = {"cores": entry.load.free_cores, "memory": entry.load.free_memory}
+            status["unused"] = {"cores": entry.load.unused_cores, "memory": entry.load.unused_memory}
+            status["waiting"] = entry.load.waiting
+        if entry.boot:
+            status |= {
+                "heartbeatAt": timestamp(entry.last_contact_at),
+                "startedAt": timestamp(entry.started_at),
+                "bootId": entry.boot,
+            }
+        if entry.message:
+            status["message"] = entry.message
+        return status
--- a/kelpfront/controller/offers.py
+++ b/kelpfront/controller/offers.py
@@ -1,4 +1,7 @@
-"""Between a job as its owner wrote it and the offers of its tasks as machines get them."""
+"""Translation between a job as its client wrote it and the offers of its tasks as machines receive them.
+
+An offer carries enough of the job for a controller that starts anew to show the job again.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +12,19 @@
 from kelpfront.scheduling.settings import Idempotency
 from kelpfront.units import format_duration, parse_duration
 
-STOP_GRACE = "10s"
+DEFAULT_STOP_GRACE = "10s"
 
 
 def make_offer(cluster: Cluster, task: Task, attempt: Attempt) -> Offer:
-    """The offer of one attempt. It says enough of the job for a placer that starts anew to show it again."""
+    """Return the offer of one attempt."""
     job = task.job
-    cls = cluster.settings.classes[job.cls]
+    cls = cluster.settings.classes[job.class_index]
     spec = job.spec
     key = spec.get("key")
+    has_key = cls.idempotency is Idempotency.IDEMPOTENCY_KEY
     return Offer(
         task=task.uid,
-        attempt=attempt.wire,
+        attempt=attempt.number,
         job=JobRef(job.namespace, job.name, job.uid, task.index, spec["count"], job.token, job.labels),
         cls=cls.name,
         service=f"{job.namespace}/{spec['service']}",
@@ -29,47 +33,54 @@
         effect=cls.idempotency.value,
         not_after=attempt.timeout_at,
         priority=cls.priority,
-        needs_kind=cluster.needs_kind(cls),
+        needs_kind=cluster.required_kind_name(cls),
         key="" if key is None else f"{job.namespace}/{key}/{task.index}",
-        group=cls.idempotency_scope.value if cls.idempotency is Idempotency.IDEMPOTENCY_KEY else "none",
-        run=_command(spec),
+        group=cls.idempotency_scope.value if has_key else "none",
+        run=_command_of(spec),
     )
 
 
-def _command(spec: Object) -> Command | None:
+def _command_of(spec: Object) -> Command | None:
     if "command" not in spec:
         return None
     return Command(
         argv=tuple(spec["command"]),
         env=spec.get("env", {}),
         workdir=spec.get("workdir", ""),
-        grace_ms=parse_duration(spec.get("stopGrace", STOP_GRACE)),
+        grace_ms=parse_duration(spec.get("stopGrace", DEFAULT_STOP_GRACE)),
     )
 
 
-def job_of(cluster: Cluster, cls: int, offer: Offer, now: float) -> Job:
-    """The job that an offer was of, as far as the offer tells. Its annotations and age are lost."""
+def restore_job(cluster: Cluster, class_index: int, offer: Offer, now: float) -> Job:
+    """Return the job that an offer belongs to, as far as the offer tells; annotations and age are lost."""
     ref = offer.job
+    timeout_ms = cluster.settings.classes[class_index].deadline_ms
     namespace, _, service = offer.service.partition("/")
-    patience = cluster.settings.classes[cls].deadline_ms
     spec: Object = {
         "class": offer.cls,
         "service": service,
         "cores": offer.cores,
         "memory": offer.memory,
         "count": ref.count,
-        "patience": format_duration(patience),
+        "patience": format_duration(timeout_ms),
     }
     if offer.key:
         spec["key"] = offer.key.removeprefix(f"{namespace}/").rpartition("/")[0]
     if ref.token:
         spec["clientToken"] = ref.token
     if offer.run is not None:
-        spec["command"] = list(offer.run.argv)
-        if offer.run.env:
-            spec["env"] = offer.run.env
-        if offer.run.workdir:
-            spec["workdir"] = offer.run.workdir
-        if (grace := format_duration(offer.run.grace_ms)) != STOP_GRACE:
-            spec["stopGrace"] = grace
-    return Job(ref.namespace, ref.name, ref.uid, spec, dict(ref.labels), {}, now, cls, patience)
+        spec |= _spec_of(offer.run)
+    labels = dict(ref.labels)
+    return Job(ref.namespace, ref.name, ref.uid, spec, labels, {}, now, class_index, timeout_ms)
+
+
+def _spec_of(command: Command) -> Object:
+    spec: Object = {"command": list(command.argv)}
+    if command.env:
+        spec["env"] = command.env
+    if command.workdir:
+        spec["workdir"] = command.workdir
+    grace = format_duration(command.grace_ms)
+    if grace != DEFAULT_STOP_GRACE:
+        spec["stopGrace"] = grace
+    return spec
--- a/kelpfront/controller/operations.py
+++ b/kelpfront/controller/operations.py
@@ -1,6 +1,6 @@
-"""What owners and operators may do, whatever the protocol: checked, then carried out by the heart. No I/O.
+"""What clients and operators may do, whatever the protocol: checked here, carried out by the controller.
 
-Every front calls these. An `ApiError` is the answer where something is not done.
+Every front calls these. An `ApiError` is the answer where something is not done. No I/O.
 """
 
 from __future__ import annotations
@@ -29,13 +29,22 @@
 )
 from kelpfront.api.patch import merge_patch
 from kelpfront.api.selectors import Selector
-from kelpfront.controller.admission import Arrival, asked_at, behind, refusal
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.admission import Arrival, overload_reason, rejection_reason, timeout_starts_at
+from kelpfront.controller.job_controller import JobController
+from kelpfront.controller.jobs import JobUpdate, Submission
 from kelpfront.degradation import Level
 from kelpfront.store import ResourceStore, Stored
 from kelpfront.units import parse_duration
 
 NAME_ALPHABET = "bcdfghjklmnpqrstvwxz2456789"
+"""Letters and digits of made-up names: no vowels, so that no words come out, and none that look alike."""
+NAME_SUFFIX_LENGTH = 8
+NAME_CANDIDATES = 4
+"""Made-up names that are tried before one that is taken is refused: a clash is rare as it is."""
+RETRY_AFTER_S = 1
+"""When a client that was rejected should try again: what stands in its way is over in about a second."""
+MAX_ATTEMPT_MARK_DIGITS = 9
+"""Digits that are read of a client's mark: more say nothing, and a long number costs time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,93 +56,123 @@
     warnings: tuple[str, ...] = ()
 
 
-class Operations:
-    """Of one placer. `now` is the common clock; `closed` says why no jobs are taken, empty where they are."""
+@dataclass(frozen=True, slots=True)
+class RequestOrigin:
+    """How a submission came in.
+
+    Attributes:
+        received_at: when its request came in, in milliseconds of the common clock.
+        sent_at: when its client says that it sent it, if it says so.
+        is_retry: whether its client has submitted it before and was told to come back.
+    """
+
+    received_at: float
+    sent_at: float | None = None
+    is_retry: bool = False
 
-    def __init__(self, heart: Controller, now: Callable[[], float], rng: random.Random) -> None:
-        self._heart, self._now, self._rng = heart, now, rng
-        self.closed = ""
-        self.starting = False  # what runs is not known yet
-        self.first_tries = self.retries = 0  # submissions that came in, by their clients' marks
 
-    def count_try(self, attempt: str) -> bool:
-        """A submission came in, with the number of the try as its client marks it. Whether it is a repeat."""
-        again = attempt.isascii() and attempt.isdigit() and int(attempt[:9]) > 0
-        self.retries += again
-        self.first_tries += not again
-        return again
+class Operations:
+    """The operations of one controller.
+
+    Attributes:
+        closed: why no jobs are accepted; empty where they are.
+        starting: whether it is not known yet what runs.
+        first_tries: submissions that came in and were no retries, by their clients' marks.
+        retries: those that were.
+    """
+
+    def __init__(self, controller: JobController, now: Callable[[], float], rng: random.Random) -> None:
+        """Act on `controller`; `now` tells the common clock, `rng` makes up names."""
+        self._controller = controller
+        self._now = now
+        self._rng = rng
+        self.closed = ""
+        self.starting = False
+        self.first_tries = 0
+        self.retries = 0
+
+    def count_try(self, mark: str) -> bool:
+        """Count a submission by the number of the try that its client gave; return whether it is a retry."""
+        is_number = mark.isascii() and mark.isdigit()
+        is_retry = is_number and int(mark[:MAX_ATTEMPT_MARK_DIGITS]) > 0
+        self.retries += is_retry
+        self.first_tries += not is_retry
+        return is_retry
 
     @property
     def store(self) -> ResourceStore:
-        return self._heart.store
+        """The objects that the API shows."""
+        return self._controller.store
 
     def get(self, resource: Resource, key: tuple[str, str]) -> Stored:
-        """The object; ApiError 404 where there is none, 503 where that is not known yet.
+        """Return an object.
+
+        While the controller starts, machines have yet to report the jobs that run. A client that was told
+        that its job does not exist would submit it again, or take it for deleted.
 
-        While the placer starts, jobs that run are still to be told by their machines. A client that was told
-        that its job is not there would ask for it anew, or take it for deleted.
+        Raises:
+            ApiError: 404 where there is none, 503 where that is not known yet.
         """
         if self.starting and resource is JOBS and self.store.find(resource, key) is None:
-            raise ApiError(503, self.closed, retry_after_s=1)
+            raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
         return self.store.get(resource, key)
 
     # ---- Jobs -----------------------------------------------------------------------------------------
 
     def check_open(self, received_at: float) -> None:
-        """503 where no work is taken now, whatever it is; to be asked before a request's body is read."""
-        if why := behind(self._now(), received_at):
-            raise ApiError(503, why, retry_after_s=1)
+        """Check, before a request's body is read, that work is accepted now; ApiError 503 where it is not."""
+        why = overload_reason(self._now(), received_at)
+        if why:
+            raise ApiError(503, why, retry_after_s=RETRY_AFTER_S)
 
     def create_job(
-        self,
-        namespace: str,
-        data: Object,
-        received_at: float,
-        sent_at: float | None = None,
-        validation: FieldValidation = "Strict",
-        *,
-        again: bool = False,
+        self, namespace: str, data: Object, origin: RequestOrigin, validation: FieldValidation = "Strict"
     ) -> Written:
-        """Takes a job, or finds the one that the same client token made before.
-
-        `received_at` is when its request came in, `sent_at` when its client says that it sent it; `again`
-        whether it asked before and was told to come back.
-        """
+        """Accept a job, or find the one that the same client token made before."""
         self._check_namespace(namespace)
         job, warnings = decode(JOB_INPUT, JOBS, data, validation)
         self._check_metadata(JOBS, job.metadata, namespace, job.metadata.name)
-        spec = job.spec
-        if spec.client_token is not None:
-            known = self._heart.find_token(namespace, spec.client_token)
-            if known is not None:
-                self._check_same(known, job)
-                return Written(known, False, warnings)
+        known = self._find_by_token(namespace, job.spec)
+        if known is not None:
+            self._check_same(known, job)
+            return Written(known, warnings=warnings)
         if self.closed:
-            raise ApiError(503, self.closed, retry_after_s=1)
+            raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
         name = self._name(namespace, job)
-        self._heart.check_spec(name, spec)
+        self._controller.check_spec(name, job.spec)
         now = self._now()
-        arrival = Arrival(now, received_at, sent_at, self._heart.patience_ms(spec))
-        if why := refusal(arrival, self._heart.pending, self._heart.cluster.settings.timer_resolution_ms):
-            self._heart.turned_away(now, spec.count, again)
-            raise ApiError(503, why, retry_after_s=1)
-        stored = self._heart.submit(
-            now,
+        timeout_ms = self._controller.timeout_ms(job.spec)
+        arrival = Arrival(now, origin.received_at, origin.sent_at, timeout_ms)
+        self._check_in_time(arrival, job.spec.count, origin)
+        submission = Submission(
             namespace,
             name,
-            spec,
+            job.spec,
             job.metadata.labels or {},
             job.metadata.annotations or {},
-            asked_at(arrival),
-            again=again,
+            timeout_starts_at(arrival),
+            origin.is_retry,
         )
-        return Written(stored, True, warnings)
+        return Written(self._controller.submit(now, submission), created=True, warnings=warnings)
+
+    def _find_by_token(self, namespace: str, spec: JobSpec) -> Stored | None:
+        if spec.client_token is None:
+            return None
+        return self._controller.find_by_client_token(namespace, spec.client_token)
+
+    def _check_in_time(self, arrival: Arrival, count: int, origin: RequestOrigin) -> None:
+        """ApiError 503 where a job's tasks could not be answered in time."""
+        tick_ms = self._controller.cluster.settings.timer_resolution_ms
+        why = rejection_reason(arrival, self._controller.pending_count, tick_ms)
+        if why:
+            self._controller.record_early_rejection(arrival.now, count, is_retry=origin.is_retry)
+            raise ApiError(503, why, retry_after_s=RETRY_AFTER_S)
 
     def _check_same(self, known: Stored, job: JobInput) -> None:
-        """409 where a token that made one job comes with another."""
+        """ApiError 409 where a token that made one job comes with another."""
         new = job.spec.model_dump(by_alias=True, exclude_none=True)
         old = known.body["spec"]
-        # The count may have been changed since, and a repeat has less patience left than the first had.
+        # The count may have been changed since, and a retry has less of its time left than the first try.
         compared = [name for name in new if name not in ("count", "patience")]
         differing = [name for name in compared if old.get(name) != new[name]]
         if job.metadata.name is not None and job.metadata.name != known.name:
@@ -144,21 +183,24 @@
             )
 
     def _name(self, namespace: str, job: JobInput) -> str:
-        """The client's name for the job, or one made of its token or of chance."""
+        """Return the client's name for the job, or one made of its token, or one made up."""
         if job.metadata.name is not None:
             return job.metadata.name
         prefix = job.metadata.generate_name or "job-"
         if job.spec.client_token is not None:
             candidates = [name_of_token(job.spec.client_token, prefix)]
         else:
-            candidates = ["".join([prefix, *self._rng.choices(NAME_ALPHABET, k=8)]) for _ in range(4)]
+            candidates = [self._made_up_name(prefix) for _ in range(NAME_CANDIDATES)]
         try:
             check_name(candidates[0])
         except ValueError as error:
-            raise invalid(JOBS, candidates[0], (Cause("metadata.generateName", str(error)),)) from None
+            raise invalid(JOBS, candidates[0], (Cause("metadata.generateName", str(error)),)) from error
         free = [name for name in candidates if self.store.find(JOBS, (namespace, name)) is None]
         return free[0] if free else candidates[0]
 
+    def _made_up_name(self, prefix: str) -> str:
+        return "".join([prefix, *self._rng.choices(NAME_ALPHABET, k=NAME_SUFFIX_LENGTH)])
+
     def replace_job(
         self,
         namespace: str,
@@ -167,12 +209,13 @@
         received_at: float,
         validation: FieldValidation = "Strict",
     ) -> Written:
-        """PUT: spec, labels and annotations as given."""
+        """Replace a job's spec, labels and annotations."""
         stored = self.store.get(JOBS, (namespace, name))
         job, warnings = decode(JOB_INPUT, JOBS, data, validation)
         self._check_metadata(JOBS, job.metadata, namespace, name)
         self.store.check_revision(JOBS, stored, job.metadata.resource_version)
-        return Written(self._update_job(stored, job.spec, job.metadata, received_at), False, warnings)
+        updated = self._update_job(stored, job.spec, job.metadata, received_at)
+        return Written(updated, warnings=warnings)
 
     def patch_job(
         self,
@@ -182,39 +225,41 @@
         received_at: float,
         validation: FieldValidation = "Strict",
     ) -> Written:
-        """JSON merge patch of spec, labels and annotations."""
+        """Change a job's spec, labels and annotations by a JSON merge patch."""
         stored = self.store.get(JOBS, (namespace, name))
         merged = self._patched(JOBS, stored, patch)
         job, warnings = decode(JOB_INPUT, JOBS, merged, validation)
         self._check_metadata(JOBS, job.metadata, namespace, name)
         self.store.check_revision(JOBS, stored, job.metadata.resource_version)
-        return Written(self._update_job(stored, job.spec, job.metadata, received_at), False, warnings)
+        updated = self._update_job(stored, job.spec, job.metadata, received_at)
+        return Written(updated, warnings=warnings)
 
     def _update_job(self, stored: Stored, spec: JobSpec, metadata: ObjectMeta, received_at: float) -> Stored:
         if self.closed and spec.count > stored.body["spec"]["count"]:
-            raise ApiError(503, self.closed, retry_after_s=1)
-        return self._heart.update(
-            self._now(), stored.key, spec, metadata.labels or {}, metadata.annotations or {}, received_at
-        )
+            raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
+        update = JobUpdate(spec, metadata.labels or {}, metadata.annotations or {}, received_at)
+        return self._controller.update(self._now(), stored.key, update)
 
     def delete_job(self, namespace: str, name: str, options: Object | None = None) -> Stored:
-        """Removes a job; preconditions on uid and resourceVersion are held to."""
+        """Remove a job, if the preconditions on uid and resourceVersion hold."""
         stored = self.store.get(JOBS, (namespace, name))
         self._check_preconditions(JOBS, stored, options or {})
-        return self._heart.delete(self._now(), stored.key)
+        return self._controller.delete(self._now(), stored.key)
 
     def delete_jobs(self, namespace: str, selector: Selector) -> list[Stored]:
-        """Removes all jobs of a namespace that a selector chooses."""
+        """Remove all jobs of a namespace that a selector chooses."""
         page = self.store.select(JOBS, namespace, selector)
-        return [self._heart.delete(self._now(), stored.key) for stored in page.items]
+        return [self._controller.delete(self._now(), stored.key) for stored in page.items]
 
     # ---- Machines -------------------------------------------------------------------------------------
 
     def replace_machine(self, name: str, data: Object, validation: FieldValidation = "Strict") -> Written:
+        """Replace a machine's spec, of which only `unschedulable` may differ."""
         stored = self.store.get(MACHINES, ("", name))
         return self._write_machine(stored, data, validation)
 
     def patch_machine(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> Written:
+        """Change a machine's `unschedulable` by a JSON merge patch."""
         stored = self.store.get(MACHINES, ("", name))
         return self._write_machine(stored, self._patched(MACHINES, stored, patch), validation)
 
@@ -232,40 +277,44 @@
         if causes:
             raise invalid(MACHINES, stored.name, causes)
         if machine.spec.unschedulable == old["unschedulable"]:
-            return Written(stored, False, warnings)
-        return Written(
-            self._heart.cordon(self._now(), stored.name, machine.spec.unschedulable), False, warnings
-        )
+            return Written(stored, warnings=warnings)
+        cordoned = self._controller.cordon(self._now(), stored.name, unschedulable=machine.spec.unschedulable)
+        return Written(cordoned, warnings=warnings)
 
     # ---- Levels ---------------------------------------------------------------------------------------
 
     def replace_level(self, name: str, data: Object, validation: FieldValidation = "Strict") -> Written:
+        """Replace a level's spec: pin the level, or let go of it."""
         stored = self.store.get(LEVELS, ("", name))
         return self._write_level(stored, data, validation)
 
     def patch_level(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> Written:
+        """Change a level's pin by a JSON merge patch; a pin that is named has its time begin anew."""
         stored = self.store.get(LEVELS, ("", name))
         merged = self._patched(LEVELS, stored, patch)
         named = isinstance(patch.get("spec"), dict) and "pin" in patch["spec"]
         return self._write_level(stored, merged, validation, renew=named)
 
     def _write_level(
-        self, stored: Stored, data: Object, validation: FieldValidation, renew: bool = False
+        self, stored: Stored, data: Object, validation: FieldValidation, *, renew: bool = False
     ) -> Written:
         """Only the pin is the API's to change.
 
-        One that is written back as it stands is left; with `renew` its time begins anew.
+        One that is written back unchanged is left; with `renew` its time begins anew.
         """
         level, warnings = decode(LEVEL_INPUT, LEVELS, data, validation)
         self._check_metadata(LEVELS, level.metadata, "", stored.name)
         self.store.check_revision(LEVELS, stored, level.metadata.resource_version)
         pin = level.spec.pin
-        unchanged = (None if pin is None else pin.model_dump(by_alias=True)) == stored.body["spec"].get("pin")
-        if unchanged and not (renew and pin is not None):
-            return Written(stored, False, warnings)
-        its = None if pin is None else Level.of(pin.level)
+        known_pin = stored.body["spec"].get("pin")
+        new_pin = None if pin is None else pin.model_dump(by_alias=True)
+        renews_pin = renew and pin is not None
+        if new_pin == known_pin and not renews_pin:
+            return Written(stored, warnings=warnings)
+        level_to_pin = None if pin is None else Level.of(pin.level)
         for_ms = 0.0 if pin is None else parse_duration(pin.for_)
-        return Written(self._heart.pin_level(self._now(), its, for_ms), False, warnings)
+        pinned = self._controller.pin_level(self._now(), level_to_pin, for_ms)
+        return Written(pinned, warnings=warnings)
 
     # ---- Both -----------------------------------------------------------------------------------------
 
@@ -274,7 +323,7 @@
         try:
             check_namespace(namespace)
         except ValueError as error:
-            raise ApiError(400, str(error)) from None
+            raise ApiError(400, str(error)) from error
 
     @staticmethod
     def _check_metadata(resource: Resource, metadata: ObjectMeta, namespace: str, name: str | None) -> None:
--- a/kelpfront/controller/orphans.py
+++ b/kelpfront/controller/orphans.py
@@ -1,48 +1,169 @@
-"""What becomes of a copy of a task that its placer had given up and that a machine turns out to hold.
+"""Decides about orphaned instances: copies of a task that were given up and that a machine turns out to hold.
 
-A machine may accept an offer and answer after the time-out, or while the answer is lost. The copy is then
-either adopted, so that the task stays one, or stopped. Pure; the figures come from the settings.
+A machine may accept an offer and answer after the timeout, or its answer may be lost. The instance is then
+either adopted, so that the task stays one, or stopped. Carrying out a stop is left to `stop_requests`.
 """
 
 from __future__ import annotations
 
+import math
+from dataclasses import dataclass
 from enum import Enum
 
-from kelpfront.api.jobs import Answer
+from kelpfront.api.jobs import Answer, TaskState
+from kelpfront.controller.answers import TaskAnswers
+from kelpfront.controller.context import ControllerContext
+from kelpfront.controller.machine_registry import MachineRecord
+from kelpfront.controller.tasks import Attempt, OrphanedInstance, Task
+from kelpfront.numbers import service_number
+from kelpfront.scheduling.events import TaskFound, TaskWithdrawn
 from kelpfront.scheduling.settings import Idempotency
 
+FIRST_ATTEMPT_NUMBER = 0
+"""The scheduler counts a task that it is told to run already as placed by its first attempt."""
+
+
+class OrphanDecision(Enum):
+    """What to do with an orphaned instance."""
 
-class Verdict(Enum):
     ADOPT = "adopt"
     STOP = "stop"
-    WAIT = "wait"  # until the attempt that is out has ended; then judge again
-
-
-def judge(
-    effect: Idempotency,
-    answer: Answer | None,
-    *,
-    attempt_out: bool,
-    placed: bool,
-    wanted: bool,
-    given_up_ms: float,
-    recheck_ms: float,
-) -> Verdict:
-    """What to do with a stray copy.
-
-    `answer` is the task's answer so far; `attempt_out` whether another attempt is out; `placed` whether the
-    task is placed elsewhere or over; `given_up_ms` how long ago the stray's attempt was given up.
-
-    - Safe tasks: stopped. The copy costs room, and a new one does no harm.
-    - A task that is placed elsewhere, is no longer wanted, or was refused: stopped. After a refusal its owner
-      may have asked again.
-    - Keyed and unsafe tasks without an answer: adopted, unless another attempt is still out, which is waited
-      for: its machine may hold the one copy, or refuse because of this one.
-    - Keyed and unsafe tasks that failed: adopted while their owner still looks (`recheck_ms`): such a task
-      cannot simply be started again. Later its owner may have asked anew, so a copy is stopped.
+    WAIT = "wait"
+    """Wait until the attempt that is out has ended, then decide again."""
+
+
+@dataclass(frozen=True, slots=True)
+class OrphanSituation:
+    """What is known when an orphaned instance turns up.
+
+    Attributes:
+        idempotency: of the task's class.
+        answer: the task's answer so far.
+        attempt_out: whether another attempt is out.
+        placed: whether the task is placed elsewhere or over.
+        wanted: whether its client still wants it.
+        given_up_ms: how long ago the instance's attempt was given up.
+        recheck_ms: for how long a failed task may turn out to run.
+    """
+
+    idempotency: Idempotency
+    answer: Answer | None
+    attempt_out: bool
+    placed: bool
+    wanted: bool
+    given_up_ms: float
+    recheck_ms: float
+
+
+def decide(situation: OrphanSituation) -> OrphanDecision:
+    """Return what to do with an orphaned instance.
+
+    - Idempotent tasks: stopped. The instance costs capacity, and a new one does no harm.
+    - A task that is placed elsewhere, is no longer wanted, or was refused: stopped. After a refusal its
+      client may have submitted it again.
+    - Other tasks without an answer: adopted, unless another attempt is still out, which is waited for: its
+      machine may hold the one copy, or refuse because of this one.
+    - Other tasks that failed: adopted within `recheck_ms`, since such a task cannot simply be started again.
+      Later its client may have submitted it again, so the instance is stopped.
     """
-    if effect is Idempotency.IDEMPOTENT or placed or not wanted or answer is Answer.REFUSED:
-        return Verdict.STOP
-    if answer is None:
-        return Verdict.WAIT if attempt_out else Verdict.ADOPT
-    return Verdict.ADOPT if given_up_ms <= recheck_ms else Verdict.STOP
+    unwanted = situation.placed or not situation.wanted or situation.answer is Answer.REFUSED
+    if unwanted or situation.idempotency is Idempotency.IDEMPOTENT:
+        return OrphanDecision.STOP
+    if situation.answer is None:
+        return OrphanDecision.WAIT if situation.attempt_out else OrphanDecision.ADOPT
+    within_recheck = situation.given_up_ms <= situation.recheck_ms
+    return OrphanDecision.ADOPT if within_recheck else OrphanDecision.STOP
+
+
+class OrphanHandler:
+    """Stops, adopts or remembers orphaned instances as they turn up."""
+
+    def __init__(self, context: ControllerContext, answers: TaskAnswers) -> None:
+        self._context = context
+        self._answers = answers
+
+    def on_found(self, now: float, host: str, task_uid: str, attempt_number: int) -> None:
+        """A machine holds an instance that was given up, or that nobody here knows."""
+        context = self._context
+        task = context.tasks.by_uid.get(task_uid)
+        if task is None:
+            context.stops.request(host, task_uid, attempt_number, "no longer wanted")
+            return
+        decision = decide(self._situation(now, task, attempt_number))
+        entry = context.registry.entries.get(host)
+        if decision is OrphanDecision.STOP or entry is None:
+            context.stops.request(host, task_uid, attempt_number, "given up")
+        elif decision is OrphanDecision.WAIT:
+            task.orphan = OrphanedInstance(host, attempt_number)
+        else:
+            context.driver.feed(now, TaskWithdrawn(task.scheduler_id))
+            self.adopt_anew(now, task, entry, attempt_number)
+
+    def _situation(self, now: float, task: Task, attempt_number: int) -> OrphanSituation:
+        given_up = task.attempt(attempt_number)
+        given_up_at = now if given_up is None or given_up.ended_at is None else given_up.ended_at
+        current = task.open_attempt
+        placed_elsewhere = current is not None and current.placed
+        return OrphanSituation(
+            idempotency=self._context.class_of(task).idempotency,
+            answer=task.answer,
+            attempt_out=current is not None and not current.placed,
+            placed=placed_elsewhere or task.state in (TaskState.ENDED, TaskState.LOST),
+            wanted=not task.withdrawn,
+            given_up_ms=now - given_up_at,
+            recheck_ms=self._context.cluster.settings.orphan_check_ms,
+        )
+
+    def adopt_anew(self, now: float, task: Task, entry: MachineRecord, attempt_number: int) -> None:
+        """Adopt a running instance of a task that the scheduler had before and has no more."""
+        self._context.tasks.renumber(task)
+        self.adopt(now, task, entry, attempt_number, running=True)
+
+    def adopt(
+        self, now: float, task: Task, entry: MachineRecord, attempt_number: int, *, running: bool
+    ) -> None:
+        """Make an instance that a machine holds the placed task, and tell the scheduler that it was found."""
+        context = self._context
+        self._reopen_attempt(now, task, entry, attempt_number)
+        context.jobs.mark_active(task.job)
+        entry.task_count += 1
+        task.host = entry.name
+        if task.state is not TaskState.PLACED:
+            task.found = not task.needs_answer
+            self._answers.answer(now, task, TaskState.PLACED)
+        if running:
+            task.move(now, TaskState.RUNNING)
+        context.publisher.job_changed(task.job)
+        context.log.info("task found", task, machine=entry.name, attempt=attempt_number)
+        context.driver.feed(now, _found_event(task, entry))
+
+    @staticmethod
+    def _reopen_attempt(now: float, task: Task, entry: MachineRecord, attempt_number: int) -> None:
+        attempt = task.attempt(attempt_number)
+        if attempt is None:
+            attempt = Attempt(
+                task,
+                FIRST_ATTEMPT_NUMBER,
+                attempt_number,
+                entry.name,
+                entry.machine_id,
+                now,
+                math.inf,
+                sent_at=now,
+            )
+            task.attempts.append(attempt)
+        elif not attempt.is_open:
+            attempt.message = f"{attempt.end}, then found to run"
+        attempt.scheduler_number = FIRST_ATTEMPT_NUMBER
+        attempt.placed = True
+        attempt.ended_at = None
+        attempt.end = ""
+
+
+def _found_event(task: Task, entry: MachineRecord) -> TaskFound:
+    job = task.job
+    spec = job.spec
+    service = service_number(job.namespace, spec["service"])
+    return TaskFound(
+        task.scheduler_id, job.class_index, service, spec["cores"], spec["memory"], entry.machine_id
+    )
--- /dev/null
+++ b/kelpfront/controller/recovery.py
@@ -0,0 +1,80 @@
+"""Takes over tasks that a machine holds for an earlier incarnation of this controller, after a restart.
+
+Offers carry enough of their job to show it again. Whether a reported task is one of an earlier incarnation is
+found out by `reconciliation`.
+"""
+
+from __future__ import annotations
+
+import math
+
+from kelpfront.api.jobs import TaskState
+from kelpfront.api.meta import JOBS
+from kelpfront.controller.context import ControllerContext
+from kelpfront.controller.intents import LogLine
+from kelpfront.controller.jobs import JobManager
+from kelpfront.controller.machine_registry import MachineRecord
+from kelpfront.controller.offers import restore_job
+from kelpfront.controller.orphans import OrphanHandler
+from kelpfront.controller.tasks import Job, Task
+from kelpfront.machine import messages as wire
+
+
+class TaskRecovery:
+    """Makes tasks of an earlier incarnation this one's."""
+
+    def __init__(self, context: ControllerContext, jobs: JobManager, orphans: OrphanHandler) -> None:
+        self._context = context
+        self._jobs = jobs
+        self._orphans = orphans
+
+    def recover(self, now: float, entry: MachineRecord, report: wire.TaskReport) -> None:
+        """Take over a task that a machine reports, with its job where that is not known."""
+        context = self._context
+        offer = report.offer
+        class_index = context.cluster.class_numbers.get(offer.cls)
+        if class_index is None:
+            fields = {"task": offer.task, "machine": entry.name, "class": offer.cls}
+            context.intents.append(LogLine("warning", "found task of an unknown class", fields))
+            return
+        job = context.jobs.by_key.get((offer.job.namespace, offer.job.name))
+        if job is not None and job.uid != offer.job.uid and not self._replace_unsent(now, job, offer.job):
+            context.stops.request(entry.name, offer.task, offer.attempt, "asked for anew")
+            return
+        if job is None:
+            job = self._restore(now, class_index, offer)
+        task = self._add_task(now, job, offer)
+        self._orphans.adopt(now, task, entry, offer.attempt, running=report.phase == "running")
+
+    def _replace_unsent(self, now: float, job: Job, ref: wire.JobRef) -> bool:
+        """Withdraw the task that the found one can stand for, in a job that was submitted again meanwhile.
+
+        Returns:
+            Whether there was one of which nothing was sent, so that the found one can take its place.
+        """
+        new_task = job.tasks.get(ref.index)
+        if new_task is None or not new_task.needs_answer or new_task.attempts:
+            return False
+        self._jobs.withdraw(now, new_task)
+        job.remove(new_task)
+        return True
+
+    def _restore(self, now: float, class_index: int, offer: wire.Offer) -> Job:
+        context = self._context
+        job = restore_job(context.cluster, class_index, offer, now)
+        context.store.create(JOBS, job.key, job.to_api())
+        context.jobs.add(job)
+        return job
+
+    def _add_task(self, now: float, job: Job, offer: wire.Offer) -> Task:
+        """Add the found task. It has no answer here: the earlier incarnation may have given it."""
+        context = self._context
+        scheduler_id = context.tasks.next_scheduler_id()
+        index = offer.job.index
+        task = Task(job, index, offer.task, scheduler_id, now, math.inf, TaskState.PLACED)
+        task.found = True
+        task.handed_over = True
+        job.add(task)
+        job.next_index = max(job.next_index, index + 1)
+        context.tasks.add(task)
+        return task
--- a/kelpfront/controller/tasks.py
+++ b/kelpfront/controller/tasks.py
@@ -1,7 +1,7 @@
-"""Jobs, tasks and attempts as the placer keeps them, and how owners read them.
+"""Jobs, tasks and attempts as the controller records them, and how the API shows them.
 
-A task's state moves only along `MOVES`; its answer is set once. Whatever else goes wrong in the placer, these
-two cannot be got around: a second answer is an error here and never reaches an owner.
+A task's state moves only along `TRANSITIONS`, and its answer is set once. Whatever else goes wrong in the
+controller, these two cannot be got around: a second answer is an error here and never reaches a client.
 """
 
 from __future__ import annotations
@@ -9,6 +9,7 @@
 import math
 from collections import Counter
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from kelpfront.api.jobs import Answer, Phase, TaskState
 from kelpfront.api.meta import API_VERSION, Object
@@ -16,46 +17,68 @@
 from kelpfront.scheduling.events import MachineId, TaskId
 from kelpfront.units import format_duration
 
-S = TaskState
-
-MOVES: dict[TaskState, frozenset[TaskState]] = {
-    S.PENDING: frozenset({S.PLACING, S.PLACED, S.REFUSED, S.FAILED}),
-    S.PLACING: frozenset({S.PENDING, S.PLACED, S.REFUSED, S.FAILED}),
-    S.PLACED: frozenset({S.RUNNING, S.ENDED, S.LOST}),
-    S.RUNNING: frozenset({S.ENDED, S.LOST}),
-    S.REFUSED: frozenset(),
-    # A failed task may turn out to run: it was given no assurance, and now it is found. The answer stays.
-    S.FAILED: frozenset({S.PLACED}),
-    S.ENDED: frozenset(),
-    S.LOST: frozenset(),
+TRANSITIONS: dict[TaskState, frozenset[TaskState]] = {
+    TaskState.PENDING: frozenset({TaskState.PLACING, TaskState.PLACED, TaskState.REFUSED, TaskState.FAILED}),
+    TaskState.PLACING: frozenset({TaskState.PENDING, TaskState.PLACED, TaskState.REFUSED, TaskState.FAILED}),
+    TaskState.PLACED: frozenset({TaskState.RUNNING, TaskState.ENDED, TaskState.LOST}),
+    TaskState.RUNNING: frozenset({TaskState.ENDED, TaskState.LOST}),
+    TaskState.REFUSED: frozenset(),
+    # A failed task may turn out to run: nothing was promised of it, and now it is found. The answer stays.
+    TaskState.FAILED: frozenset({TaskState.PLACED}),
+    TaskState.ENDED: frozenset(),
+    TaskState.LOST: frozenset(),
 }
-ANSWER_OF = {S.PLACED: Answer.PLACED, S.REFUSED: Answer.REFUSED, S.FAILED: Answer.FAILED}
-UNANSWERED = frozenset({S.PENDING, S.PLACING})
-OVER = frozenset({S.REFUSED, S.FAILED, S.ENDED, S.LOST})
+ANSWER_OF_STATE = {
+    TaskState.PLACED: Answer.PLACED,
+    TaskState.REFUSED: Answer.REFUSED,
+    TaskState.FAILED: Answer.FAILED,
+}
+UNANSWERED_STATES = frozenset({TaskState.PENDING, TaskState.PLACING})
+FINAL_STATES = frozenset({TaskState.REFUSED, TaskState.FAILED, TaskState.ENDED, TaskState.LOST})
 
 
 class TaskStateError(RuntimeError):
-    """A move that no task may make: a fault of the placer itself."""
+    """A transition that no task may make: a fault of the controller itself."""
+
+
+class OrphanedInstance(NamedTuple):
+    """An instance of a task that was given up and turned up on a machine."""
+
+    host: str
+    attempt_number: int
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     """One offer of a task to a machine.
 
-    `number` is the decisions' count within one task of theirs, `wire` the count that machines and owners see.
-    `sent_at` is set when the offer was cleared to go out: from then on it may have run.
+    Attributes:
+        scheduler_number: the scheduler's number of the attempt, within one of its tasks.
+        number: the number that machines and clients see.
+        host: the machine by name.
+        machine_id: the machine as the scheduler knows it.
+        decided_at: when the scheduler chose the machine.
+        timeout_at: when the attempt is given up.
+        send_deadline: when it may begin to go out at the latest.
+        sent_at: when it was cleared to go out; from then on it may have been executed.
+        held_back: whether the gate did not let it go out, for which its machine is not to blame.
+        placed: whether the machine has accepted it.
+        ended_at: when it ended; None while it is open.
+        end: how it ended, as clients read it.
+        reason: the machine's reason, by its name in the machines' protocol.
+        message: what the machine or the connection said.
     """
 
     task: Task
+    scheduler_number: int
     number: int
-    wire: int
     host: str
-    machine: MachineId
+    machine_id: MachineId
     decided_at: float
     timeout_at: float
-    latest: float = math.inf  # when it may begin to go out at the latest
+    send_deadline: float = math.inf
     sent_at: float | None = None
-    held_back: bool = False  # the gate did not let it go out: its machine is not to blame
+    held_back: bool = False
     placed: bool = False
     ended_at: float | None = None
     end: str = ""
@@ -63,11 +86,13 @@
     message: str = ""
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
+        """Whether it has not ended."""
         return self.ended_at is None
 
-    def render(self) -> Object:
-        shown: Object = {"attempt": self.wire, "machine": self.host, "sentAt": timestamp(self.decided_at)}
+    def to_api(self) -> Object:
+        """Return the attempt as the API shows it."""
+        shown: Object = {"attempt": self.number, "machine": self.host, "sentAt": timestamp(self.decided_at)}
         if self.ended_at is not None:
             shown["endedAt"] = timestamp(self.ended_at)
         for name, value in (("end", self.end), ("reason", self.reason), ("message", self.message)):
@@ -78,15 +103,30 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One task of a job. `number` is its id with the decisions, a new one each time it is handed to them."""
+    """One task of a job.
+
+    Attributes:
+        index: its place in the job; no index is used twice.
+        uid: the name that machines and clients know.
+        scheduler_id: its id with the scheduler, a new one each time it is handed over.
+        deadline: when its answer is due.
+        answer: the one answer, once it is given.
+        host: the machine that accepted it.
+        reason: why it has no place, or lost it; a word of the API.
+        handed_over: whether the scheduler has it.
+        withdrawn: whether its client no longer wants it.
+        found: whether it ran already when this controller learnt of it; its answer, if any, was given by an
+            earlier incarnation.
+        orphan: an instance that was given up and turned up while another attempt is out.
+    """
 
     job: Job
     index: int
     uid: str
-    number: TaskId
+    scheduler_id: TaskId
     created_at: float
     deadline: float
-    state: TaskState = S.PENDING
+    state: TaskState = TaskState.PENDING
     answer: Answer | None = None
     host: str = ""
     reason: str = ""
@@ -97,46 +137,56 @@
     answered_at: float | None = None
     running_at: float | None = None
     ended_at: float | None = None
-    handed_over: bool = False  # to the decisions
+    handed_over: bool = False
     withdrawn: bool = False
-    found: bool = False  # it ran already when this placer came to it: an earlier life gave its answer, if any
-    stray: tuple[str, int] | None = None  # host and wire number of a copy that was given up and turned up
+    found: bool = False
+    orphan: OrphanedInstance | None = None
 
     def move(self, now: float, state: TaskState) -> None:
-        """Go on to a state; sets the answer on the first that is one."""
-        if state not in MOVES[self.state]:
+        """Enter a state, and set the answer with the first state that is one.
+
+        Raises:
+            TaskStateError: the transition is not allowed.
+        """
+        if state not in TRANSITIONS[self.state]:
             raise TaskStateError(f"task {self.uid}: {self.state} to {state}")
-        answer = ANSWER_OF.get(state)
+        answer = ANSWER_OF_STATE.get(state)
         if self.answer is None and answer is not None:
-            self.answer, self.answered_at = answer, now
-        if state is S.RUNNING:
+            self.answer = answer
+            self.answered_at = now
+        if state is TaskState.RUNNING:
             self.running_at = now
-        elif state in (S.ENDED, S.LOST):
+        elif state in (TaskState.ENDED, TaskState.LOST):
             self.ended_at = now
-        self.job.counts[self.state] -= 1
-        self.job.counts[state] += 1
-        self.job.unanswered -= self.waits and state not in UNANSWERED
+        self.job.record_transition(self.state, state)
         self.state = state
 
     @property
-    def waits(self) -> bool:
-        """Whether its owner is still owed the answer."""
-        return self.state in UNANSWERED
+    def needs_answer(self) -> bool:
+        """Whether its client still waits for the answer."""
+        return self.state in UNANSWERED_STATES
 
     @property
     def open_attempt(self) -> Attempt | None:
         """The attempt that is out or placed; there is never more than one."""
-        return next((attempt for attempt in reversed(self.attempts) if attempt.open), None)
+        return next((attempt for attempt in reversed(self.attempts) if attempt.is_open), None)
+
+    @property
+    def possibly_executed(self) -> bool:
+        """Whether any attempt was cleared to go out."""
+        return any(attempt.sent_at is not None for attempt in self.attempts)
 
-    def attempt(self, wire: int) -> Attempt | None:
-        return next((attempt for attempt in reversed(self.attempts) if attempt.wire == wire), None)
+    def attempt(self, number: int) -> Attempt | None:
+        """Return an attempt by the number that machines know; of several, the last."""
+        return next((attempt for attempt in reversed(self.attempts) if attempt.number == number), None)
 
-    def render(self) -> Object:
+    def to_api(self) -> Object:
+        """Return the task as the API shows it."""
         shown: Object = {
             "index": self.index,
             "uid": self.uid,
             "state": self.state.value,
-            "attempts": [attempt.render() for attempt in self.attempts],
+            "attempts": [attempt.to_api() for attempt in self.attempts],
             "createdAt": timestamp(self.created_at),
         }
         if self.answer is not None:
@@ -164,7 +214,18 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job with its tasks. `spec` is JSON data as the API shows it, with the defaults filled in."""
+    """A job with its tasks.
+
+    Attributes:
+        spec: what the client asked for, as the API shows it, with the defaults filled in.
+        class_index: the task class, as the scheduler knows it.
+        timeout_ms: how long the client waits for the answer of each task.
+        feasible: whether any machine of the inventory could run a task of it.
+        next_index: the index of the next task that is added.
+        state_counts: how many tasks are in each state.
+        unanswered_count: how many tasks have no answer yet.
+        deleted: whether it is gone from the API.
+    """
 
     namespace: str
     name: str
@@ -173,45 +234,57 @@
     labels: dict[str, str]
     annotations: dict[str, str]
     created_at: float
-    cls: int
-    patience_ms: float
+    class_index: int
+    timeout_ms: float
     generation: int = 1
-    possible: bool = True  # whether any machine of the inventory could run a task of it
+    feasible: bool = True
     next_index: int = 0
     tasks: dict[int, Task] = field(default_factory=dict)
-    counts: Counter[TaskState] = field(default_factory=Counter)
-    unanswered: int = 0
+    state_counts: Counter[TaskState] = field(default_factory=Counter)
+    unanswered_count: int = 0
     finished_at: float | None = None
     deleted: bool = False
 
     @property
     def key(self) -> tuple[str, str]:
+        """Namespace and name, as the store has it."""
         return self.namespace, self.name
 
     @property
     def token(self) -> str:
+        """The client's token for the submission; empty where it gave none."""
         token: str = self.spec.get("clientToken", "")
         return token
 
     @property
     def phase(self) -> Phase:
-        if self.unanswered:
+        """How far the job has come."""
+        if self.unanswered_count:
             return Phase.PLACING
-        return (
-            Phase.FINISHED if sum(self.counts[state] for state in OVER) == len(self.tasks) else Phase.ACTIVE
-        )
+        final_count = sum(self.state_counts[state] for state in FINAL_STATES)
+        return Phase.FINISHED if final_count == len(self.tasks) else Phase.ACTIVE
 
     def add(self, task: Task) -> None:
+        """Add a task."""
         self.tasks[task.index] = task
-        self.counts[task.state] += 1
-        self.unanswered += task.waits
+        self.state_counts[task.state] += 1
+        self.unanswered_count += task.needs_answer
 
     def remove(self, task: Task) -> None:
+        """Remove a task."""
         del self.tasks[task.index]
-        self.counts[task.state] -= 1
-        self.unanswered -= task.waits
+        self.state_counts[task.state] -= 1
+        self.unanswered_count -= task.needs_answer
+
+    def record_transition(self, before: TaskState, after: TaskState) -> None:
+        """Count a task of this job in another state than before."""
+        self.state_counts[before] -= 1
+        self.state_counts[after] += 1
+        if before in UNANSWERED_STATES and after not in UNANSWERED_STATES:
+            self.unanswered_count -= 1
 
-    def render(self) -> Object:
+    def to_api(self) -> Object:
+        """Return the job as the API shows it."""
         metadata: Object = {
             "name": self.name,
             "namespace": self.namespace,
@@ -224,6 +297,7 @@
             metadata["labels"] = self.labels
         if self.annotations:
             metadata["annotations"] = self.annotations
+        counts = {state.value.lower(): count for state, count in self.state_counts.items() if count}
         return {
             "apiVersion": API_VERSION,
             "kind": "Job",
@@ -232,8 +306,8 @@
             "status": {
                 "phase": self.phase.value,
                 "observedGeneration": self.generation,
-                "answered": len(self.tasks) - self.unanswered,
-                "counts": {state.value.lower(): count for state, count in self.counts.items() if count},
-                "tasks": [task.render() for task in self.tasks.values()],
+                "answered": len(self.tasks) - self.unanswered_count,
+                "counts": counts,
+                "tasks": [task.to_api() for task in self.tasks.values()],
             },
         }
--- a/kelpfront/fronts/grpc/server.py
+++ b/kelpfront/fronts/grpc/server.py
@@ -55,7 +55,7 @@
 
 
 class GrpcFront:
-    """`changed` is called after anything was told to the heart; `ready` says why no jobs are taken."""
+    """`changed` is called after anything was told to the controller; `ready` says why no jobs are taken."""
 
     def __init__(
         self,
--- a/kelpfront/fronts/grpc/services.py
+++ b/kelpfront/fronts/grpc/services.py
@@ -14,7 +14,7 @@
 from kelpfront.api.errors import ApiError, expired
 from kelpfront.api.meta import JOBS, MACHINES, Object, Resource
 from kelpfront.api.selectors import Selector, parse_selector
-from kelpfront.controller.operations import Operations
+from kelpfront.controller.operations import Operations, RequestOrigin
 from kelpfront.fronts.grpc.bindings import BindingsStream, abort, mark_of, sent_at_of
 from kelpfront.http.pacing import Turns
 from kelpfront.rpc.convert import job_data, job_message, machine_message, refuse_unknown
@@ -160,7 +160,7 @@
         self._operations.check_open(received_at)
         refuse_unknown(request.spec, "spec", request.metadata.name)
         data = job_data(request.metadata, request.spec)
-        written = self._operations.create_job(namespace, data, received_at, sent_at, again=again)
+        written = self._operations.create_job(namespace, data, RequestOrigin(received_at, sent_at, again))
         return written.stored.body, written.created
 
     async def Get(  # noqa: N802
--- a/kelpfront/fronts/rest/front.py
+++ b/kelpfront/fronts/rest/front.py
@@ -14,7 +14,7 @@
 from kelpfront.api.errors import ApiError, success
 from kelpfront.api.meta import API_VERSION, GROUP, JOBS, LEVELS, RESOURCES, Object, Resource
 from kelpfront.api.selectors import Selector, parse_selector
-from kelpfront.controller.operations import Operations, Written
+from kelpfront.controller.operations import Operations, RequestOrigin, Written
 from kelpfront.fronts.rest import discovery
 from kelpfront.fronts.rest.logs import LogReader, log_answer
 from kelpfront.fronts.rest.watching import WatchRequest, WatchTimes, watch_lines
@@ -133,10 +133,8 @@
                 written = self._operations.create_job(
                     target.namespace,
                     data,
-                    received,
-                    _sent_at(request),
+                    RequestOrigin(received, _sent_at(request), again),
                     _validation(request),
-                    again=again,
                 )
                 return written_response(201 if written.created else 200, written)
             case "DELETE" if creates:
--- a/kelpfront/lab/experiments/runner.py
+++ b/kelpfront/lab/experiments/runner.py
@@ -45,12 +45,14 @@
 
 
 def _here(key: RunKey) -> tuple[dict[str, float], dict[str, Any]]:
-    from kelpfront.lab.policies import heart_of
+    from kelpfront.lab.policies import controller_for
     from kelpfront.lab.timeline.emulation import play
     from kelpfront.lab.timeline.script import read_day
 
     day = read_day(key.scenario.text, key.scenario.name)
-    played = play(day, key.seed, heart_class=heart_of(key.variant.policy), overrides=key.variant.set)
+    played = play(
+        day, key.seed, controller_class=controller_for(key.variant.policy), overrides=key.variant.set
+    )
     measures = measure(played.lines, played.config, played.samples, played.figures["violations"])
     return measures, series(played.lines, played.samples, played.violations)
 
--- a/kelpfront/lab/growth.py
+++ b/kelpfront/lab/growth.py
@@ -1,4 +1,4 @@
-"""How the cost of a decision, and of a machine that comes up, grows with the fleet: the heart alone.
+"""How the cost of a decision, and of a machine that comes up, grows with the fleet: the controller alone.
 
 A task is submitted, its offer passes the gate and is answered as running, as in the service; then it ends.
 Sizes take turns over several rounds, since the host's speed varies; the median round of each counts.
@@ -16,8 +16,9 @@
 from kelpfront.api.jobs import JobSpec
 from kelpfront.config import build_cluster
 from kelpfront.config.reader import parse_config
-from kelpfront.controller.controller import Controller
 from kelpfront.controller.intents import SendOffer
+from kelpfront.controller.job_controller import ControllerIdentity, JobController
+from kelpfront.controller.jobs import Submission
 from kelpfront.inventory import Inventory
 from kelpfront.lab.setup import make_hosts
 from kelpfront.lab.timeline.script import PLAIN_SETTINGS
@@ -30,16 +31,14 @@
 
 
 class Grown:
-    """A heart with machines that take what they are offered."""
+    """A controller with machines that take what they are offered."""
 
     def __init__(self, machines: int) -> None:
         uids = itertools.count(1)
-        self.heart = Controller(
+        self.controller = JobController(
             build_cluster(parse_config(PLAIN_SETTINGS, "growth")),
             ResourceStore(0),
-            "p0",
-            "life-1",
-            7,
+            ControllerIdentity("p0", "life-1", 7),
             lambda: f"uid{next(uids)}",
         )
         self.now = 1_000_000_000.0
@@ -48,39 +47,43 @@
         self._running: list[tuple[str, str, int]] = []
         self._number = 0
         began = time.perf_counter()
-        self.heart.take_inventory(self.now, Inventory("growth", hosts))
+        self.controller.apply_inventory(self.now, Inventory("growth", hosts))
         load = wire.LoadReport(32.0, 48.0, 16.0, 32.0)
         for name in hosts:
-            self.heart.stream_message(self.now, name, wire.Hello(f"{name}-1", 1e9, "small", 1000.0, False, 1))
-            self.heart.stream_message(self.now, name, wire.Heartbeat("ready", load))
-            self.heart.take_intents()
+            self.controller.on_machine_message(
+                self.now, name, wire.Hello(f"{name}-1", 1e9, "small", 1000.0, False, 1)
+            )
+            self.controller.on_machine_message(self.now, name, wire.Heartbeat("ready", load))
+            self.controller.take_intents()
         self.join_s = time.perf_counter() - began
 
     def one(self) -> float:
         """Seconds that a task took."""
         self.now += STEP_MS
-        self.heart.advance(self.now)
-        self.heart.take_intents()
+        self.controller.advance(self.now)
+        self.controller.take_intents()
         self._number += 1
         spec = JobSpec.model_validate(
             {"class": "web", "service": f"s{self._number % 20}", "cores": 1, "memory": 1}
         )
         began = time.perf_counter()
-        self.heart.submit(self.now, "growth", f"j{self._number}", spec, {}, {}, self.now)
-        self.heart.flush(self.now)
-        sent = next((one for one in self.heart.take_intents() if isinstance(one, SendOffer)), None)
+        self.controller.submit(self.now, Submission("growth", f"j{self._number}", spec, {}, {}, self.now))
+        self.controller.flush(self.now)
+        sent = next((one for one in self.controller.take_intents() if isinstance(one, SendOffer)), None)
         if sent is not None:
             its = sent.offer
-            assert self.heart.clear_to_send(self.now, its.task, its.attempt)
-            self.heart.offer_answered(self.now, its.task, its.attempt, wire.Answer("running"))
-            self.heart.take_intents()
+            assert self.controller.clear_to_send(self.now, its.task, its.attempt)
+            self.controller.on_offer_answered(self.now, its.task, its.attempt, wire.Answer("running"))
+            self.controller.take_intents()
             self._running.append((sent.host, its.task, its.attempt))
         took = time.perf_counter() - began
         if len(self._running) > KEPT:
             host, uid, attempt = self._running.pop(0)
             self._seq[host] += 1
-            self.heart.stream_message(self.now, host, wire.Gone(self._seq[host], uid, attempt, "ended", True))
-            self.heart.take_intents()
+            self.controller.on_machine_message(
+                self.now, host, wire.Gone(self._seq[host], uid, attempt, "ended", True)
+            )
+            self.controller.take_intents()
         return took
 
 
--- a/kelpfront/lab/levels.py
+++ b/kelpfront/lab/levels.py
@@ -20,7 +20,7 @@
 from kelpfront.api.jobs import JobSpec, TaskState
 from kelpfront.api.meta import Object
 from kelpfront.controller.cluster import Cluster
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.job_controller import JobController
 from kelpfront.controller.tasks import Task
 from kelpfront.degradation import Level, LevelSettings
 from kelpfront.lab.checker import check
@@ -183,9 +183,9 @@
 class FixedBound:
     """At most so many tasks without an answer; textbook."""
 
-    def gate(self, heart: Controller, spec: JobSpec) -> ApiError | None:
-        if heart.open_tasks >= QUEUE_BOUND:
-            return ApiError(429, f"{heart.open_tasks} tasks wait", retry_after_s=1)
+    def gate(self, controller: JobController, spec: JobSpec) -> ApiError | None:
+        if controller.open_tasks >= QUEUE_BOUND:
+            return ApiError(429, f"{controller.open_tasks} tasks wait", retry_after_s=1)
         return None
 
     def answered(self, now: float, waited_ms: float, aim_ms: float) -> None:
@@ -199,9 +199,9 @@
         self._limit = 20.0
         self._cut_at = -math.inf
 
-    def gate(self, heart: Controller, spec: JobSpec) -> ApiError | None:
-        if heart.open_tasks >= self._limit:
-            return ApiError(429, f"{heart.open_tasks} tasks wait", retry_after_s=1)
+    def gate(self, controller: JobController, spec: JobSpec) -> ApiError | None:
+        if controller.open_tasks >= self._limit:
+            return ApiError(429, f"{controller.open_tasks} tasks wait", retry_after_s=1)
         return None
 
     def answered(self, now: float, waited_ms: float, aim_ms: float) -> None:
@@ -212,7 +212,7 @@
 
 
 class _NoGate:
-    def gate(self, heart: Controller, spec: JobSpec) -> ApiError | None:
+    def gate(self, controller: JobController, spec: JobSpec) -> ApiError | None:
         return None
 
     def answered(self, now: float, waited_ms: float, aim_ms: float) -> None:
@@ -451,8 +451,10 @@
     def _look(self) -> None:
         """Once a second."""
         if self.placer.up:
-            heart = self.placer.heart
-            self.tally.timeline.append((self.second, heart.levelling.level.word, heart.open_tasks))
+            controller = self.placer.controller
+            self.tally.timeline.append(
+                (self.second, controller.degradation.level.word, controller.open_tasks)
+            )
         self.world.after(1_000.0, self._look)
 
     def _note_changes(self) -> None:
--- a/kelpfront/lab/placersim.py
+++ b/kelpfront/lab/placersim.py
@@ -1,4 +1,4 @@
-"""A placer and its machines in virtual time: the program's own heart and nodes, an event queue between them.
+"""A placer and its machines in virtual time: the program's own controller and nodes, and an event queue.
 
 What is simulated is what is not theirs: time, the network's delay, how long starts take and tasks live, and
 the time that the placer's process takes for each thing that it does (`Costs`). The placer does one thing
@@ -18,10 +18,12 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.api.jobs import JobSpec, TaskState
 from kelpfront.api.meta import JOBS, Object, Resource
-from kelpfront.controller.admission import Arrival, behind, refusal
+from kelpfront.controller.admission import Arrival, overload_reason, rejection_reason
 from kelpfront.controller.cluster import Cluster
-from kelpfront.controller.controller import Controller, ControllerLimits
-from kelpfront.controller.intents import AbandonOffer, LogLine, SendOffer, SendProbe, SendStop
+from kelpfront.controller.intents import AbandonOffer, LogLine, SendHealthCheck, SendOffer, SendStop
+from kelpfront.controller.job_controller import ControllerIdentity, ControllerOptions, JobController
+from kelpfront.controller.jobs import JobLimits, Submission
+from kelpfront.controller.load_reports import HealthCheckResult
 from kelpfront.controller.tasks import Task
 from kelpfront.degradation import LevelSettings
 from kelpfront.inventory import Host, Inventory
@@ -154,7 +156,7 @@
         self._copies.remove_machine(self.host.name)
         placer = self.placer
         if placer is not None:
-            placer.take(lambda now: placer.heart.link_down(now, self.host.name), 0.05)
+            placer.take(lambda now: placer.controller.on_link_down(now, self.host.name), 0.05)
 
     def connect(self) -> None:
         """The placer's stream is up: a greeting and all that is held."""
@@ -191,7 +193,7 @@
 
         def arrive() -> None:
             if self.placer is placer and placer.life == life:
-                placer.take(lambda now: placer.heart.stream_message(now, name, message))
+                placer.take(lambda now: placer.controller.on_machine_message(now, name, message))
 
         self.world.at(at, arrive)
 
@@ -337,7 +339,7 @@
 
 
 class Placer:
-    """The heart, the time that it takes, and the messages that wait for it. `gate` may turn work away."""
+    """The controller, the time it takes, and the messages that wait for it. `gate` may turn work away."""
 
     name = "p0"
 
@@ -348,7 +350,7 @@
         machines: dict[str, Machine],
         levels: LevelSettings,
         seed: int,
-        gate: Callable[[Controller, JobSpec], ApiError | None] = lambda heart, spec: None,
+        gate: Callable[[JobController, JobSpec], ApiError | None] = lambda controller, spec: None,
         costs: Costs | None = None,
     ) -> None:
         self.world, self.cluster, self.machines = world, cluster, machines
@@ -378,23 +380,18 @@
         store.on_job = lambda body: self.on_job(body)
         seed = self._seed + self.life
         scheduler = CountingScheduler(self.cluster.settings, seed, self._decided)
-        self.heart = Controller(
+        self.controller = JobController(
             self.cluster,
             store,
-            self.name,
-            f"life-{self.life}",
-            seed,
+            ControllerIdentity(self.name, f"life-{self.life}", seed),
             lambda: f"uid{self.life}x{next(self._uids)}",
-            ControllerLimits(),
-            scheduler,
-            self.levels,
-            lambda: self._spent,
+            ControllerOptions(JobLimits(), scheduler, self.levels, lambda: self._spent),
         )
         self._hook()
         hosts = {name: machine.host for name, machine in self.machines.items()}
         self._free_at = self.world.now
         self._timer_at = float("inf")
-        self.heart.take_inventory(self.world.now, Inventory("lab", hosts))
+        self.controller.apply_inventory(self.world.now, Inventory("lab", hosts))
         for machine in self.machines.values():
             machine.placer = self
             machine.connect()
@@ -402,14 +399,14 @@
 
     def _hook(self) -> None:
         """Lets the experiment hear of answers, and set the levels' clock."""
-        levelling = self.heart.levelling
-        answered, elapsed = levelling.answered, levelling.governor.elapsed
+        levelling = self.controller.degradation
+        answered, elapsed = levelling.on_answered, levelling.governor.elapsed
 
         def told(now: float, task: Task, state: TaskState) -> None:
             answered(now, task, state)
             self.on_answer(now, task, state)
 
-        levelling.answered = told  # type: ignore[method-assign]
+        levelling.on_answered = told  # type: ignore[method-assign]
         levelling.governor.elapsed = lambda now: elapsed(now + self.skew_ms)  # type: ignore[method-assign]
 
     def kill(self) -> None:
@@ -422,8 +419,8 @@
             machine.placer = None
 
     def _decided(self) -> None:
-        heart = getattr(self, "heart", None)
-        waiting = 0 if heart is None else heart.open_tasks
+        controller = getattr(self, "controller", None)
+        waiting = 0 if controller is None else controller.open_tasks
         self._spent += self.costs.decision + self.costs.waiting * waiting
 
     # ---- Its time -------------------------------------------------------------------------------------
@@ -454,9 +451,9 @@
             return
         now, before = self.world.now, self._spent
         if self._timer_at <= now:
-            self.heart.levelling.sight.late(now - self._timer_at)
+            self.controller.degradation.process_load.record_timer_lag(now - self._timer_at)
             self._timer_at = float("inf")
-            self.heart.advance(now)
+            self.controller.advance(now)
             cost = self.costs.timer
         elif self._urgent:
             call, cost = self._urgent.popleft()
@@ -465,7 +462,7 @@
             cost = self._serve(now, self._requests.popleft())
         else:
             return
-        self.heart.show_due(now)
+        self.controller.publish_due(now)
         cost += self._carry_out()
         cost += self._spent - before
         self.busy_ms += cost
@@ -475,7 +472,7 @@
             self._wake()
 
     def _arm(self) -> None:
-        at = max(self.heart.next_timer(), self.world.now)
+        at = max(self.controller.next_timer(), self.world.now)
         if at < self._timer_at:
             self._timer_at = at
             life = self.life
@@ -486,27 +483,31 @@
             self._wake()
 
     def _serve(self, now: float, request: Request) -> float:
-        if why := behind(now, request.received_at):
-            self.heart.turned_away(now, request.spec.count, request.again)
+        if why := overload_reason(now, request.received_at):
+            self.controller.record_early_rejection(now, request.spec.count, is_retry=request.again)
             request.done(ApiError(503, why, retry_after_s=1))
             return self.costs.unread
-        patience = self.heart.patience_ms(request.spec)
+        patience = self.controller.timeout_ms(request.spec)
         arrival = Arrival(now, request.received_at, None, patience)
         try:
-            if why := refusal(arrival, self.heart.pending, self.cluster.settings.timer_resolution_ms):
-                self.heart.turned_away(now, request.spec.count, request.again)
+            if why := rejection_reason(
+                arrival, self.controller.pending_count, self.cluster.settings.timer_resolution_ms
+            ):
+                self.controller.record_early_rejection(now, request.spec.count, is_retry=request.again)
                 raise ApiError(503, why, retry_after_s=1)
-            if (error := self._gate(self.heart, request.spec)) is not None:
+            if (error := self._gate(self.controller, request.spec)) is not None:
                 raise error
-            self.heart.submit(
+            self.controller.submit(
                 now,
-                request.owner,
-                request.name,
-                request.spec,
-                {},
-                {},
-                request.received_at,
-                again=request.again,
+                Submission(
+                    request.owner,
+                    request.name,
+                    request.spec,
+                    {},
+                    {},
+                    request.received_at,
+                    request.again,
+                ),
             )
         except ApiError as error:
             request.done(error)
@@ -514,11 +515,11 @@
         request.done(None)
         return self.costs.taken
 
-    # ---- What the heart wants -------------------------------------------------------------------------
+    # ---- What the controller wants -------------------------------------------------------------------------
 
     def _carry_out(self) -> float:
         cost = 0.0
-        for intent in self.heart.take_intents():
+        for intent in self.controller.take_intents():
             match intent:
                 case SendOffer():
                     cost += self.costs.send
@@ -532,24 +533,24 @@
                 case SendStop():
                     cost += self.costs.message
                     self._stop(intent)
-                case SendProbe(host):
+                case SendHealthCheck(host):
                     self._probe(host)
                 case LogLine():
                     self.lines.append((self.world.now, intent))
         return cost
 
     def _send(self, sent: SendOffer) -> None:
-        machine, offer, life, heart = self.machines[sent.host], sent.offer, self.life, self.heart
+        machine, offer, life, controller = self.machines[sent.host], sent.offer, self.life, self.controller
 
         def connected() -> None:
             if life != self.life or not self.up:
                 return
             if machine.node is None:
-                self.take(lambda now: heart.offer_failed(now, offer.task, offer.attempt, "refused"))
-            elif not heart.clear_to_send(self.world.now, offer.task, offer.attempt):
-                self.take(lambda now: heart.offer_failed(now, offer.task, offer.attempt, "held back"))
+                self.take(lambda now: controller.on_offer_failed(now, offer.task, offer.attempt, "refused"))
+            elif not controller.clear_to_send(self.world.now, offer.task, offer.attempt):
+                self.take(lambda now: controller.on_offer_failed(now, offer.task, offer.attempt, "held back"))
             else:
-                request = OfferRequest(self.name, heart.incarnation, offer)
+                request = OfferRequest(self.name, controller.incarnation, offer)
                 lives = machine.lives
                 arrives = max(self.world.now, machine.silent_until) + NETWORK_MS
                 self.world.at(arrives, lambda: arrive(request, lives))
@@ -560,24 +561,24 @@
 
         def reply(answer: Answer) -> None:
             if life == self.life:
-                self.take(lambda now: heart.offer_answered(now, offer.task, offer.attempt, answer))
+                self.take(lambda now: controller.on_offer_answered(now, offer.task, offer.attempt, answer))
 
         self.world.after(CONNECT_MS, connected)
 
     def _stop(self, sent: SendStop) -> None:
-        machine, life, heart = self.machines[sent.host], self.life, self.heart
+        machine, life, controller = self.machines[sent.host], self.life, self.controller
 
         def arrive() -> None:
             if machine.node is not None:
                 machine.node.stop(self.world.now, sent.stop)
                 machine.work()
                 if life == self.life:
-                    self.take(lambda now: heart.stop_heard(sent.host, sent.stop.task))
+                    self.take(lambda now: controller.on_stop_confirmed(sent.host, sent.stop.task))
 
         self.world.at(max(self.world.now, machine.silent_until) + CONNECT_MS, arrive)
 
     def _probe(self, host: str) -> None:
-        machine, life, heart = self.machines[host], self.life, self.heart
+        machine, life, controller = self.machines[host], self.life, self.controller
         began = self.world.now
 
         def arrive() -> None:
@@ -586,7 +587,8 @@
             node = machine.node
             load = None if node is None else node.load()
             took = self.world.now - began
-            self.take(lambda now: heart.probe_answered(now, host, node is not None, took, load))
+            result = HealthCheckResult(ok=node is not None, elapsed_ms=took, load=load)
+            self.take(lambda now: controller.on_health_check(now, host, result))
 
         self.world.at(max(self.world.now, machine.silent_until) + CONNECT_MS, arrive)
 
--- a/kelpfront/lab/policies.py
+++ b/kelpfront/lab/policies.py
@@ -7,14 +7,15 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any
+from dataclasses import dataclass, replace
 
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.cluster import Cluster
+from kelpfront.controller.job_controller import ControllerIdentity, ControllerOptions, JobController
 from kelpfront.scheduling.events import MachineId
 from kelpfront.scheduling.model import Machine, Task
 from kelpfront.scheduling.scheduler import Scheduler, _home
 from kelpfront.scheduling.settings import TaskClass
+from kelpfront.store import ResourceStore
 
 
 class _Plain(Scheduler):
@@ -106,17 +107,24 @@
 }
 
 
-def heart_of(policy: str) -> type[Controller]:
-    """A heart that decides by a policy."""
+def controller_for(policy: str) -> type[JobController]:
+    """A controller that decides by a policy."""
     if policy == "rules":
-        return Controller
+        return JobController
     scheduler = POLICIES[policy]
 
-    class PolicyHeart(Controller):
+    class PolicyController(JobController):
         def __init__(
-            self, cluster: Any, store: Any, name: str, life: str, seed: int, *args: Any, **more: Any
-        ):
-            more["scheduler"] = scheduler(cluster.settings, seed)
-            super().__init__(cluster, store, name, life, seed, *args, **more)
-
-    return PolicyHeart
+            self,
+            cluster: Cluster,
+            store: ResourceStore,
+            identity: ControllerIdentity,
+            new_uid: Callable[[], str],
+            options: ControllerOptions | None = None,
+        ) -> None:
+            options = replace(
+                options or ControllerOptions(), scheduler=scheduler(cluster.settings, identity.seed)
+            )
+            super().__init__(cluster, store, identity, new_uid, options)
+
+    return PolicyController
--- a/kelpfront/lab/timeline/emulation.py
+++ b/kelpfront/lab/timeline/emulation.py
@@ -27,8 +27,8 @@
 from kelpfront.clock import CommonClock
 from kelpfront.config import Config
 from kelpfront.config.reader import parse_config
-from kelpfront.controller.controller import Controller
 from kelpfront.controller.intents import AbandonOffer, Intent
+from kelpfront.controller.job_controller import JobController
 from kelpfront.inventory import Inventory
 from kelpfront.lab.checker import check
 from kelpfront.lab.experiments.measures import Sample, measure
@@ -88,11 +88,11 @@
         seed: int,
         loop: VirtualLoop,
         network: Network,
-        heart_class: type[Controller] = Controller,
+        controller_class: type[JobController] = JobController,
         overrides: Sequence[str] = (),
     ) -> None:
         """`overrides` are SECTION.KEY=VALUE, put over the day's settings."""
-        self._heart_class, self._overrides = heart_class, tuple(overrides)
+        self._heart_class, self._overrides = controller_class, tuple(overrides)
         self.day, self.seed, self.loop, self.network = day, seed, loop, network
         self.rng = random.Random(f"emulation/{seed}")
         self.epoch_s = EPOCH_S
@@ -181,12 +181,12 @@
                 self.inventory,
                 seed=self.rng.getrandbits(32),
                 clock=self._clock(self.skews.get(placer.name, 0.0)),
-                heart_class=self._heart_class,
+                controller_class=self._heart_class,
                 stopwatch=self.loop.time,
                 threads=False,
             )
             placer.service = service
-            decides = service.heart._scheduler
+            decides = service.controller.context.driver.scheduler
             if isinstance(decides, PerfectKnowledge):
                 decides.truth = functools.partial(self._truth, service)
             self._record_ends(service)
@@ -198,7 +198,7 @@
 
     def _record_ends(self, service: PlacerService) -> None:
         """Notes when an offer goes out or is broken off: a machine that is cut off cannot see either."""
-        take = service.heart.take_intents
+        take = service.controller.take_intents
 
         def taken() -> list[Intent]:
             intents = take()
@@ -208,20 +208,20 @@
                     self.recorder.write("left", **its)
             return intents
 
-        service.heart.take_intents = taken  # type: ignore[method-assign]
-        clear = service.heart.clear_to_send
+        service.controller.take_intents = taken  # type: ignore[method-assign]
+        clear = service.controller.clear_to_send
 
-        def cleared(now: float, uid: str, wire_number: int) -> bool:
-            goes = clear(now, uid, wire_number)
+        def cleared(now: float, task_uid: str, attempt_number: int) -> bool:
+            goes = clear(now, task_uid, attempt_number)
             if goes:
-                self.recorder.write("sent-out", task=uid, attempt=wire_number)
+                self.recorder.write("sent-out", task=task_uid, attempt=attempt_number)
             return goes
 
-        service.heart.clear_to_send = cleared  # type: ignore[method-assign]
+        service.controller.clear_to_send = cleared  # type: ignore[method-assign]
 
     def _truth(self, service: PlacerService, number: MachineId) -> Truth | None:
         """What a machine is like, for the policy that sees everything."""
-        standin = self.fleet.machines[service.heart.directory.by_number[number].name]
+        standin = self.fleet.machines[service.controller.registry.by_id[number].name]
         if not standin.up or standin.troubles.silent:
             return None
         its = standin.settings.capacity
@@ -246,9 +246,9 @@
                     load[name] = round(asked / standin.settings.capacity.cores, 4)
             for placer in self.placers:
                 if placer.service is not None:
-                    heart = placer.service.heart
-                    levels[placer.name] = heart.levelling.level.word
-                    open_tasks[placer.name] = heart.open_tasks
+                    controller = placer.service.controller
+                    levels[placer.name] = controller.degradation.level.word
+                    open_tasks[placer.name] = controller.open_tasks
             self.samples.append(Sample(self.loop.time() - began, load, levels, open_tasks))
             await asyncio.sleep(SAMPLE_S)
 
@@ -438,17 +438,17 @@
     day: Day,
     seed: int,
     on_log: Callable[[dict[str, Any]], None] | None = None,
-    heart_class: type[Controller] = Controller,
+    controller_class: type[JobController] = JobController,
 ) -> dict[str, Any]:
     """What came of a day, as `play`."""
-    return play(day, seed, on_log, heart_class).figures
+    return play(day, seed, on_log, controller_class).figures
 
 
 def play(
     day: Day,
     seed: int,
     on_log: Callable[[dict[str, Any]], None] | None = None,
-    heart_class: type[Controller] = Controller,
+    controller_class: type[JobController] = JobController,
     overrides: Sequence[str] = (),
 ) -> Played:
     """Runs a day; RealWorldError where something of it read the real clock, chance or a socket."""
@@ -484,7 +484,7 @@
     try:
         with sealed() as reached:
             try:
-                emulation = Emulation(day, seed, loop, network, heart_class, overrides)
+                emulation = Emulation(day, seed, loop, network, controller_class, overrides)
                 figures = loop.run_until_complete(emulation.run())
             finally:
                 loop.run_until_complete(loop.shutdown_asyncgens())
--- a/kelpfront/lab/timeline/search.py
+++ b/kelpfront/lab/timeline/search.py
@@ -18,7 +18,7 @@
 
 import yaml
 
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.job_controller import JobController
 from kelpfront.lab.timeline.emulation import EmulationError, emulate
 from kelpfront.lab.timeline.loop import DeadlockError, LivelockError
 from kelpfront.lab.timeline.script import Day, DayScript
@@ -179,7 +179,7 @@
 
 
 def broken_rules(
-    data: dict[str, Any], seed: int, heart_class: type[Controller] = Controller
+    data: dict[str, Any], seed: int, controller_class: type[JobController] = JobController
 ) -> dict[str, str]:
     """Rules that a day breaks, with an example each.
 
@@ -187,7 +187,7 @@
     without any time passing, breaks `program`.
     """
     try:
-        figures = emulate(Day(DayScript.model_validate(data)), seed, heart_class=heart_class)
+        figures = emulate(Day(DayScript.model_validate(data)), seed, controller_class=controller_class)
     except (EmulationError, DeadlockError, LivelockError) as error:
         return {"program": f"program: {error}"}
     found: dict[str, str] = {}
@@ -205,7 +205,7 @@
     data: dict[str, Any],
     seed: int,
     rule: str,
-    heart_class: type[Controller] = Controller,
+    controller_class: type[JobController] = JobController,
     most: int = SHRINKS_MOST,
 ) -> tuple[dict[str, Any], int]:
     """The least day that still breaks the rule, of those that one step at a time leads to."""
@@ -217,7 +217,7 @@
             if runs >= most:
                 break
             runs += 1
-            if rule in broken_rules(candidate, seed, heart_class):
+            if rule in broken_rules(candidate, seed, controller_class):
                 data, smaller = candidate, True
                 break
     return data, runs
@@ -247,15 +247,15 @@
 
 def look(seed: int, wrong: str = "", shrinking: bool = True) -> Found | None:
     """One day of the search; None where it breaks nothing."""
-    heart_class = WRONG[wrong] if wrong else Controller
+    controller_class = WRONG[wrong] if wrong else JobController
     data = random_day(seed)
-    rules = broken_rules(data, seed, heart_class)
+    rules = broken_rules(data, seed, controller_class)
     if not rules:
         return None
     rule, example = next(iter(sorted(rules.items())))
     runs = 0
     if shrinking:
-        data, runs = shrink(data, seed, rule, heart_class)
+        data, runs = shrink(data, seed, rule, controller_class)
     return Found(seed, rule, example, data, runs)
 
 
--- a/kelpfront/service/app.py
+++ b/kelpfront/service/app.py
@@ -1,4 +1,4 @@
-"""A placer as it runs: the heart with its clock, its links to machines and its REST front."""
+"""A placer as it runs: the controller with its clock, its links to machines and its REST front."""
 
 from __future__ import annotations
 
@@ -19,8 +19,9 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.clock import CommonClock
 from kelpfront.config import Config, build_cluster, build_levels
-from kelpfront.controller.controller import Controller, ControllerLimits
-from kelpfront.controller.intents import AbandonOffer, LogLine, SendOffer, SendProbe, SendStop
+from kelpfront.controller.intents import AbandonOffer, LogLine, SendHealthCheck, SendOffer, SendStop
+from kelpfront.controller.job_controller import ControllerIdentity, ControllerOptions, JobController
+from kelpfront.controller.jobs import JobLimits
 from kelpfront.controller.operations import Operations
 from kelpfront.fronts.rest import Health, RestFront, WatchTimes, error_body
 from kelpfront.http.client import HttpError
@@ -42,14 +43,14 @@
 STOP_SLACK_S = 2.0  # past the last task's deadline
 LAG_LOOK_S = 0.25
 STOOD_STILL_MS = 100.0  # a timer that is later than this: the process was stopped, or its host
-HEARING_TURNS = 6  # of the loop: from bytes in a socket to the heart it takes up to four ...
+HEARING_TURNS = 6  # of the loop: from bytes in a socket to the controller it takes up to four ...
 HEARING_MOST_MS = 20.0  # ... and no longer than this where turns are long: what is due is late already
 STARTING = "the placer starts: it asks its machines what they hold"
 STOPPING = "the placer stops: it answers what it has taken and takes no more"
 
 
 class PlacerService:
-    """One placer process. `heart_class` is for tests and the laboratory, which need others."""
+    """One placer process. `controller_class` is for tests and the laboratory, which need others."""
 
     def __init__(
         self,
@@ -58,7 +59,7 @@
         *,
         seed: int | None = None,
         clock: CommonClock | None = None,
-        heart_class: type[Controller] = Controller,
+        controller_class: type[JobController] = JobController,
         times: WatchTimes | None = None,
         stopwatch: Callable[[], float] = time.perf_counter,
         threads: bool = True,
@@ -82,23 +83,23 @@
         )
         self._threads = threads
         self._tracer = self._make_tracer(chance)
-        if self._tracer is not None:
-            from kelpfront.tracing.heart import traced
-
-            heart_class = traced(heart_class, self._tracer.write, self.clock.now)
-        self.heart = heart_class(
+        self.controller = controller_class(
             build_cluster(config),
             self.store,
-            config.placer.name,
-            self._uid(chance),
-            chance.getrandbits(48),
+            ControllerIdentity(config.placer.name, self._uid(chance), chance.getrandbits(48)),
             lambda: self._uid(chance),
-            ControllerLimits(limits.open_tasks, limits.jobs, limits.finished_jobs),
-            levels=build_levels(config),
-            stopwatch=lambda: stopwatch() * 1000.0,
+            ControllerOptions(
+                JobLimits(limits.open_tasks, limits.jobs, limits.finished_jobs),
+                levels=build_levels(config),
+                stopwatch=lambda: stopwatch() * 1000.0,
+            ),
         )
-        self.heart.verbose = config.log.level == "debug"
-        self.operations = Operations(self.heart, self.clock.now, chance)
+        if self._tracer is not None:
+            from kelpfront.tracing.finished_tasks import trace_finished_tasks
+
+            trace_finished_tasks(self.controller, self._tracer.write, self.clock.now)
+        self.controller.context.log.verbose = config.log.level == "debug"
+        self.operations = Operations(self.controller, self.clock.now, chance)
         self.operations.closed, self.operations.starting = STARTING, True
         self.front = RestFront(self.operations, self._common_time, self.health, chance, times, self._read_log)
         turns = Turns(clock=stopwatch)  # of both fronts together
@@ -132,7 +133,7 @@
                 ),
             )
         self.links: dict[str, MachineLink] = {}
-        self.lag_ms = 0.0  # how late the heart's timers were at the worst, between two looks
+        self.lag_ms = 0.0  # how late the controller's timers were at the worst, between two looks
         self._latest_ms = 0.0
         self._chance = chance
         self._inventory = inventory
@@ -150,17 +151,19 @@
         its = self.config.tracing
         if its.file is None:
             return None
-        from kelpfront.tracing.export import Tracer
+        from kelpfront.tracing.export import Tracer, TracerSettings
 
         apart = random.Random(0)  # a run with traces draws what one without them draws
         apart.setstate(chance.getstate())
         return Tracer(
             Path(its.file),
             self.config.placer.name,
-            share=its.share,
-            most_bytes=its.most,
-            seed=apart.getrandbits(32),
-            at_once=not self._threads,
+            TracerSettings(
+                share=its.share,
+                max_bytes=its.most,
+                seed=apart.getrandbits(32),
+                synchronous=not self._threads,
+            ),
         )
 
     @staticmethod
@@ -189,7 +192,7 @@
         await self.http.start(host, int(port))
         if self.grpc is not None:
             await self.grpc.start(self.config.placer.grpc or "")
-        self.heart.take_inventory(self.clock.now(), self._inventory)
+        self.controller.apply_inventory(self.clock.now(), self._inventory)
         self.changed()
         self._spawn(self._open_for_jobs())
         self._spawn(self._look_after())
@@ -207,15 +210,15 @@
 
     async def _open_for_jobs(self) -> None:
         """Until machines have told what they hold, a job that is asked for anew might run already."""
-        entries = self.heart.directory.entries
-        await self._until(lambda: all(entry.settled for entry in entries.values()), START_WAIT_S)
+        entries = self.controller.registry.entries
+        await self._until(lambda: all(entry.reconciled for entry in entries.values()), START_WAIT_S)
         self.operations.starting = False
         if not self._stopping:
             self.operations.closed = ""
             if self.grpc is not None:
                 await self.grpc.set_ready(True)
-            heard = sum(entry.settled for entry in entries.values())
-            log.info("placer ready", machines_heard=heard, machines=len(self.heart.directory.entries))
+            heard = sum(entry.reconciled for entry in entries.values())
+            log.info("placer ready", machines_heard=heard, machines=len(self.controller.registry.entries))
 
     async def stop(self) -> None:
         """Takes no more jobs, answers all it has taken, then ends watches and closes."""
@@ -225,22 +228,22 @@
         self.operations.closed = STOPPING
         if self.grpc is not None:
             await self.grpc.set_ready(False)
-        longest = max(cls.deadline_ms for cls in self.heart.cluster.settings.classes)
-        log.info("placer stops", open_tasks=self.heart.open_tasks)
-        longest_s = max(longest, self.heart.longest_patience_ms(self.clock.now())) / 1000.0
-        await self._until(lambda: not self.heart.open_tasks, longest_s + STOP_SLACK_S)
-        self.heart.flush(self.clock.now())
+        longest = max(cls.deadline_ms for cls in self.controller.cluster.settings.classes)
+        log.info("placer stops", open_tasks=self.controller.open_tasks)
+        longest_s = max(longest, self.controller.longest_remaining_ms(self.clock.now())) / 1000.0
+        await self._until(lambda: not self.controller.open_tasks, longest_s + STOP_SLACK_S)
+        self.controller.flush(self.clock.now())
         self.front.end_watches()
         if self.grpc is not None:
             self.grpc.end_streams()
             await self.grpc.close()
         await self.http.close()
         await self.close()
-        log.info("placer stopped", open_tasks=self.heart.open_tasks)
+        log.info("placer stopped", open_tasks=self.controller.open_tasks)
         self._stopped.set()
 
     async def _until(self, condition: Callable[[], bool], within_s: float) -> None:
-        """Waits for a condition that only work on the heart can bring about, at most so long."""
+        """Waits for a condition that only work on the controller can bring about, at most so long."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(within_s):
                 while not condition():
@@ -277,7 +280,7 @@
             loop.add_signal_handler(number, signalled)
         await self.start()
         collector = Collector(
-            self.heart.cluster.settings.timer_resolution_ms, lambda: not self.heart.open_tasks
+            self.controller.cluster.settings.timer_resolution_ms, lambda: not self.controller.open_tasks
         )
         collector.start()
         self._spawn(self._collect(collector))
@@ -304,7 +307,7 @@
     # ---- Work -----------------------------------------------------------------------------------------
 
     def changed(self) -> None:
-        """To be called after anything was told to the heart: its work is carried out in this turn's end."""
+        """To be called after anything was told to the controller: its work is done in this turn's end."""
         if not self._work_due:
             self._work_due = True
             asyncio.get_running_loop().call_soon(self._work)
@@ -312,9 +315,9 @@
     def _work(self) -> None:
         self._work_due = False
         self._worked.set()
-        heart = self.heart
-        heart.show_due(self.clock.now())
-        for intent in heart.take_intents():
+        controller = self.controller
+        controller.publish_due(self.clock.now())
+        for intent in controller.take_intents():
             match intent:
                 case SendOffer(host):
                     self._link(host).offer(intent)
@@ -322,11 +325,11 @@
                     self._link(host).abandon(intent)
                 case SendStop(host):
                     self._link(host).stop(intent)
-                case SendProbe(host):
+                case SendHealthCheck(host):
                     self._link(host).probe(intent)
                 case LogLine(level, event, fields):
                     getattr(log, level)(event, **fields)
-        if len(self.links) != len(heart.directory.entries):
+        if len(self.links) != len(controller.registry.entries):
             self._sync_links()
         self._arm()
 
@@ -337,28 +340,28 @@
 
     def _sync_links(self) -> None:
         """One link for each machine of the directory; a machine that holds nothing and is out has none."""
-        entries = self.heart.directory.entries
+        entries = self.controller.registry.entries
         for name, entry in entries.items():
             link = self.links.get(name)
             if link is not None and (
-                link.address != entry.host.address or (entry.removed and not entry.tasks)
+                link.address != entry.host.address or (entry.removed and not entry.task_count)
             ):
                 self._drop_link(name)
                 link = None
-            if link is None and not (entry.removed and not entry.tasks):
+            if link is None and not (entry.removed and not entry.task_count):
                 self.links[name] = make_link(
-                    name, entry.host.address, self.heart, self.clock.now, self.changed, self._chance
+                    name, entry.host.address, self.controller, self.clock.now, self.changed, self._chance
                 )
         for name in [name for name in self.links if name not in entries]:
             self._drop_link(name)
 
     def _drop_link(self, name: str) -> None:
         self._spawn(self.links.pop(name).close())
-        self.heart.link_down(self.clock.now(), name)
+        self.controller.on_link_down(self.clock.now(), name)
 
     def _arm(self) -> None:
-        """Sets the timer for the heart's next; one that is armed for an earlier time is left."""
-        at = self.heart.next_timer()
+        """Sets the timer for the controller's next; one that is armed for an earlier time is left."""
+        at = self.controller.next_timer()
         if at >= self._armed_at:
             return
         if self._armed is not None:
@@ -373,7 +376,7 @@
         if self._armed_at > -math.inf:
             late_ms = now - self._armed_at
             self._latest_ms = max(self._latest_ms, late_ms)
-            self.heart.levelling.sight.late(late_ms)
+            self.controller.degradation.process_load.record_timer_lag(late_ms)
             if late_ms > STOOD_STILL_MS and not self._hearing:
                 self._hearing = True
                 self._hear_first(HEARING_TURNS, now + HEARING_MOST_MS)
@@ -395,7 +398,7 @@
         self._advance()
 
     def _advance(self) -> None:
-        self.heart.advance(self.clock.now())
+        self.controller.advance(self.clock.now())
         self._work()  # at once: what is due now may be an answer
 
     async def _look_after(self) -> None:
@@ -409,8 +412,8 @@
             self.lag_ms, self._latest_ms = self._latest_ms, 0.0
             if self.config.levels.memory is not None and self._process is not None:
                 used = self._process.memory_info().rss
-                self.heart.levelling.sight.memory_share = used / self.config.levels.memory
-            if self.lag_ms > self.heart.cluster.settings.timer_resolution_ms:
+                self.controller.degradation.process_load.memory_share = used / self.config.levels.memory
+            if self.lag_ms > self.controller.cluster.settings.timer_resolution_ms:
                 log.warning("timers are late", lag_ms=round(self.lag_ms))
             self._sync_links()
             if loop.time() >= look_at:
@@ -433,7 +436,7 @@
             for problem in error.problems:
                 log.error("inventory not taken", problem=str(problem))
             return
-        self.heart.take_inventory(self.clock.now(), inventory)
+        self.controller.apply_inventory(self.clock.now(), inventory)
         self.changed()
         log.info("inventory taken", machines=len(inventory.hosts))
 
--- a/kelpfront/service/grpclinks.py
+++ b/kelpfront/service/grpclinks.py
@@ -1,8 +1,8 @@
 """The placer's link to a machine over one gRPC stream: offers out, answers and the machine's own messages in.
 
-It keeps the same promises as the link over HTTP: the heart's gate is asked right before an offer is written;
-an offer that was not written is known not to have run; one that was written and not answered when the stream
-breaks may have.
+It keeps the same promises as the link over HTTP: the controller's gate is asked right before an offer is
+written; an offer that was not written is known not to have run; one that was written and not answered when
+the stream breaks may have.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 import structlog
 
 from kelpfront.backoff import Backoff
-from kelpfront.controller.controller import Controller
-from kelpfront.controller.intents import AbandonOffer, SendOffer, SendProbe, SendStop
+from kelpfront.controller.intents import AbandonOffer, SendHealthCheck, SendOffer, SendStop
+from kelpfront.controller.job_controller import JobController
+from kelpfront.controller.load_reports import HealthCheckResult
 from kelpfront.machine.grpc_conversion import (
     UnknownWordError,
     offer_message,
@@ -49,22 +50,22 @@
 
 
 class GrpcLink:
-    """To one machine. `changed` is called after each thing that was told to the heart."""
+    """To one machine. `changed` is called after each thing that was told to the controller."""
 
     def __init__(
         self,
         host: str,
         address: str,
-        heart: Controller,
+        controller: JobController,
         now: Callable[[], float],
         changed: Callable[[], None],
         rng: random.Random,
     ) -> None:
         self.host, self.address = host, address
-        self._heart, self._now, self._changed = heart, now, changed
+        self._controller, self._now, self._changed = controller, now, changed
         parts = urlsplit(address)
         self._target = f"{parts.hostname}:{parts.port}"
-        self._connect_s = heart.cluster.settings.connect_timeout_ms / 1000.0
+        self._connect_s = controller.cluster.settings.connect_timeout_ms / 1000.0
         self._backoff = Backoff(rng)
         self._position = StreamOffset()
         self._up = asyncio.Event()
@@ -109,20 +110,20 @@
             self._spawn(self._send(pb.PlacerMessage(abandon=abandon)))
 
     async def _send_offer(self, key: Key, intent: SendOffer) -> None:
-        heart, message = self._heart, pb.PlacerMessage(offer=offer_message(intent.offer))
+        controller, message = self._controller, pb.PlacerMessage(offer=offer_message(intent.offer))
         try:
             async with asyncio.timeout(self._connect_s):
                 await self._up.wait()
                 await self._writing.acquire()
         except TimeoutError:
-            heart.offer_failed(self._now(), *key, f"no stream within {self._connect_s * 1000:.0f} ms")
+            controller.on_offer_failed(self._now(), *key, f"no stream within {self._connect_s * 1000:.0f} ms")
             self._changed()
             return
         try:
             if not self._up.is_set():
-                heart.offer_failed(self._now(), *key, "the stream broke")
-            elif not heart.clear_to_send(self._now(), *key):
-                heart.offer_failed(self._now(), *key, "not sent")
+                controller.on_offer_failed(self._now(), *key, "the stream broke")
+            elif not controller.clear_to_send(self._now(), *key):
+                controller.on_offer_failed(self._now(), *key, "not sent")
             else:
                 # From here on it may have run. Out of the books of what waits first: a break that comes while
                 # it is written must find it among what is out.
@@ -139,7 +140,7 @@
     def _lose(self, key: Key) -> None:
         """An offer that is out will not be answered on this stream."""
         if self._written.pop(key, 0) is None:
-            self._heart.offer_failed(self._now(), *key, "the stream broke")
+            self._controller.on_offer_failed(self._now(), *key, "the stream broke")
 
     async def _write(self, message: pb.PlacerMessage) -> bool:
         async with self._writing:
@@ -154,7 +155,7 @@
     # ---- Stops, probes and output ---------------------------------------------------------------------
 
     def stop(self, intent: SendStop) -> None:
-        """Once: the heart has it told again when the machine's stream is back."""
+        """Once: the controller has it told again when the machine's stream is back."""
         its = intent.stop
         stop = pb.Stop(task=its.task, attempt=its.attempt, why=its.why)
         self._spawn(self._send(pb.PlacerMessage(stop=stop)))
@@ -162,7 +163,7 @@
     async def _send(self, message: pb.PlacerMessage) -> None:
         await self._write(message)
 
-    def probe(self, intent: SendProbe) -> None:
+    def probe(self, intent: SendHealthCheck) -> None:
         self._spawn(self._send_probe())
 
     async def _send_probe(self) -> None:
@@ -173,7 +174,9 @@
         if await self._write(pb.PlacerMessage(probe=pb.Probe(number=number))):
             await asyncio.sleep(PROBE_S)
         if self._probes.pop(number, None) is not None:
-            self._heart.probe_answered(self._now(), self.host, False, self._now() - began, None)
+            self._controller.on_health_check(
+                self._now(), self.host, HealthCheckResult(ok=False, elapsed_ms=self._now() - began)
+            )
             self._changed()
 
     async def read_log(self, task: str, attempt: int, most: int) -> tuple[int, bytes]:
@@ -218,7 +221,7 @@
         channel, self._channel = self._channel, None
         for key in list(self._written):
             self._lose(key)
-        self._heart.link_down(self._now(), self.host)
+        self._controller.on_link_down(self._now(), self.host)
         self._changed()
         if channel is not None:
             await channel.close()
@@ -231,7 +234,7 @@
         stub: Any = rpc.NodeStub(self._channel)
         call = self._call = stub.Link()
         boot, first = self._position.resume or ("", 0)
-        opened = pb.Open(placer=self._heart.name, incarnation=self._heart.incarnation, boot=boot)
+        opened = pb.Open(placer=self._controller.name, incarnation=self._controller.incarnation, boot=boot)
         setattr(opened, "from", first)
         await call.write(pb.PlacerMessage(open=opened))
         while True:
@@ -257,21 +260,22 @@
             state = channel.get_state(try_to_connect=True)
 
     def _take(self, message: pb.NodeMessage) -> None:
-        heart, now = self._heart, self._now()
+        controller, now = self._controller, self._now()
         match message.WhichOneof("message"):
             case "answer":
                 key = message.answer.task, message.answer.attempt
                 if self._written.pop(key, 0) is None:
-                    heart.offer_answered(now, *key, read_answer(message.answer))
+                    controller.on_offer_answered(now, *key, read_answer(message.answer))
                 return
             case "stopped":
-                heart.stop_heard(self.host, message.stopped.task)
+                controller.on_stop_confirmed(self.host, message.stopped.task)
                 return
             case "probed":
                 began = self._probes.pop(message.probed.number, None)
                 if began is not None:
                     load = read_load(message.probed.load)
-                    heart.probe_answered(now, self.host, True, now - began, load)
+                    result = HealthCheckResult(ok=True, elapsed_ms=now - began, load=load)
+                    controller.on_health_check(now, self.host, result)
                 return
         told = read_stream_message(message)
         if told is None:
@@ -282,4 +286,4 @@
             self._up.set()
         if not self._position.take(told):
             return
-        heart.stream_message(now, self.host, told)
+        controller.on_machine_message(now, self.host, told)
--- a/kelpfront/service/links.py
+++ b/kelpfront/service/links.py
@@ -1,7 +1,7 @@
 """The placer's connections to its machines: offers out, answers in, one stream from each machine.
 
-A link carries out what the heart wants and tells it what came of it. It chooses nothing: not the machine, not
-a time-out, not whether to try again.
+A link carries out what the controller wants and tells it what came of it. It chooses nothing: not the
+machine, not a time-out, not whether to try again.
 """
 
 from __future__ import annotations
@@ -16,8 +16,9 @@
 import structlog
 
 from kelpfront.backoff import Backoff
-from kelpfront.controller.controller import Controller
-from kelpfront.controller.intents import AbandonOffer, SendOffer, SendProbe, SendStop
+from kelpfront.controller.intents import AbandonOffer, SendHealthCheck, SendOffer, SendStop
+from kelpfront.controller.job_controller import JobController
+from kelpfront.controller.load_reports import HealthCheckResult
 from kelpfront.http.client import HttpConnection, HttpError, HttpPool
 from kelpfront.machine.messages import (
     Answer,
@@ -53,7 +54,7 @@
 
     def stop(self, intent: SendStop) -> None: ...
 
-    def probe(self, intent: SendProbe) -> None: ...
+    def probe(self, intent: SendHealthCheck) -> None: ...
 
     async def read_log(self, task: str, attempt: int, most: int) -> tuple[int, bytes]:
         """Status, 200 or 404, and output of a task; HttpError or TimeoutError where there is no answer."""
@@ -64,7 +65,7 @@
 def make_link(
     host: str,
     address: str,
-    heart: Controller,
+    controller: JobController,
     now: Callable[[], float],
     changed: Callable[[], None],
     rng: random.Random,
@@ -73,28 +74,28 @@
     if address.startswith("grpc://"):
         from kelpfront.service.grpclinks import GrpcLink
 
-        return GrpcLink(host, address, heart, now, changed, rng)
-    return Link(host, address, heart, now, changed, rng)
+        return GrpcLink(host, address, controller, now, changed, rng)
+    return Link(host, address, controller, now, changed, rng)
 
 
 class Link:
-    """Over HTTP, to one machine. `changed` is called after each thing that was told to the heart."""
+    """Over HTTP, to one machine. `changed` is called after each thing that was told to the controller."""
 
     def __init__(
         self,
         host: str,
         address: str,
-        heart: Controller,
+        controller: JobController,
         now: Callable[[], float],
         changed: Callable[[], None],
         rng: random.Random,
     ) -> None:
         self.host, self.address = host, address
-        self._heart, self._now, self._changed = heart, now, changed
+        self._controller, self._now, self._changed = controller, now, changed
         parts = urlsplit(address)
         self._name, self._port = parts.hostname or "", parts.port or 80
         self._path = parts.path.rstrip("/")
-        connect_s = heart.cluster.settings.connect_timeout_ms / 1000.0
+        connect_s = controller.cluster.settings.connect_timeout_ms / 1000.0
         self._pool = HttpPool(self._name, self._port, CONNECTIONS, connect_s)
         self._offers: dict[tuple[str, int], asyncio.Task[None]] = {}
         self._jobs: dict[asyncio.Task[None], None] = {}  # in the order in which they began
@@ -131,8 +132,8 @@
             task.cancel()
 
     async def _send_offer(self, intent: SendOffer) -> None:
-        offer, heart = intent.offer, self._heart
-        body = encode(OfferRequest(heart.name, heart.incarnation, offer))
+        offer, controller = intent.offer, self._controller
+        body = encode(OfferRequest(controller.name, controller.incarnation, offer))
         try:
             connection = await self._pool.acquire()
             try:
@@ -141,18 +142,18 @@
                     f"{self._path}/v1/offers",
                     body,
                     (("content-type", "application/json"),),
-                    before_send=lambda: heart.clear_to_send(self._now(), offer.task, offer.attempt),
+                    before_send=lambda: controller.clear_to_send(self._now(), offer.task, offer.attempt),
                 )
             finally:
                 self._pool.release(connection)
         except HttpError as error:
-            heart.offer_failed(self._now(), offer.task, offer.attempt, str(error))
+            controller.on_offer_failed(self._now(), offer.task, offer.attempt, str(error))
         else:
             try:
                 answer = decode_answer(reply.body)
             except msgspec.DecodeError as error:
                 answer = Answer("error", "", f"HTTP {reply.status}, not an answer: {error}")
-            heart.offer_answered(self._now(), offer.task, offer.attempt, answer)
+            controller.on_offer_answered(self._now(), offer.task, offer.attempt, answer)
         self._changed()
 
     # ---- Stops and probes -----------------------------------------------------------------------------
@@ -161,7 +162,7 @@
         self._spawn(self._send_stop(intent))
 
     async def _send_stop(self, intent: SendStop) -> None:
-        """Once: the heart has it told again when the machine's stream is back."""
+        """Once: the controller has it told again when the machine's stream is back."""
         async with self._stop_turns:
             try:
                 reply = await self._call("POST", "/v1/stops", encode(intent.stop))
@@ -169,7 +170,7 @@
             except (HttpError, msgspec.DecodeError, TimeoutError) as error:
                 log.info("stop not heard", machine=self.host, task=intent.stop.task, error=str(error))
                 return
-        self._heart.stop_heard(self.host, intent.stop.task)
+        self._controller.on_stop_confirmed(self.host, intent.stop.task)
 
     async def read_log(self, task: str, attempt: int, most: int) -> tuple[int, bytes]:
         """Status and output of a task, by a connection of its own: offers must not wait for it."""
@@ -182,7 +183,7 @@
                 connection.abort()
         return reply.status, reply.body
 
-    def probe(self, intent: SendProbe) -> None:
+    def probe(self, intent: SendHealthCheck) -> None:
         self._spawn(self._send_probe())
 
     async def _send_probe(self) -> None:
@@ -190,9 +191,15 @@
         try:
             load = decode_load(await self._call("GET", "/v1/probe"))
         except (HttpError, msgspec.DecodeError, TimeoutError):
-            self._heart.probe_answered(self._now(), self.host, False, self._now() - began, None)
+            self._controller.on_health_check(
+                self._now(), self.host, HealthCheckResult(ok=False, elapsed_ms=self._now() - began)
+            )
         else:
-            self._heart.probe_answered(self._now(), self.host, True, self._now() - began, load)
+            self._controller.on_health_check(
+                self._now(),
+                self.host,
+                HealthCheckResult(ok=True, elapsed_ms=self._now() - began, load=load),
+            )
         self._changed()
 
     async def _call(self, method: str, path: str, body: bytes = b"") -> bytes:
@@ -213,7 +220,7 @@
                 error = "ended"
             except (HttpError, OSError, TimeoutError, msgspec.DecodeError, ValueError) as caught:
                 error = f"{type(caught).__name__}: {caught}"
-            self._heart.link_down(self._now(), self.host)
+            self._controller.on_link_down(self._now(), self.host)
             self._changed()
             pause = self._backoff.failed()
             level = log.info if self._backoff.failures == 1 else log.debug
@@ -222,7 +229,7 @@
             self._pool.sweep()
 
     async def _read_stream(self) -> None:
-        target = f"{self._path}/v1/stream?placer={quote(self._heart.name)}"
+        target = f"{self._path}/v1/stream?placer={quote(self._controller.name)}"
         if (resume := self._position.resume) is not None:
             target += f"&boot={quote(resume[0])}&from={resume[1]}"
         async with asyncio.timeout(STREAM_CONNECT_S):
@@ -256,4 +263,4 @@
             log.info("stream up", machine=self.host, boot=message.boot, resumed=message.resumed)
         if not self._position.take(message):
             return
-        self._heart.stream_message(self._now(), self.host, message)
+        self._controller.on_machine_message(self._now(), self.host, message)
--- a/kelpfront/tracing/export.py
+++ b/kelpfront/tracing/export.py
@@ -1,5 +1,6 @@
-"""Spans through the OpenTelemetry SDK to a file of JSON lines, bounded in size and in what waits.
+"""Writes spans through the OpenTelemetry SDK to a file of JSON lines, bounded in size and in what is queued.
 
+It knows nothing of tasks: what a trace consists of is worked out by `spans`. The SDK is specified at
 https://opentelemetry.io/docs/specs/otel/trace/sdk/
 """
 
@@ -9,6 +10,7 @@
 import json
 import random
 from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -24,17 +26,22 @@
 from opentelemetry.sdk.trace.id_generator import IdGenerator
 from opentelemetry.sdk.trace.sampling import ParentBased, TraceIdRatioBased
 
-from kelpfront.tracing.spans import Span
+from kelpfront.tracing.spans import ParentSpan, Span
 
-QUEUE_MOST = 8_192  # spans that wait to be written; more are dropped, by the SDK
-NS = 1_000_000
+MAX_QUEUED_SPANS = 8_192
+"""Spans that wait to be written; the SDK drops more, so that a slow disk costs traces and no memory."""
+NS_PER_MS = 1_000_000
+DEFAULT_MAX_BYTES = 64 << 20
+"""Size of the file, of which two are kept."""
 
 
 class FileExporter(SpanExporter):
-    """Writes a line a span. At `most_bytes` the file is set aside as NAME.1, in place of an earlier one."""
+    """Writes a line for each span. A file that is full is renamed NAME.1, in place of an earlier one."""
 
-    def __init__(self, path: Path, most_bytes: int) -> None:
-        self._path, self._most = path, most_bytes
+    def __init__(self, path: Path, max_bytes: int) -> None:
+        """Append to the file at `path`, up to `max_bytes`."""
+        self._path = path
+        self._max_bytes = max_bytes
         self._open()
 
     def _open(self) -> None:
@@ -42,34 +49,33 @@
         self._size = self._file.tell()
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
+        """Write spans; FAILURE on a full disk or a closed file, where tasks go on without their traces."""
         try:
-            if self._file.closed:  # setting it aside failed half way
+            if self._file.closed:  # an earlier rotation failed half way
                 self._open()
             for span in spans:
-                line = json.dumps(_plain(span), separators=(",", ":")) + "\n"
-                if self._size and self._size + len(line) > self._most:
-                    self._set_aside()
+                line = json.dumps(_to_json(span), separators=(",", ":")) + "\n"
+                if self._size and self._size + len(line) > self._max_bytes:
+                    self._rotate()
                 self._size += self._file.write(line)
             self._file.flush()
-        except (
-            OSError,
-            ValueError,
-        ):  # a full disk, or a file that was closed: tasks go on without their traces
+        except (OSError, ValueError):
             return SpanExportResult.FAILURE
         return SpanExportResult.SUCCESS
 
-    def _set_aside(self) -> None:
+    def _rotate(self) -> None:
         self._file.close()
         self._path.replace(self._path.with_name(self._path.name + ".1"))
         self._open()
 
     def shutdown(self) -> None:
+        """Close the file."""
         with contextlib.suppress(OSError):  # what a full disk did not take
             self._file.close()
 
 
-def _plain(span: ReadableSpan) -> dict[str, Any]:
-    """A span as one object; times in nanoseconds since the epoch, identities as hexadecimal text."""
+def _to_json(span: ReadableSpan) -> dict[str, Any]:
+    """Return a span as one object; times in nanoseconds since the epoch, identities as hexadecimal text."""
     context = span.get_span_context()
     assert context is not None
     found: dict[str, Any] = {
@@ -89,71 +95,89 @@
     return found
 
 
-class _Ids(IdGenerator):
-    """Of one seed, so that runs in virtual time are the same twice."""
+class _SeededIds(IdGenerator):
+    """Draws ids from one seed, so that runs in virtual time are the same twice."""
 
     def __init__(self, seed: int) -> None:
-        self._chance = random.Random(f"traces/{seed}")
+        self._rng = random.Random(f"traces/{seed}")
 
     def generate_trace_id(self) -> int:
-        return self._chance.getrandbits(128) or 1
+        return self._rng.getrandbits(128) or 1
 
     def generate_span_id(self) -> int:
-        return self._chance.getrandbits(64) or 1
+        return self._rng.getrandbits(64) or 1
+
+
+@dataclass(frozen=True, slots=True)
+class TracerSettings:
+    """How traces are written.
+
+    Attributes:
+        share: of the traces that are written, between 0 and 1.
+        max_bytes: size of the file.
+        seed: of the ids of traces and spans.
+        synchronous: whether each trace is written before the next thing happens, without a thread.
+    """
+
+    share: float = 1.0
+    max_bytes: int = DEFAULT_MAX_BYTES
+    seed: int = 0
+    synchronous: bool = False
 
 
 class Tracer:
-    """Takes whole traces. `at_once`: each is written before the next thing happens, without a thread."""
+    """Takes whole traces and writes a share of them."""
 
     def __init__(
         self,
         path: Path,
-        placer: str,
-        *,
-        share: float = 1.0,
-        most_bytes: int = 64 << 20,
-        seed: int = 0,
-        at_once: bool = False,
+        controller_name: str,
+        settings: TracerSettings | None = None,
     ) -> None:
-        exporter = FileExporter(path, most_bytes)
+        """Write the traces of a controller to the file at `path`."""
+        settings = settings or TracerSettings()
+        exporter = FileExporter(path, settings.max_bytes)
         self._provider = TracerProvider(
-            sampler=ParentBased(TraceIdRatioBased(share)),
-            resource=Resource({"service.name": "kelpfront", "service.instance.id": placer}),
-            id_generator=_Ids(seed),
+            sampler=ParentBased(TraceIdRatioBased(settings.share)),
+            resource=Resource({"service.name": "kelpfront", "service.instance.id": controller_name}),
+            id_generator=_SeededIds(settings.seed),
             shutdown_on_exit=False,
         )
         self._provider.add_span_processor(
             SimpleSpanProcessor(exporter)
-            if at_once
-            else BatchSpanProcessor(exporter, max_queue_size=QUEUE_MOST)
+            if settings.synchronous
+            else BatchSpanProcessor(exporter, max_queue_size=MAX_QUEUED_SPANS)
         )
         self._tracer = self._provider.get_tracer("kelpfront")
 
-    def write(self, root: Span, parent: tuple[int, int] | None = None) -> None:
-        """A trace; `parent` is the trace and span of the owner that it belongs to."""
-        context = None
+    def write(self, root: Span, parent: ParentSpan | None = None) -> None:
+        """Write a trace; `parent` is the client's span that it belongs to."""
         if parent is not None:
             flags = trace.TraceFlags(trace.TraceFlags.SAMPLED)
-            above = trace.SpanContext(parent[0], parent[1], is_remote=True, trace_flags=flags)
+            above = trace.SpanContext(parent.trace_id, parent.span_id, is_remote=True, trace_flags=flags)
             context = trace.set_span_in_context(trace.NonRecordingSpan(above))
         else:
             context = trace.set_span_in_context(trace.INVALID_SPAN)
         self._write(root, context)
 
-    def _write(self, its: Span, context: Any) -> None:
+    def _write(self, recorded: Span, context: Any) -> None:
         span = self._tracer.start_span(
-            its.name, context, start_time=round(its.begin * NS), attributes=dict(its.attributes)
+            recorded.name,
+            context,
+            start_time=round(recorded.begin * NS_PER_MS),
+            attributes=dict(recorded.attributes),
         )
         if not span.is_recording():
-            return  # not one of the share that is kept
-        for name, at in its.events:
-            span.add_event(name, timestamp=round(at * NS))
-        if its.error:
-            span.set_status(trace.Status(trace.StatusCode.ERROR, its.error))
+            return  # the sampler did not choose this trace
+        for name, at in recorded.events:
+            span.add_event(name, timestamp=round(at * NS_PER_MS))
+        if recorded.error:
+            span.set_status(trace.Status(trace.StatusCode.ERROR, recorded.error))
         within = trace.set_span_in_context(span)
-        for child in its.children:
+        for child in recorded.children:
             self._write(child, within)
-        span.end(round(its.end * NS))
+        span.end(round(recorded.end * NS_PER_MS))
 
     def close(self) -> None:
+        """Write what is queued, and close the file."""
         self._provider.shutdown()
--- a/tests/agent/test_agent_cluster.py
+++ b/tests/agent/test_agent_cluster.py
@@ -42,7 +42,7 @@
         self.placers.append(service)
         await service.start()
         await until(lambda: not service.operations.closed)
-        await until(lambda: all(entry.load for entry in service.heart.directory.entries.values()))
+        await until(lambda: all(entry.load for entry in service.controller.registry.entries.values()))
         client = Client(service.url, seed=1)
         self.clients.append(client)
         return service, client
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -186,4 +186,4 @@
     from kelpfront.service.app import PlacerService  # as cli/serve.py does when it is called
 
     planted: Any = PlacerService
-    assert planted.keywords["heart_class"] is NeverStops
+    assert planted.keywords["controller_class"] is NeverStops
--- a/tests/client/test_clients.py
+++ b/tests/client/test_clients.py
@@ -369,7 +369,7 @@
             await client.delete_job("climate", job.metadata.name or "")
             with pytest.raises(ApiError):
                 await asyncio.wait_for(following, 20)
-            assert second.heart.store.count(JOBS) == 0
+            assert second.controller.store.count(JOBS) == 0
 
 
 async def test_a_stream_of_the_library_resumes_and_what_is_withdrawn_in_a_cut_is_gone() -> None:
--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -12,7 +12,7 @@
 from kelpfront.clock import CommonClock
 from kelpfront.config import Config
 from kelpfront.config.reader import parse_config
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.job_controller import JobController
 from kelpfront.fronts.rest import WatchTimes
 from kelpfront.inventory import Host, Inventory
 from kelpfront.lab.recording import Recorder
@@ -97,21 +97,23 @@
         hosts = await self.fleet.start()
         self.inventory = Inventory("test", {host.name: host for host in hosts})
 
-    async def placer(self, *overrides: str, heart_class: type[Controller] = Controller) -> PlacerService:
+    async def placer(
+        self, *overrides: str, controller_class: type[JobController] = JobController
+    ) -> PlacerService:
         """A new placer process's worth, ready for jobs."""
         service = PlacerService(
             config(*self.overrides, *overrides),
             self.inventory,
             seed=len(self.placers),
             clock=self.clock,
-            heart_class=heart_class,
+            controller_class=controller_class,
             times=WatchTimes(bookmark_s=0.2),
         )
         self.placers.append(service)
         await service.start()
         await until(lambda: not service.operations.closed)
         await until(
-            lambda: all(e.load is not None for e in service.heart.directory.entries.values() if e.boot)
+            lambda: all(e.load is not None for e in service.controller.registry.entries.values() if e.boot)
         )
         return service
 
--- a/tests/controller/test_heart.py
+++ b/tests/controller/test_job_controller.py
@@ -1,11 +1,11 @@
-"""The placer's heart: one answer for each task, whatever machines, owners and clocks do."""
+"""The placer's controller: one answer for each task, whatever machines, owners and clocks do."""
 
 from __future__ import annotations
 
 from typing import Any
 
 import pytest
-from hearts import HeartDriver, cluster, hosts, report
+from controllers import ControllerDriver, cluster, hosts, report
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -13,15 +13,15 @@
 from kelpfront.api.jobs import Answer, Job, JobSpec
 from kelpfront.api.machines import Machine
 from kelpfront.api.meta import JOBS
-from kelpfront.controller.controller import ControllerLimits
 from kelpfront.controller.intents import LogLine, SendOffer
-from kelpfront.controller.orphans import Verdict, judge
+from kelpfront.controller.jobs import JobLimits, JobUpdate
+from kelpfront.controller.orphans import OrphanDecision, OrphanSituation, decide
 from kelpfront.machine import messages as wire
 from kelpfront.scheduling.settings import FailureDomain, Idempotency, TaskClass
 
 
 def test_a_task_from_submission_to_its_end() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     driver.submit()
     assert driver.job()["status"]["phase"] == "Placing"
     sent = driver.last_offer()
@@ -41,7 +41,7 @@
 
 
 def test_the_offer_carries_what_a_machine_and_a_later_life_of_the_placer_need() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     driver.submit("a", "ingest", key="batch-7", clientToken="tok", count=2, cores=2)
     offer = driver.of(SendOffer)[1].offer
     assert (offer.job.namespace, offer.job.name, offer.job.index, offer.job.count, offer.job.token) == (
@@ -61,7 +61,7 @@
 
 
 def test_refusals_are_shown_as_given_and_the_next_machine_is_asked() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     sent = driver.sent()
     driver.answer(sent, "refused", "NO_CORES", "21 asked for in all, 20 accepted")
     second = driver.last_offer()
@@ -77,7 +77,7 @@
 
 
 def test_four_refusals_are_a_refusal_and_nothing_goes_out_after_it() -> None:
-    driver = HeartDriver(machines=8)
+    driver = ControllerDriver(machines=8)
     sent = driver.sent()
     driver.answer(sent, "refused", "NOT_HERE")
     for number in (1, 2, 3):
@@ -89,11 +89,11 @@
     before = len(driver.of(SendOffer))
     driver.advance(10_000.0)
     assert len(driver.of(SendOffer)) == before
-    assert driver.heart.open_tasks == 0
+    assert driver.controller.open_tasks == 0
 
 
 def test_no_machine_in_time_is_a_refusal_before_the_owner_gives_up() -> None:
-    driver = HeartDriver(machines=0)
+    driver = ControllerDriver(machines=0)
     start = driver.now
     driver.submit(patience="2s")
     driver.advance(1990.0)
@@ -105,7 +105,7 @@
 
 
 def test_patience_counts_from_when_the_request_came() -> None:
-    driver = HeartDriver(machines=0)
+    driver = ControllerDriver(machines=0)
     driver.submit(patience="2s", received=driver.now - 1900)
     driver.advance(100.0)
     assert driver.state() == ("Refused", "Refused")
@@ -118,7 +118,7 @@
     ("how", "ends"), [("not sent", "unreachable"), ("sent", "reset"), ("silent", "timed out")]
 )
 def test_whether_an_offer_went_out_decides_what_its_failure_means(how: str, ends: str) -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     driver.submit("a", "blend")
     sent = driver.last_offer()
     if how != "not sent":
@@ -137,21 +137,21 @@
 
 
 def test_an_offer_is_not_cleared_once_its_time_or_machine_or_task_is_gone() -> None:
-    late = HeartDriver()
+    late = ControllerDriver()
     late.submit()
-    late.now += late.heart.cluster.settings.connect_timeout_ms + 1
+    late.now += late.controller.cluster.settings.connect_timeout_ms + 1
     assert not late.clear(late.last_offer()), "held up for longer than cold machines' turns allow"
-    drained = HeartDriver()
+    drained = ControllerDriver()
     drained.submit()
-    drained.heart.cordon(drained.now, drained.last_offer().host, True)
+    drained.controller.cordon(drained.now, drained.last_offer().host, unschedulable=True)
     assert not drained.clear(drained.last_offer())
-    deleted = HeartDriver()
+    deleted = ControllerDriver()
     deleted.submit()
-    deleted.heart.delete(deleted.now, ("climate", "a"))
+    deleted.controller.delete(deleted.now, ("climate", "a"))
     assert not deleted.clear(deleted.last_offer())
-    silent = HeartDriver()
+    silent = ControllerDriver()
     silent.submit(patience="1h")
-    silent.heart.link_down(silent.now, silent.last_offer().host)
+    silent.controller.on_link_down(silent.now, silent.last_offer().host)
     assert silent.clear(silent.last_offer()), "a stream may break and come back"
 
 
@@ -159,7 +159,7 @@
 
 
 def test_a_safe_task_that_timed_out_is_stopped_there_and_placed_elsewhere() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     sent = driver.sent()
     second = driver.next_offer(sent)
     assert second.host != sent.host
@@ -174,7 +174,7 @@
 
 
 def test_an_unsafe_task_that_failed_and_turns_out_to_run_is_adopted() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     sent = driver.sent("a", "blend")
     driver.fail(sent)
     assert driver.state() == ("Failed", "Failed")
@@ -189,11 +189,11 @@
 
 
 def test_an_unsafe_task_that_turns_up_after_the_recheck_is_stopped() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     sent = driver.sent("a", "blend")
     driver.fail(sent)
     assert driver.stops == []
-    driver.advance(driver.heart.cluster.settings.orphan_check_ms + 200)
+    driver.advance(driver.controller.cluster.settings.orphan_check_ms + 200)
     assert driver.stops == [(sent.host, sent.offer.task, 0)], "whether it runs or not"
     driver.taken(sent.host, sent.offer.task)
     assert driver.state() == ("Failed", "Failed")
@@ -201,7 +201,7 @@
 
 
 def test_a_keyed_task_that_turns_up_while_another_attempt_is_out_waits_for_it() -> None:
-    driver = HeartDriver(machines=8)
+    driver = ControllerDriver(machines=8)
     sent = driver.sent("a", "ingest")
     driver.fail(sent)
     second = driver.last_offer()
@@ -217,7 +217,7 @@
 
 
 def test_a_keyed_task_that_turns_up_after_it_was_placed_elsewhere_is_stopped() -> None:
-    driver = HeartDriver(machines=8)
+    driver = ControllerDriver(machines=8)
     sent = driver.sent("a", "ingest")
     driver.fail(sent)
     second = driver.last_offer()
@@ -229,7 +229,7 @@
 
 
 def test_the_stream_may_tell_before_the_answer_and_the_answer_then_changes_nothing() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     sent = driver.sent()
     driver.taken(sent.host, sent.offer.task)
     assert driver.state() == ("Running", "Placed")
@@ -256,20 +256,22 @@
     wanted: bool,
     given_up_ms: float,
 ) -> None:
-    verdict = judge(
-        effect,
-        answer,
-        attempt_out=attempt_out,
-        placed=placed,
-        wanted=wanted,
-        given_up_ms=given_up_ms,
-        recheck_ms=3000.0,
+    decision = decide(
+        OrphanSituation(
+            effect,
+            answer,
+            attempt_out=attempt_out,
+            placed=placed,
+            wanted=wanted,
+            given_up_ms=given_up_ms,
+            recheck_ms=3000.0,
+        )
     )
-    if verdict is Verdict.ADOPT:
+    if decision is OrphanDecision.ADOPT:
         assert wanted and not placed and effect is not Idempotency.IDEMPOTENT
         assert answer is Answer.FAILED or (answer is None and not attempt_out) or answer is Answer.PLACED
         assert answer is None or given_up_ms <= 3000.0
-    if verdict is Verdict.WAIT:
+    if decision is OrphanDecision.WAIT:
         assert attempt_out and answer is None
 
 
@@ -277,32 +279,35 @@
 
 
 def test_deleting_a_job_withdraws_its_tasks_wherever_they_are() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     running = driver.sent("a")
     driver.answer(running, "running")
     out = driver.sent("b", "blend")
     driver.submit("c", cores=1000.0)  # waits
     for name in "abc":
-        driver.heart.delete(driver.now, ("climate", name))
+        driver.controller.delete(driver.now, ("climate", name))
         driver.collect()
     assert driver.stops == [(running.host, running.offer.task, 0), (out.host, out.offer.task, 0)]
     assert (out.host, out.offer.task, 0) in driver.abandoned
     driver.gone(running.host, running.offer.task, cause="stopped")
     driver.answer(out, "running")
     driver.advance(10_000.0)
-    assert driver.heart.open_tasks == 0
+    assert driver.controller.open_tasks == 0
     assert driver.store.count(JOBS) == 0
-    assert driver.heart._tasks == {} and driver.heart._numbers == {}
+    assert (
+        driver.controller.context.tasks.by_uid == {} and driver.controller.context.tasks.by_scheduler_id == {}
+    )
 
 
 def test_a_change_of_count_adds_and_withdraws_tasks_and_nothing_else_changes() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     driver.submit(count=2)
     spec: dict[str, Any] = {"class": "web", "service": "front", "cores": 1, "memory": 2}
 
     def update(**changes: Any) -> Any:
         its = JobSpec.model_validate({**spec, **changes})
-        driver.heart.update(driver.now, ("climate", "a"), its, {"team": "x"}, {}, driver.now)
+        update = JobUpdate(its, {"team": "x"}, {}, driver.now)
+        driver.controller.update(driver.now, ("climate", "a"), update)
         driver.collect()
         return driver.job()
 
@@ -316,11 +321,11 @@
     with pytest.raises(ApiError) as error:
         update(cores=2, service="other")
     assert {cause.field for cause in error.value.causes} == {"spec.cores", "spec.service"}
-    assert driver.heart.open_tasks == 2
+    assert driver.controller.open_tasks == 2
 
 
 def test_jobs_that_cannot_be_are_told_why() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     for cls, spec, field in (
         ("unknown", {}, "spec.class"),
         ("web", {"key": "x"}, "spec.key"),
@@ -333,7 +338,7 @@
 
 
 def test_bounds_on_what_a_placer_takes() -> None:
-    driver = HeartDriver(machines=0, limits=ControllerLimits(open_tasks=5, jobs=2, finished_jobs=1))
+    driver = ControllerDriver(machines=0, limits=JobLimits(open_tasks=5, jobs=2, finished_jobs=1))
     driver.submit("a", count=4)
     with pytest.raises(ApiError) as error:
         driver.submit("b", count=2)
@@ -350,31 +355,34 @@
 
 
 def test_a_job_that_is_not_taken_leaves_nothing_behind() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     first = driver.submit()
     with pytest.raises(ApiError):
         driver.submit()
     driver.advance(10_000.0)
     assert driver.job()["metadata"]["uid"] == first["metadata"]["uid"]
-    assert len(driver.heart._tasks) + len(driver.heart._numbers) <= 2
+    assert (
+        len(driver.controller.context.tasks.by_uid) + len(driver.controller.context.tasks.by_scheduler_id)
+        <= 2
+    )
     assert {sent.offer.task for sent in driver.of(SendOffer)} == {first["status"]["tasks"][0]["uid"]}
 
 
 def test_a_token_finds_its_job() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     driver.submit("a", clientToken="t")
-    found = driver.heart.find_token("climate", "t")
+    found = driver.controller.find_by_client_token("climate", "t")
     assert found is not None and found.name == "a"
-    assert driver.heart.find_token("other", "t") is None
-    driver.heart.delete(driver.now, ("climate", "a"))
-    assert driver.heart.find_token("climate", "t") is None
+    assert driver.controller.find_by_client_token("other", "t") is None
+    driver.controller.delete(driver.now, ("climate", "a"))
+    assert driver.controller.find_by_client_token("climate", "t") is None
 
 
 def test_a_large_job_does_not_hold_up_a_drain() -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     driver.submit(count=500, cores=0.01, memory=0.01)
     assert len(driver.of(SendOffer)) <= 8
-    driver.heart.cordon(driver.now, "n1", True)
+    driver.controller.cordon(driver.now, "n1", unschedulable=True)
     driver.advance(1.0)
     assert {sent.host for sent in driver.of(SendOffer)[8:]} <= {"n0", "n2", "n3"}
     assert len(driver.of(SendOffer)) == 500
@@ -384,9 +392,9 @@
 
 
 def test_a_machine_from_unknown_to_gone_and_back() -> None:
-    driver = HeartDriver(machines=2)
+    driver = ControllerDriver(machines=2)
     assert driver.machine("n0")["status"]["state"] == "Ready"
-    driver.heart.link_down(driver.now, "n0")
+    driver.controller.on_link_down(driver.now, "n0")
     driver.advance(900.0)
     assert driver.machine("n0")["status"]["state"] == "Ready", "a stream may be back within a second"
     driver.advance(300.0)
@@ -397,7 +405,7 @@
 
 
 def test_a_silent_machine_is_gone_after_four_heartbeats() -> None:
-    driver = HeartDriver(machines=1)
+    driver = ControllerDriver(machines=1)
     driver.advance(3900.0, beats=False)
     assert driver.machine("n0")["status"]["state"] == "Ready"
     driver.advance(300.0, beats=False)
@@ -409,14 +417,14 @@
 
 @pytest.mark.parametrize("word", ["operator", "machine", "inventory"])
 def test_a_drained_machine_gets_nothing_new_whoever_says_so(word: str) -> None:
-    driver = HeartDriver(machines=2)
+    driver = ControllerDriver(machines=2)
     driver.advance(300.0)
     if word == "operator":
-        driver.heart.cordon(driver.now, "n0", True)
+        driver.controller.cordon(driver.now, "n0", unschedulable=True)
     elif word == "machine":
         driver.beat("n0", "draining")
     else:
-        driver.heart.take_inventory(
+        driver.controller.apply_inventory(
             driver.now, type(hosts(1))("", {name: h for name, h in hosts(2).hosts.items() if name != "n0"})
         )
     driver.collect()
@@ -425,15 +433,15 @@
     assert {sent.host for sent in driver.of(SendOffer)} == {"n1"}
     if word == "operator":
         assert driver.machine("n0")["spec"]["unschedulable"] is True
-        driver.heart.cordon(driver.now, "n0", False)
+        driver.controller.cordon(driver.now, "n0", unschedulable=False)
         assert driver.machine("n0")["status"]["state"] == "Ready"
 
 
 def test_tasks_of_a_machine_that_stays_away_are_lost_and_stopped_if_it_returns() -> None:
-    driver = HeartDriver(machines=2)
+    driver = ControllerDriver(machines=2)
     sent = driver.sent()
     driver.answer(sent, "running")
-    driver.heart.link_down(driver.now, sent.host)
+    driver.controller.on_link_down(driver.now, sent.host)
     driver.advance(5000.0)
     assert driver.state() == ("Running", "Placed")
     driver.advance(1500.0)
@@ -446,7 +454,7 @@
 
 
 def test_a_machine_that_restarted_without_its_tasks_has_lost_them() -> None:
-    driver = HeartDriver(machines=1)
+    driver = ControllerDriver(machines=1)
     sent = driver.sent()
     driver.answer(sent, "running")
     driver.up("n0", boot="boot-2", age_ms=5.0)
@@ -465,7 +473,7 @@
     ],
 )
 def test_how_a_placed_task_ends(cause: str, state: str, reason: str | None) -> None:
-    driver = HeartDriver()
+    driver = ControllerDriver()
     sent = driver.sent()
     driver.answer(sent, "running")
     driver.gone(sent.host, sent.offer.task, cause=cause)
@@ -476,7 +484,7 @@
 
 
 def test_a_task_that_is_hardly_served_is_moved_and_shown_as_lost() -> None:
-    driver = HeartDriver(machines=3)
+    driver = ControllerDriver(machines=3)
     sent = driver.sent()
     driver.answer(sent, "running")
     driver.tell(sent.host, wire.Note(sent.offer.task, 0, "service", 0.1))
@@ -486,20 +494,20 @@
 
 
 def test_a_stop_is_told_again_until_the_machine_has_heard() -> None:
-    driver = HeartDriver(machines=1)
+    driver = ControllerDriver(machines=1)
     sent = driver.sent()
     driver.answer(sent, "running")
-    driver.heart.delete(driver.now, ("climate", "a"))
+    driver.controller.delete(driver.now, ("climate", "a"))
     driver.collect()
     driver.up("n0", resumed=True)
     assert len(driver.stops) == 2
-    driver.heart.stop_heard("n0", sent.offer.task)
+    driver.controller.on_stop_confirmed("n0", sent.offer.task)
     driver.up("n0", resumed=True)
     assert len(driver.stops) == 2
 
 
 def test_what_the_decisions_log_names_the_machine() -> None:
-    driver = HeartDriver(machines=3)
+    driver = ControllerDriver(machines=3)
     for name in "abcd":
         driver.submit(name)
         sent = driver.last_offer()
@@ -513,7 +521,7 @@
 
 
 def test_a_placer_that_starts_anew_finds_its_tasks() -> None:
-    driver = HeartDriver(machines=2, incarnation="life-2")
+    driver = ControllerDriver(machines=2, incarnation="life-2")
     job = wire.JobRef("climate", "a", "uid-old", 3, 5, "tok", {"team": "x"})
     driver.snapshot("n0", report("uid-old-3", life="life-1", job=job, cls="web", attempt=2))
     assert driver.state(index=3) == ("Running", None), "an earlier life may have given another answer"
@@ -521,7 +529,7 @@
     shown = driver.job()
     assert (shown["metadata"]["uid"], shown["metadata"]["labels"]) == ("uid-old", {"team": "x"})
     assert shown["spec"]["clientToken"] == "tok"
-    assert driver.heart.find_token("climate", "tok") is not None
+    assert driver.controller.find_by_client_token("climate", "tok") is not None
     driver.gone("n0", "uid-old-3", 2)
     assert driver.state(index=3) == ("Ended", None)
     Job.model_validate(driver.job())
@@ -529,7 +537,7 @@
 
 def test_found_tasks_count_for_spread() -> None:
     spread = cluster(classes=(api_class(),))
-    driver = HeartDriver(machines=1, its_cluster=spread, incarnation="life-2")
+    driver = ControllerDriver(machines=1, its_cluster=spread, incarnation="life-2")
     driver.snapshot("n0", *(report(f"u-{n}", life="life-1", cls="apart") for n in range(2)))
     driver.submit("b", "apart", service="front")
     driver.advance(500.0)
@@ -545,7 +553,7 @@
 
 
 def test_what_waited_when_the_placer_died_is_stopped_and_ended_ones_are_let_be() -> None:
-    driver = HeartDriver(machines=1, incarnation="life-2")
+    driver = ControllerDriver(machines=1, incarnation="life-2")
     driver.snapshot(
         "n0",
         report("u-0", "waiting", life="life-1", cls="web"),
@@ -557,12 +565,12 @@
 
 
 def test_a_copy_of_work_that_was_asked_for_anew_takes_its_place_or_is_stopped() -> None:
-    driver = HeartDriver(machines=2, incarnation="life-2")
+    driver = ControllerDriver(machines=2, incarnation="life-2")
     driver.submit("a", "blend", cores=1000.0)  # waits: nothing was sent
     old = wire.JobRef("climate", "a", "uid-old", 0, 1)
     driver.snapshot("n0", report("uid-old-0", life="life-1", job=old, cls="blend"))
     assert driver.state() == ("Running", None)
-    assert driver.of(SendOffer) == [] and driver.heart.open_tasks == 0
+    assert driver.of(SendOffer) == [] and driver.controller.open_tasks == 0
     driver.submit("b", "blend")
     older = wire.JobRef("climate", "b", "uid-older", 0, 1)
     driver.snapshot("n1", report("uid-older-0", life="life-1", job=older, cls="blend"))
@@ -572,7 +580,7 @@
 # ---- All together -----------------------------------------------------------------------------------------
 
 
-class World(HeartDriver):
+class World(ControllerDriver):
     """Checks after each step what must hold whatever happens."""
 
     def __init__(self, machines: int) -> None:
@@ -654,9 +662,9 @@
                 data.draw(st.sampled_from([1.0, 50.0, 400.0, 2500.0])), beats=data.draw(st.booleans())
             )
         elif kind == "link":
-            world.heart.link_down(world.now, host)
+            world.controller.on_link_down(world.now, host)
         elif kind == "cordon":
-            world.heart.cordon(world.now, host, data.draw(st.booleans()))
+            world.controller.cordon(world.now, host, unschedulable=data.draw(st.booleans()))
         elif kind == "boot":
             world.up(host, boot=data.draw(st.sampled_from(["boot-1", "boot-2"])), age_ms=5.0)
             world.snapshot(host)
@@ -667,5 +675,5 @@
                 assert "answer" in world.task(name), name
     world.advance(20_000.0)
     world.check()
-    assert world.heart.open_tasks == 0
+    assert world.controller.open_tasks == 0
     assert all("answer" in world.task(name) for name in deadlines)
