--- a/tests/hearts.py
+++ b/tests/controllers.py
@@ -1,4 +1,4 @@
-"""A placer's heart with machines that answer as the test says."""
+"""A placer's controller with machines that answer as the test says."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 from kelpfront.api.jobs import JobSpec
 from kelpfront.api.meta import JOBS, MACHINES
 from kelpfront.controller.cluster import Cluster
-from kelpfront.controller.controller import Controller, ControllerLimits
 from kelpfront.controller.intents import AbandonOffer, Intent, SendOffer, SendStop
+from kelpfront.controller.job_controller import ControllerIdentity, ControllerOptions, JobController
+from kelpfront.controller.jobs import Submission
 from kelpfront.inventory import Host, Inventory
 from kelpfront.machine import messages as wire
 from kelpfront.scheduling.settings import FailureDomain, Idempotency
@@ -46,21 +47,29 @@
     )
 
 
-class HeartDriver:
-    """Feeds a heart and keeps what it wants done."""
+class ControllerDriver:
+    """Feeds a controller and keeps what it wants done."""
 
-    def __init__(self, machines: int = 4, its_cluster: Cluster | None = None, **more: Any) -> None:
+    def __init__(
+        self,
+        machines: int = 4,
+        its_cluster: Cluster | None = None,
+        incarnation: str = "life-1",
+        **options: Any,
+    ) -> None:
         self.store = ResourceStore(0)
         uids = itertools.count(1)
-        limits: ControllerLimits | None = more.pop("limits", None)
-        life = more.pop("incarnation", "life-1")
-        self.heart = Controller(
-            its_cluster or cluster(), self.store, "p0", life, 7, lambda: f"uid{next(uids)}", limits, **more
+        self.controller = JobController(
+            its_cluster or cluster(),
+            self.store,
+            ControllerIdentity("p0", incarnation, seed=7),
+            lambda: f"uid{next(uids)}",
+            ControllerOptions(**options),
         )
         self.now = 1_000_000.0
         self.intents: list[Intent] = []
         self.seq = {f"n{n}": 0 for n in range(machines)}
-        self.heart.take_inventory(self.now, hosts(machines))
+        self.controller.apply_inventory(self.now, hosts(machines))
         for host in self.seq:
             self.up(host)
         self.advance(1.0)
@@ -68,17 +77,17 @@
     # ---- machines
 
     def tell(self, host: str, message: wire.StreamMessage) -> None:
-        self.heart.stream_message(self.now, host, message)
+        self.controller.on_machine_message(self.now, host, message)
         self.collect()
 
-    def up(self, host: str, boot: str = "boot-1", age_ms: float = 1e6, resumed: bool = False) -> None:
+    def up(self, host: str, boot: str = "boot-1", age_ms: float = 1e6, *, resumed: bool = False) -> None:
         self.tell(host, wire.Hello(boot, age_ms, "small", 1000.0, resumed, self.seq[host] + 1))
         self.beat(host)
 
     def beat(self, host: str, state: Any = "ready", load: wire.LoadReport = LOAD) -> None:
         self.tell(host, wire.Heartbeat(state, load))
 
-    def taken(self, host: str, uid: str, attempt: int = 0, running: bool = True) -> None:
+    def taken(self, host: str, uid: str, attempt: int = 0, *, running: bool = True) -> None:
         self.seq[host] += 1
         self.tell(host, wire.Taken(self.seq[host], uid, attempt, running))
 
@@ -92,15 +101,15 @@
     # ---- offers
 
     def clear(self, sent: SendOffer) -> bool:
-        return self.heart.clear_to_send(self.now, sent.offer.task, sent.offer.attempt)
+        return self.controller.clear_to_send(self.now, sent.offer.task, sent.offer.attempt)
 
     def answer(self, sent: SendOffer, answer: Any, reason: str = "", message: str = "") -> None:
         uid, attempt = sent.offer.task, sent.offer.attempt
-        self.heart.offer_answered(self.now, uid, attempt, wire.Answer(answer, reason, message))
+        self.controller.on_offer_answered(self.now, uid, attempt, wire.Answer(answer, reason, message))
         self.collect()
 
     def fail(self, sent: SendOffer) -> None:
-        self.heart.offer_failed(self.now, sent.offer.task, sent.offer.attempt, "broke")
+        self.controller.on_offer_failed(self.now, sent.offer.task, sent.offer.attempt, "broke")
         self.collect()
 
     # ---- jobs
@@ -110,7 +119,7 @@
             spec.setdefault("key", "batch")
         its = JobSpec.model_validate({"class": cls, "service": "front", "cores": 1, "memory": 2, **spec})
         at = self.now if received is None else received
-        stored = self.heart.submit(self.now, "climate", name, its, {}, {}, at)
+        stored = self.controller.submit(self.now, Submission("climate", name, its, {}, {}, at))
         self.collect()
         return stored.body
 
@@ -145,24 +154,24 @@
         return [(a.host, a.task, a.attempt) for a in self.of(AbandonOffer)]
 
     def collect(self) -> None:
-        self.intents += self.heart.take_intents()
-        self.heart.flush(self.now)
+        self.intents += self.controller.take_intents()
+        self.controller.flush(self.now)
 
-    def advance(self, ms: float, beats: bool = True) -> None:
-        """Lets time pass by the heart's own timers; machines that are up go on telling."""
+    def advance(self, ms: float, *, beats: bool = True) -> None:
+        """Lets time pass by the controller's own timers; machines that are up go on telling."""
         until = self.now + ms
-        while (at := self.heart.next_timer()) <= until:
+        while (at := self.controller.next_timer()) <= until:
             self.now = max(self.now, at)
             if beats:
-                for entry in self.heart.directory.entries.values():
+                for entry in self.controller.registry.entries.values():
                     if entry.link_up:
-                        self.heart.directory.heard(self.now, entry.name)
-            self.heart.advance(self.now)
+                        self.controller.registry.record_contact(self.now, entry.name)
+            self.controller.advance(self.now)
             self.collect()
         self.now = until
 
     def job(self, name: str = "a") -> Any:
-        self.heart.flush(self.now)
+        self.controller.flush(self.now)
         return self.store.get(JOBS, ("climate", name)).body
 
     def task(self, name: str = "a", index: int = 0) -> Any:
@@ -173,7 +182,7 @@
         return task["state"], task.get("answer")
 
     def machine(self, host: str) -> Any:
-        self.heart.flush(self.now)
+        self.controller.flush(self.now)
         return self.store.get(MACHINES, ("", host)).body
 
 
--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -117,7 +117,7 @@
     """Progress may wait for the next showing; an answer is owed by its deadline."""
     async with cluster(1) as (_, service, client):
         await pinned(service, "holding")
-        service.heart.flush(service.clock.now())
+        service.controller.flush(service.clock.now())
         seen: list[str] = []
         job = await client.submit("climate", spec("blend"), name="a")
 
@@ -211,10 +211,10 @@
 
 async def test_memory_and_lag_are_symptoms_of_the_process_itself() -> None:
     async with cluster(1, "levels.memory=16 MiB") as (_, service, _client):
-        await until(lambda: service.heart.levelling.sight.memory_share > 1.0)
+        await until(lambda: service.controller.degradation.process_load.memory_share > 1.0)
         await until(lambda: shown_level(service) == "holding")
         assert "memory" in shown(service)["status"]["why"]
-    governor = service.heart.levelling.governor
+    governor = service.controller.degradation.governor
     assert governor.symptoms.readings(governor.at, Seen(lag_ms=300.0))["lag"] == 300.0
 
 
@@ -256,7 +256,7 @@
         flooding = False
         await asyncio.gather(*work)
         assert taken and turned
-        await until(lambda: service.heart.open_tasks == 0)
+        await until(lambda: service.controller.open_tasks == 0)
         told_at = its.events("told", machine="n0", state="draining")[0]["t"]
         # Flood, machines and placer share this process: what they owe is measured with some slack.
         late = [o for o in its.events("offer", machine="n0") if o["t"] > told_at + 500.0 + SLACK_MS]
--- a/tests/fronts/test_grpc.py
+++ b/tests/fronts/test_grpc.py
@@ -183,7 +183,7 @@
         uids = {a.job.metadata.uid if isinstance(a, pb.SubmitResponse) else a.metadata.uid for a in answers}
         assert len(uids) == 1
         assert sum(isinstance(a, pb.SubmitResponse) and a.created for a in answers) <= 1
-        await until(lambda: service.heart.open_tasks == 0)
+        await until(lambda: service.controller.open_tasks == 0)
         assert len(its.events("start")) == 3
         changed = pb.SubmitRequest(namespace="climate", spec=job_spec("web", clientToken="once"))
         code, error = await refused(stubs.jobs.Submit(changed))
@@ -284,7 +284,7 @@
         await call.write(Open)
         for number in range(20):
             await call.write(submit(f"r{number}"))
-        await until(lambda: service.store.count(JOBS) == 20 and not service.heart.open_tasks)
+        await until(lambda: service.store.count(JOBS) == 20 and not service.controller.open_tasks)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await call.read()
@@ -336,7 +336,7 @@
         await call.write(submit("mine"))
         await call.write(submit("theirs"))
         names: dict[str, str] = {}
-        while len(names) < 2 or service.heart.open_tasks:
+        while len(names) < 2 or service.controller.open_tasks:
             event = await asyncio.wait_for(call.read(), 20)
             if event.HasField("accepted"):
                 names[event.ref] = event.accepted.name
--- a/tests/fronts/test_rest.py
+++ b/tests/fronts/test_rest.py
@@ -188,7 +188,7 @@
         )
         assert (reply.status, reply.headers["warning"]) == (201, '299 - "unknown field "odd""')
         assert (await told(service, "GET", JOBS_PATH, accept="application/xml"))[0] == 406
-        assert service.heart.open_tasks <= 2
+        assert service.controller.open_tasks <= 2
 
 
 async def test_the_same_post_twice_at_once_is_one_job() -> None:
--- a/tests/lab/test_bound.py
+++ b/tests/lab/test_bound.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from kelpfront.lab.bound import BoundError, Machine, Work, best, machines_of, work_of
-from kelpfront.lab.policies import heart_of
+from kelpfront.lab.policies import controller_for
 from kelpfront.lab.timeline.emulation import play
 from kelpfront.lab.timeline.script import read_day
 
@@ -109,7 +109,7 @@
 def test_no_policy_is_better_than_the_bound_of_its_day(policy: str) -> None:
     text = "name: short\nseconds: 6\nsettle: 8\nmachines: 2\nplacers: 1\nrate: 30\nlife_ms: 2500\n"
     text += "faults:\n  - {kind: crash, at: 2, lasts: 1, machines: [n001]}\n"
-    played = play(read_day(text, "test"), 1, heart_class=heart_of(policy))
+    played = play(read_day(text, "test"), 1, controller_class=controller_for(policy))
     work = work_of(played.lines, played.config, 1.0, 1.0)
     fleet = machines_of(played.lines, played.config)
     assert len(work) == played.figures["jobs"]
--- a/tests/lab/test_checker.py
+++ b/tests/lab/test_checker.py
@@ -13,7 +13,7 @@
 from kelpfront.api.machines import State
 from kelpfront.api.meta import JOBS
 from kelpfront.client import Client, JobSpec
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.job_controller import JobController
 from kelpfront.lab import seen
 from kelpfront.lab.checker import check
 from kelpfront.lab.recording import Line, Recorder, host_clock
@@ -257,7 +257,7 @@
 
 
 async def day_of(
-    heart_class: type[Controller],
+    controller_class: type[JobController],
     script: Callable[[TestCluster, Owner], Awaitable[None]],
     *overrides: str,
     machines: int = 4,
@@ -267,13 +267,17 @@
     its = TestCluster(machines, model, overrides)
     await its.start()
     try:
-        service = await its.placer(heart_class=heart_class)
+        service = await its.placer(controller_class=controller_class)
         if cold:
             for machine in its.fleet.machines.values():
                 machine.crash()
                 await machine.boot(cold=True)
-            await until(lambda: all(e.boot.endswith("-2") for e in service.heart.directory.entries.values()))
-            await until(lambda: all(e.state is State.READY for e in service.heart.directory.entries.values()))
+            await until(
+                lambda: all(e.boot.endswith("-2") for e in service.controller.registry.entries.values())
+            )
+            await until(
+                lambda: all(e.state is State.READY for e in service.controller.registry.entries.values())
+            )
         clients = Recorder("clients")
         owner = Owner(its.client(service), clients, service.config.placer.name)
         await script(its, owner)
@@ -337,9 +341,9 @@
 
 async def test_the_right_placer_breaks_nothing_in_any_of_these_days() -> None:
     for script in (ordinary, in_vain, answers_lost, refused_by_all, drained):
-        assert broken(await day_of(Controller, script)) == [], script.__name__
-    assert broken(await day_of(Controller, burst, *COLD_SETTINGS, machines=1, model=SLOW, cold=True)) == []
-    assert broken(await day_of(Controller, same_service, *SPREAD_SETTINGS, machines=8)) == []
+        assert broken(await day_of(JobController, script)) == [], script.__name__
+    assert broken(await day_of(JobController, burst, *COLD_SETTINGS, machines=1, model=SLOW, cold=True)) == []
+    assert broken(await day_of(JobController, same_service, *SPREAD_SETTINGS, machines=8)) == []
 
 
 @pytest.mark.parametrize(
@@ -357,7 +361,7 @@
     ],
 )
 async def test_a_wrong_placer_is_found_by_its_rule(
-    wrong: type[Controller], script: Any, overrides: tuple[str, ...], rule: str
+    wrong: type[JobController], script: Any, overrides: tuple[str, ...], rule: str
 ) -> None:
     cold = rule == seen.COLD
     machines, model = (1, SLOW) if cold else (8, QUICK)
--- a/tests/lab/test_experiments.py
+++ b/tests/lab/test_experiments.py
@@ -23,7 +23,7 @@
 from kelpfront.lab.experiments.plan import PlanError, read_plan
 from kelpfront.lab.experiments.results import FORMAT, Result, Results, ResultsError, opened
 from kelpfront.lab.experiments.runner import code_digest, run_plan
-from kelpfront.lab.policies import POLICIES, heart_of
+from kelpfront.lab.policies import POLICIES, controller_for
 from kelpfront.lab.report.page import ReportError, make
 from kelpfront.lab.timeline.emulation import play
 from kelpfront.lab.timeline.script import PLAIN_SETTINGS, read_day
@@ -310,7 +310,7 @@
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_every_policy_keeps_the_rules_and_places(policy: str) -> None:
-    played = play(read_day(BUSY, "test"), 3, heart_class=heart_of(policy))
+    played = play(read_day(BUSY, "test"), 3, controller_class=controller_for(policy))
     assert played.figures["violations"] == 0, played.figures["examples"]
     assert played.figures["answers"]["Placed"] > 60
     assert played.figures["measures"]["placed"] > 0.7
@@ -318,7 +318,8 @@
 
 def test_policies_choose_differently() -> None:
     digests = {
-        play(read_day(BUSY, "test"), 3, heart_class=heart_of(name)).figures["digest"] for name in POLICIES
+        play(read_day(BUSY, "test"), 3, controller_class=controller_for(name)).figures["digest"]
+        for name in POLICIES
     }
     assert len(digests) == len(POLICIES)
 
--- a/tests/lab/test_lab_fronts.py
+++ b/tests/lab/test_lab_fronts.py
@@ -13,8 +13,8 @@
 from kelpfront.api.meta import Object
 from kelpfront.client.disciplined import DisciplinedClient
 from kelpfront.client.retry import Discipline, even_share_worst
-from kelpfront.controller.admission import LEAST_LEFT_TICKS
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.admission import MIN_REMAINING_TICKS
+from kelpfront.controller.job_controller import JobController
 from kelpfront.fronts.grpc import session
 from kelpfront.lab.fronts import Fronts, FrontsShape, draw_mix
 from kelpfront.lab.process import raise_file_limit
@@ -63,7 +63,7 @@
     """Guards against differences by load: `too late` came where 300 of 500 ms were spent on the way."""
     vain = [s for s in draw_mix(FrontsShape(seed=1, tasks=2000)) if s.class_ == "rare" or s.cores > 1000]
     left = min(parse_duration(spec.patience or "0s") for spec in vain)
-    assert len(vain) > 50 and left >= 3 * WORST_WAY_MS + LEAST_LEFT_TICKS * TICK_MS
+    assert len(vain) > 50 and left >= 3 * WORST_WAY_MS + MIN_REMAINING_TICKS * TICK_MS
 
 
 def test_the_mix_has_all_that_it_is_to_compare() -> None:
@@ -76,10 +76,10 @@
 async def test_a_placer_that_forgets_tokens_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """The identity of a job over both protocols is its token: without it work starts twice."""
 
-    def forgets(self: Controller, namespace: str, token: str) -> None:
+    def forgets(self: JobController, namespace: str, token: str) -> None:
         return None
 
-    monkeypatch.setattr(Controller, "find_token", forgets)
+    monkeypatch.setattr(JobController, "find_by_client_token", forgets)
     figures = await Fronts(FrontsShape(seed=5, tasks=4, machines=6, both=30), quiet).run()
     both = figures["both_at_once"]
     assert both["double_starts"] + both["differences"] + both["violations"] > 0
--- a/tests/lab/test_lab_levels.py
+++ b/tests/lab/test_lab_levels.py
@@ -107,7 +107,7 @@
 
 def test_answers_that_wait_for_the_next_showing_are_seen(monkeypatch: pytest.MonkeyPatch) -> None:
     def late(self: StatusPublisher, now: float, period_ms: float) -> None:
-        if now >= self._shown_at + 3 * period_ms:
+        if now >= self._published_at + 3 * period_ms:
             self.flush(now)
 
     monkeypatch.setattr(StatusPublisher, "flush_due", late)
@@ -115,7 +115,7 @@
     run = Run(script, "levels", 1)
 
     def hold() -> None:
-        run.placer.heart.pin_level(run.world.now, Level.HOLDING, 60_000.0)
+        run.placer.controller.pin_level(run.world.now, Level.HOLDING, 60_000.0)
 
     run.world.at(
         run.world.now + 6_000.0,
--- a/tests/lab/test_timeline.py
+++ b/tests/lab/test_timeline.py
@@ -19,7 +19,7 @@
 from kelpfront.api.jobs import JobSpec
 from kelpfront.api.meta import JOBS
 from kelpfront.client import Client
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.job_controller import JobController
 from kelpfront.inventory import Inventory
 from kelpfront.lab.timeline.emulation import EPOCH_S, Emulation, Played, emulate, play
 from kelpfront.lab.timeline.guard import RealWorldError, sealed
@@ -234,7 +234,7 @@
     reach()  # afterwards all is as before
 
 
-class ReadsTheClock(Controller):
+class ReadsTheClock(JobController):
     def submit(self, now: float, *args: Any, **more: Any) -> Any:
         with contextlib.suppress(RealWorldError):  # swallowed: it is told of all the same
             time.time()
@@ -242,7 +242,7 @@
 
 
 def test_a_program_that_reads_the_real_clock_is_found() -> None:
-    figures = emulate(read_day(SHORT, "short"), 1, heart_class=ReadsTheClock)
+    figures = emulate(read_day(SHORT, "short"), 1, controller_class=ReadsTheClock)
     assert "time.time from test_timeline.py" in figures["reached_outside"][0]
     assert emulate(read_day(SHORT, "short"), 1)["reached_outside"] == []
 
@@ -375,7 +375,7 @@
     assert len(small.get("faults", ())) < len(data["faults"]) or small["seconds"] < data["seconds"]
     path = keep(Found(2, "one-attempt", rules["one-attempt"], small, runs), tmp_path / "kept")
     day = read_day(path.read_text(), path.name)
-    assert emulate(day, 2, heart_class=OffersToTwo)["by_rule"]["one-attempt"] > 0
+    assert emulate(day, 2, controller_class=OffersToTwo)["by_rule"]["one-attempt"] > 0
 
 
 def test_time_that_stands_still_is_an_error_with_that_name() -> None:
@@ -467,14 +467,14 @@
         "test",
     )
     assert emulate(day, 1)["violations"] == 0
-    assert emulate(day, 1, heart_class=WRONG["DeafToDrains"])["by_rule"]["drains"]
+    assert emulate(day, 1, controller_class=WRONG["DeafToDrains"])["by_rule"]["drains"]
     crowded = read_day(
         SHORT.replace("machines: 3", "machines: 1")
         + "herds:\n  - {at: 1.0, jobs: 160}\nstalls:\n  - {placer: 0, at: 1.4, lasts: 7}\n",
         "test",
     )
     assert emulate(crowded, 1)["violations"] == 0
-    assert emulate(crowded, 1, heart_class=WRONG["ForgetsToAnswer"])["by_rule"]["one-answer"]
+    assert emulate(crowded, 1, controller_class=WRONG["ForgetsToAnswer"])["by_rule"]["one-answer"]
 
 
 def test_wrong_clocks_change_no_answer() -> None:
@@ -527,7 +527,7 @@
     assert cut_short["open_at_end"] > 10
     whole = read_day(crowded.replace("settle: 1", "settle: 8"), "test")
     assert emulate(whole, 1)["open_at_end"] == 0
-    assert emulate(whole, 1, heart_class=WRONG["ForgetsToAnswer"])["by_rule"]["one-answer"]
+    assert emulate(whole, 1, controller_class=WRONG["ForgetsToAnswer"])["by_rule"]["one-answer"]
 
 
 def test_a_hot_service_gets_its_share_and_heavy_tasks_live_longer() -> None:
@@ -609,7 +609,7 @@
         for stored in service.store.objects(JOBS):
             for task_of in stored.body["status"]["tasks"]:
                 answers[task_of["answer"]] = answers.get(task_of["answer"], 0) + 1
-        assert service.heart.open_tasks == 0
+        assert service.controller.open_tasks == 0
         assert service.http.connections == 0
         await service.close()
         emulation.fleet.close()
--- a/tests/project/test_layers.py
+++ b/tests/project/test_layers.py
@@ -120,7 +120,7 @@
         "timeouts",
     },
     "store": {"objects", "records", "resources", "segments", "watch"},
-    "tracing": {"heart", "spans"},
+    "tracing": {"finished_tasks", "spans"},
     "machine": {
         "admission",
         "grpc_conversion",
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -118,7 +118,7 @@
         uid = tasks[0].uid
         machine = its.fleet.machines[tasks[0].machine]
         machine._exit(uid)
-        await until(lambda: uid not in service.heart._tasks)
+        await until(lambda: uid not in service.controller.context.tasks.by_uid)
 
 
 async def test_a_late_answer_is_given_up_and_the_copy_dealt_with_by_its_effect() -> None:
@@ -132,7 +132,7 @@
         assert len(its.events("start")) == 1
         safe = await placed(client, "web")
         assert safe.answer == "Placed"
-        assert service.heart.open_tasks == 0
+        assert service.controller.open_tasks == 0
 
 
 async def test_given_up_offers_that_have_not_begun_are_dropped_at_the_machine() -> None:
@@ -151,9 +151,9 @@
         task = await placed(client, "web")
         machine = its.fleet.machines[task.machine]
         machine.crash()
-        await until(lambda: task.uid not in service.heart._tasks)
+        await until(lambda: task.uid not in service.controller.context.tasks.by_uid)
         await machine.boot(cold=False)
-        await until(lambda: service.heart.directory.entries[machine.name].state.value == "Ready")
+        await until(lambda: service.controller.registry.entries[machine.name].state.value == "Ready")
         assert (await placed(client, "web")).answer == "Placed"
 
 
@@ -166,9 +166,9 @@
         link._call.cancel()
         await until(lambda: not link._up.is_set())
         its.fleet.machines["n0"]._exit(task.uid)
-        await until(lambda: task.uid not in service.heart._tasks)
+        await until(lambda: task.uid not in service.controller.context.tasks.by_uid)
         assert boot is not None and link._position.resume == (boot[0], boot[1] + 1)
-        job = service.store.find(JOBS, next(iter(service.heart._jobs)))
+        job = service.store.find(JOBS, next(iter(service.controller.context.jobs.by_key)))
         assert job is not None and job.body["status"]["tasks"][0]["state"] == "Ended"
 
 
@@ -191,7 +191,7 @@
 async def test_a_drain_is_kept() -> None:
     async with served(2) as (its, service, client):
         its.fleet.machines["n0"].drain(True)
-        await until(lambda: service.heart.directory.entries["n0"].state.value == "Draining")
+        await until(lambda: service.controller.registry.entries["n0"].state.value == "Draining")
         tasks = await asyncio.gather(*(placed(client) for _ in range(10)))
         assert {task.machine for task in tasks if task.answer == "Placed"} == {"n1"}
 
@@ -203,7 +203,7 @@
         assert {task.machine for task in tasks if task.answer == "Placed"} == {"n1"}
         assert all(task.answer in ("Placed", "Refused") for task in tasks)
         its.fleet.machines["n0"].silence(False)
-        await until(lambda: service.heart.directory.entries["n0"].state.value == "Ready")
+        await until(lambda: service.controller.registry.entries["n0"].state.value == "Ready")
 
 
 async def test_what_is_no_stream_of_a_placer_is_told_so() -> None:
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -24,14 +24,14 @@
 
 
 def state(service: PlacerService, name: str, index: int = 0) -> tuple[str, str | None]:
-    service.heart.flush(service.clock.now())
+    service.controller.flush(service.clock.now())
     tasks = service.store.get(JOBS, ("climate", name)).body["status"]["tasks"]
     task = next(task for task in tasks if task["index"] == index)
     return task["state"], task.get("answer")
 
 
 def task_of(service: PlacerService, name: str) -> Any:
-    service.heart.flush(service.clock.now())
+    service.controller.flush(service.clock.now())
     return service.store.get(JOBS, ("climate", name)).body["status"]["tasks"][0]
 
 
@@ -62,8 +62,8 @@
         if bytes_between_cuts < 1000:  # too little for even one list: nothing can come through yet
             await until(lambda: cutting.connections >= 5)
             cutting.cut_after = 20_000
-        await until(lambda: service.store.count(JOBS) == 12 and service.heart.open_tasks == 0)
-        service.heart.flush(service.clock.now())
+        await until(lambda: service.store.count(JOBS) == 12 and service.controller.open_tasks == 0)
+        service.controller.flush(service.clock.now())
         final = {stored.name: stored.revision for stored in service.store.objects(JOBS)}
 
         def caught_up() -> bool:
@@ -209,7 +209,7 @@
             machine.troubles.reset_share = 1.0
         for n in range(10):
             await client.submit("climate", spec("blend", cores=0.2, memory=0.2), name=f"u{n}")
-        await until(lambda: service.heart.open_tasks == 0)
+        await until(lambda: service.controller.open_tasks == 0)
         assert len(its.events("offer")) == 10
         await until(lambda: all(state(service, f"u{n}")[0] == "Running" for n in range(10)))
         answers = {state(service, f"u{n}")[1] for n in range(10)}
@@ -264,7 +264,8 @@
         await client.delete_job("climate", "a")
         await until(lambda: not any(m.node.tasks for m in its.fleet.machines.values()))
         assert len(its.events("end", cause="stopped")) == 3
-        await until(lambda: service.heart._tasks == {} and service.heart._stops == {})
+        context = service.controller.context
+        await until(lambda: context.tasks.by_uid == {} and len(context.stops) == 0)
 
 
 # ---- Placers that die, and ones that stop -----------------------------------------------------------------
@@ -372,11 +373,11 @@
         whole = path.read_text()
         path.write_text(whole[:-5])
         await service.reload_inventory()
-        assert set(service.heart.directory.entries) == {"n0", "n1", "n2"}
+        assert set(service.controller.registry.entries) == {"n0", "n1", "n2"}
         path.write_text("".join(line for line in whole.splitlines(True) if not line.startswith("n1")))
         await service.reload_inventory()
-        assert service.heart.directory.entries["n1"].removed
-        await until(lambda: "n1" not in service.heart.directory.entries)
+        assert service.controller.registry.entries["n1"].removed
+        await until(lambda: "n1" not in service.controller.registry.entries)
         path.write_text(whole)
         await service.reload_inventory()
         await until(lambda: service.store.find(MACHINES, ("", "n1")) is not None)
--- a/tests/tracing/test_tracing.py
+++ b/tests/tracing/test_tracing.py
@@ -12,12 +12,13 @@
 from click.testing import CliRunner
 
 from kelpfront.cli.main import main
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.job_controller import JobController
 from kelpfront.lab.timeline.emulation import play
 from kelpfront.lab.timeline.script import read_day
 from kelpfront.lab.traces import TracesError, chosen, read_traces, waterfall
-from kelpfront.tracing.export import Tracer
-from kelpfront.tracing.spans import PARENT, Span, parent_of
+from kelpfront.scheduling.actions import Bind
+from kelpfront.tracing.export import Tracer, TracerSettings
+from kelpfront.tracing.spans import PARENT_ANNOTATION, Span, parent_of
 
 DAY = """
 name: traced
@@ -34,9 +35,9 @@
 """
 
 
-def traced(path: Path, heart_class: type[Controller] = Controller, share: float = 1.0) -> Any:
+def traced(path: Path, controller_class: type[JobController] = JobController, share: float = 1.0) -> Any:
     overrides = (f"tracing.file={path}", f"tracing.share={share}")
-    return play(read_day(DAY, "test"), 2, heart_class=heart_class, overrides=overrides)
+    return play(read_day(DAY, "test"), 2, controller_class=controller_class, overrides=overrides)
 
 
 def test_each_task_has_one_trace_and_its_attempts_are_the_offers_that_machines_saw(tmp_path: Path) -> None:
@@ -85,14 +86,20 @@
     assert all(one.parts for one in found)
 
 
-class LosesAttempts(Controller):
+class LosesAttempts(JobController):
     """The record of an attempt is dropped when the next begins."""
 
-    def _bind(self, now: float, bind: Any) -> None:
-        super()._bind(now, bind)
-        task = self._numbers[bind.task]
-        if len(task.attempts) > 1:
-            del task.attempts[0]
+    def __init__(self, *args: Any, **more: Any) -> None:
+        super().__init__(*args, **more)
+        bind_only = self.dispatcher.bind
+
+        def bind_and_lose(now: float, bind: Bind) -> None:
+            bind_only(now, bind)
+            task = self.context.tasks.by_scheduler_id[bind.task]
+            if len(task.attempts) > 1:
+                del task.attempts[0]
+
+        self.dispatcher.bind = bind_and_lose  # type: ignore[method-assign]
 
 
 def test_a_placer_that_loses_the_record_of_an_attempt_is_found(tmp_path: Path) -> None:
@@ -106,8 +113,8 @@
 
 
 def test_an_owners_trace_goes_on_in_the_placers(tmp_path: Path) -> None:
-    tracer = Tracer(tmp_path / "t.jsonl", "p", at_once=True)
-    parent = parent_of({PARENT: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"})
+    tracer = Tracer(tmp_path / "t.jsonl", "p", TracerSettings(synchronous=True))
+    parent = parent_of({PARENT_ANNOTATION: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"})
     tracer.write(Span("task", 1.0, 2.0, {"kelpfront.task": "x"}), parent)
     tracer.write(Span("task", 1.0, 2.0, {"kelpfront.task": "y"}))
     tracer.close()
@@ -132,12 +139,12 @@
     ],
 )
 def test_what_is_no_trace_context_is_none(text: str) -> None:
-    assert parent_of({PARENT: text}) is None
+    assert parent_of({PARENT_ANNOTATION: text}) is None
 
 
 def test_the_file_stays_within_its_bound(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
-    tracer = Tracer(path, "p", most_bytes=5_000, at_once=True)
+    tracer = Tracer(path, "p", TracerSettings(max_bytes=5_000, synchronous=True))
     for number in range(200):
         tracer.write(Span("task", 0.0, 1.0, {"kelpfront.task": str(number)}))
     tracer.close()
@@ -154,7 +161,7 @@
     full = Path("/dev/full")
     if not full.exists():
         pytest.skip("needs /dev/full")
-    tracer = Tracer(full, "p", at_once=True)
+    tracer = Tracer(full, "p", TracerSettings(synchronous=True))
     tracer.write(Span("task", 0.0, 1.0))
     tracer.close()
 
