--- a/tests/tracing/test_tracing.py
+++ b/tests/tracing/test_tracing.py
@@ -72,14 +72,14 @@
         assert all(span.trace == one.root.trace for span in one.parts)
 
 
-def test_writing_traces_changes_no_run_and_they_are_the_same_twice(tmp_path: Path) -> None:
+def test_writing_traces_changes_no_run_and_is_deterministic(tmp_path: Path) -> None:
     without = play(read_day(DAY, "test"), 2).figures["digest"]
     for name in ("a", "b"):
         assert traced(tmp_path / name).figures["digest"] == without
     assert (tmp_path / "a").read_bytes() == (tmp_path / "b").read_bytes()
 
 
-def test_a_share_of_the_tasks_is_traced_whole(tmp_path: Path) -> None:
+def test_a_share_of_the_tasks_has_complete_traces(tmp_path: Path) -> None:
     played = traced(tmp_path / "t.jsonl", share=0.3)
     found = read_traces([tmp_path / "t.jsonl"])
     assert 0.15 < len(found) / played.figures["jobs"] < 0.45
@@ -102,7 +102,7 @@
         self.dispatcher.bind = bind_and_lose  # type: ignore[method-assign]
 
 
-def test_a_placer_that_loses_the_record_of_an_attempt_is_found(tmp_path: Path) -> None:
+def test_a_controller_that_loses_the_record_of_an_attempt_is_detected(tmp_path: Path) -> None:
     played = traced(tmp_path / "t.jsonl", LosesAttempts)
     offers = Counter(line["task"] for line in played.lines if line["ev"] == "offer")
     attempts = {
@@ -112,7 +112,7 @@
     assert any(offers[uid] > count for uid, count in attempts.items())
 
 
-def test_an_owners_trace_goes_on_in_the_placers(tmp_path: Path) -> None:
+def test_the_clients_trace_continues_in_the_controllers(tmp_path: Path) -> None:
     tracer = Tracer(tmp_path / "t.jsonl", "p", TracerSettings(synchronous=True))
     parent = parent_of({PARENT_ANNOTATION: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"})
     tracer.write(Span("task", 1.0, 2.0, {"kelpfront.task": "x"}), parent)
@@ -138,11 +138,11 @@
         "00-xyz7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01",
     ],
 )
-def test_what_is_no_trace_context_is_none(text: str) -> None:
+def test_a_malformed_trace_context_is_ignored(text: str) -> None:
     assert parent_of({PARENT_ANNOTATION: text}) is None
 
 
-def test_the_file_stays_within_its_bound(tmp_path: Path) -> None:
+def test_the_file_stays_within_its_size_limit(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     tracer = Tracer(path, "p", TracerSettings(max_bytes=5_000, synchronous=True))
     for number in range(200):
@@ -157,7 +157,7 @@
     assert kept == list(range(200 - len(kept), 200))
 
 
-def test_a_full_disk_costs_traces_and_nothing_else(tmp_path: Path) -> None:
+def test_a_full_disk_costs_traces_and_nothing_else() -> None:
     full = Path("/dev/full")
     if not full.exists():
         pytest.skip("needs /dev/full")
@@ -166,7 +166,7 @@
     tracer.close()
 
 
-def test_traces_are_drawn_for_people_and_bad_files_named(tmp_path: Path) -> None:
+def test_traces_are_rendered_as_text_and_malformed_files_named(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     traced(path)
     found = read_traces([path])
