--- a/kelpfront/controller/arrivals.py
+++ b/kelpfront/controller/arrivals.py
@@ -15,7 +15,7 @@
 from kelpfront.scheduling.events import TaskArrived
 from kelpfront.timers import Timers
 
-MAX_TASKS_PER_TURN = 8
+MAX_TASKS_PER_BATCH = 8
 """Tasks that are handed over before other work has its turn."""
 LATE_HANDOVER_TICKS = 2
 """Ticks of the timers before its deadline by which a task is handed over, to be answered in time."""
@@ -44,7 +44,7 @@
 
     def ensure_deadline(self, job: Job, added_count: int, deadline: float) -> None:
         """Have tasks that are about to be added handed over before their deadline, whatever is queued."""
-        if added_count + self.pending_count <= MAX_TASKS_PER_TURN:
+        if added_count + self.pending_count <= MAX_TASKS_PER_BATCH:
             return  # their turn comes at once
         due = deadline - LATE_HANDOVER_TICKS * self._tick_ms
         self._timers.set(due, lambda then: self._hand_over_late(then, job))
@@ -63,7 +63,7 @@
     def hand_over_some(self, now: float) -> None:
         """Give the scheduler as many tasks as one turn allows."""
         handed_over = 0
-        while self._queue and handed_over < MAX_TASKS_PER_TURN:
+        while self._queue and handed_over < MAX_TASKS_PER_BATCH:
             task = self._queue.pop()
             if not task.handed_over:
                 self._hand_over(now, task)
--- a/kelpfront/controller/attempts.py
+++ b/kelpfront/controller/attempts.py
@@ -39,7 +39,7 @@
         outcome: for the scheduler.
         text: for clients, as the API shows it.
         reason: for the scheduler, where the machine says why.
-        reason_word: the same by its name in the machines' protocol, for clients.
+        reason_name: the same by its name in the machines' protocol, for clients.
         message: what the machine or the connection said.
         task_finished: whether the task itself is over with it.
     """
@@ -47,7 +47,7 @@
     outcome: AttemptOutcome
     text: str
     reason: OutcomeReason = OutcomeReason.UNSPECIFIED
-    reason_word: str = ""
+    reason_name: str = ""
     message: str = ""
     task_finished: bool = False
 
@@ -197,7 +197,7 @@
     def _record_end(self, now: float, attempt: Attempt, end: AttemptEnd) -> None:
         attempt.ended_at = now
         attempt.end = end.text
-        attempt.reason = end.reason_word
+        attempt.reason = end.reason_name
         attempt.message = end.message
         if attempt.placed:
             return
@@ -209,7 +209,7 @@
             machine=attempt.host,
             attempt=attempt.number,
             end=end.text,
-            reason=end.reason_word,
+            reason=end.reason_name,
         )
 
     def _abandon_if_possibly_executed(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
--- a/kelpfront/controller/degradation.py
+++ b/kelpfront/controller/degradation.py
@@ -99,7 +99,7 @@
                 heartbeat_ages_ms.append(age_ms)
                 if age_ms > OVERDUE_BEATS * entry.heartbeat_ms:
                     room.overdue += entry.host.cores
-        seen = Seen(
+        observed = Seen(
             {name: CapacityView(room.known, room.ready, room.overdue) for name, room in rooms.items()},
             statistics.median(heartbeat_ages_ms) if heartbeat_ages_ms else 0.0,
             self.lag_ms,
@@ -111,7 +111,7 @@
         self.lag_ms = 0.0
         self.busy_ms = 0.0
         self._observed_at = now
-        return seen
+        return observed
 
 
 class DegradationReporter:
@@ -149,22 +149,22 @@
 
     # ---- Work -----------------------------------------------------------------------------------------
 
-    def check_admission(self, now: float, ask: AdmissionRequest, name: str) -> None:
+    def check_admission(self, now: float, request: AdmissionRequest, name: str) -> None:
         """Check that a job is accepted at the present level.
 
         Raises:
             ApiError: 429; nothing of the job went anywhere.
         """
-        turned = self.governor.weigh(now, ask)
-        if turned is not None:
-            cause = Cause(f"level:{self.level.word}", turned.text, turned.reason)
+        rejection = self.governor.weigh(now, request)
+        if rejection is not None:
+            cause = Cause(f"level:{self.level.word}", rejection.text, rejection.reason)
             raise ApiError(
                 429,
-                turned.text,
+                rejection.text,
                 resource=JOBS,
                 name=name,
                 causes=(cause,),
-                retry_after_s=max(1, math.ceil(turned.retry_ms / 1000.0)),
+                retry_after_s=max(1, math.ceil(rejection.retry_ms / 1000.0)),
             )
 
     def on_accepted(self, job: Job, count: int) -> None:
@@ -185,8 +185,8 @@
         if not job.feasible:  # its refusal says nothing of the cluster
             self.governor.withdrawn(job.class_index, job.namespace)
             return
-        tell = self.governor.placed if state is TaskState.PLACED else self.governor.not_placed
-        tell(now, job.class_index, job.namespace, now - task.created_at, job.timeout_ms)
+        record = self.governor.placed if state is TaskState.PLACED else self.governor.not_placed
+        record(now, job.class_index, job.namespace, now - task.created_at, job.timeout_ms)
 
     def on_offer_closed(self, now: float, task: Task, how: AttemptOutcome, reason: OutcomeReason) -> None:
         """An offer was accepted, or its attempt ended."""
@@ -302,15 +302,15 @@
         classes = []
         for number, cls in enumerate(self._classes):
             rank = governor.ranks.of[number]
-            shown: Object = {
+            status: Object = {
                 "name": cls.name,
                 "rank": rank,
                 "essential": governor.ranks.is_essential(number),
                 "waiting": governor.waiting.of_class(number),
             }
             if governor.level is not Level.FULL:
-                shown["places"] = math.ceil(governor.door.places(ladder, rank, pace))
-            classes.append(shown)
+                status["places"] = math.ceil(governor.door.places(ladder, rank, pace))
+            classes.append(status)
         return classes
 
     def _change_status(self, now: float, change: Change) -> Object:
--- a/kelpfront/controller/dispatch.py
+++ b/kelpfront/controller/dispatch.py
@@ -111,9 +111,9 @@
     def _still_sendable(self, now: float, attempt: Attempt) -> bool:
         entry = self._context.registry.entries.get(attempt.host)
         is_usable = entry is not None and entry.state is State.READY
-        held_up_ms = now - attempt.decided_at
+        delay_ms = now - attempt.decided_at
         in_time = now < attempt.timeout_at and now <= attempt.send_deadline
-        return is_usable and in_time and held_up_ms <= self._context.cluster.settings.connect_timeout_ms
+        return is_usable and in_time and delay_ms <= self._context.cluster.settings.connect_timeout_ms
 
     # ---- What came of an offer ------------------------------------------------------------------------
 
@@ -132,7 +132,7 @@
                 self._attempts.close(now, attempt, _rejection(answer))
             case "error":
                 end = AttemptEnd(
-                    AttemptOutcome.ERROR, "error", reason_word=answer.reason, message=answer.message
+                    AttemptOutcome.ERROR, "error", reason_name=answer.reason, message=answer.message
                 )
                 self._attempts.close(now, attempt, end)
         self._endpoints.publish_due(now)
--- a/kelpfront/controller/jobs.py
+++ b/kelpfront/controller/jobs.py
@@ -159,10 +159,10 @@
         class_index = context.cluster.class_numbers[spec.class_]
         feasible = self._is_feasible(class_index, spec)
         remaining_ms = submission.received_at + self.timeout_ms(spec) - now
-        ask = AdmissionRequest(
+        request = AdmissionRequest(
             class_index, submission.namespace, spec.count, remaining_ms, submission.is_retry, feasible
         )
-        context.degradation.check_admission(now, ask, submission.name)
+        context.degradation.check_admission(now, request, submission.name)
         self._check_limits(submission)
         job = self._make_job(submission, class_index, feasible=feasible)
         context.jobs.add(job)
@@ -174,17 +174,17 @@
     def _make_job(self, submission: Submission, class_index: int, *, feasible: bool) -> Job:
         spec = submission.spec
         default_timeout_ms = self._context.cluster.settings.classes[class_index].deadline_ms
-        patience = spec.patience or format_duration(default_timeout_ms)
+        timeout = spec.patience or format_duration(default_timeout_ms)
         return Job(
             submission.namespace,
             submission.name,
             self._new_uid(),
-            _spec_to_api(spec) | {"patience": patience},
+            _spec_to_api(spec) | {"patience": timeout},
             submission.labels,
             submission.annotations,
             submission.received_at,
             class_index,
-            parse_duration(patience),
+            parse_duration(timeout),
             feasible=feasible,
         )
 
@@ -236,10 +236,10 @@
         return context.store.get(JOBS, key)
 
     def _check_added(self, now: float, job: Job, added_count: int) -> None:
-        ask = AdmissionRequest(
+        request = AdmissionRequest(
             job.class_index, job.namespace, added_count, job.timeout_ms, possible=job.feasible
         )
-        self._context.degradation.check_admission(now, ask, job.name)
+        self._context.degradation.check_admission(now, request, job.name)
         open_count = self._context.tasks.open_count
         if open_count + added_count > self._limits.open_tasks:
             raise ApiError(
@@ -289,8 +289,8 @@
 
 
 def _spec_to_api(spec: JobSpec) -> Object:
-    shown: Object = spec.model_dump(by_alias=True, exclude_none=True)
-    return shown
+    body: Object = spec.model_dump(by_alias=True, exclude_none=True)
+    return body
 
 
 def _check_fixed_fields(job: Job, new_spec: Object) -> None:
--- a/kelpfront/controller/machine_registry.py
+++ b/kelpfront/controller/machine_registry.py
@@ -99,7 +99,7 @@
         """The machine's name in the inventory."""
         return self.host.name
 
-    def silent_too_long(self, now: float) -> bool:
+    def missed_too_many_heartbeats(self, now: float) -> bool:
         """Whether it has missed so many heartbeats that it counts as gone."""
         return now - self.last_contact_at >= MAX_MISSED_HEARTBEATS * self.heartbeat_ms
 
@@ -287,7 +287,7 @@
             return State.UNKNOWN, "not heard from yet"
         if entry.disconnected_too_long(now):
             return State.GONE, "no connection"
-        if entry.silent_too_long(now):
+        if entry.missed_too_many_heartbeats(now):
             return State.GONE, f"silent for {MAX_MISSED_HEARTBEATS} heartbeats"
         return None
 
--- a/kelpfront/controller/reconciliation.py
+++ b/kelpfront/controller/reconciliation.py
@@ -6,8 +6,6 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
-
 from kelpfront.controller.attempts import END_MEANINGS, AttemptEnd, AttemptTracker, InstanceEnd
 from kelpfront.controller.context import ControllerContext
 from kelpfront.controller.machine_registry import MachineRecord
@@ -72,16 +70,16 @@
         else:
             self._attempts.close(now, attempt, _end_before_accepted(message))
 
-    def on_status_report(self, now: float, host: str, note: wire.Note) -> None:
+    def on_status_report(self, now: float, host: str, report: wire.Note) -> None:
         """A machine reports how a placed task fares."""
-        attempt = self._context.tasks.find_attempt(note.task, note.attempt)
+        attempt = self._context.tasks.find_attempt(report.task, report.attempt)
         if attempt is None or not attempt.placed or attempt.host != host:
             return
-        topic = STATUS_TOPICS[note.topic]
+        topic = STATUS_TOPICS[report.topic]
         if topic is StatusTopic.SERVICE and not self._context.degradation.measures.moves:
             return  # at this level no task is migrated for faring badly: the scheduler is not told of it
         status = TaskStatusReported(
-            attempt.task.scheduler_id, attempt.scheduler_number, attempt.machine_id, topic, note.value
+            attempt.task.scheduler_id, attempt.scheduler_number, attempt.machine_id, topic, report.value
         )
         self._context.driver.feed(now, status)
 
@@ -131,12 +129,11 @@
 
     def declare_lost(self, now: float, entry: MachineRecord) -> None:
         """Count all that is placed on a machine as lost: it was out of contact for too long."""
-        nothing_held: Mapping[str, wire.TaskReport] = {}
         for task in list(self._context.tasks.by_uid.values()):
             attempt = task.open_attempt
             if attempt is not None and attempt.placed and attempt.host == entry.name:
                 self._attempts.finish(now, attempt, InstanceEnd("lost"))
-        self._context.stops.retain_only(entry.name, nothing_held)
+        self._context.stops.retain_only(entry.name, ())
 
 
 def _end_before_accepted(message: wire.Gone) -> AttemptEnd:
--- a/kelpfront/controller/tasks.py
+++ b/kelpfront/controller/tasks.py
@@ -92,13 +92,13 @@
 
     def to_api(self) -> Object:
         """Return the attempt as the API shows it."""
-        shown: Object = {"attempt": self.number, "machine": self.host, "sentAt": timestamp(self.decided_at)}
+        body: Object = {"attempt": self.number, "machine": self.host, "sentAt": timestamp(self.decided_at)}
         if self.ended_at is not None:
-            shown["endedAt"] = timestamp(self.ended_at)
+            body["endedAt"] = timestamp(self.ended_at)
         for name, value in (("end", self.end), ("reason", self.reason), ("message", self.message)):
             if value:
-                shown[name] = value
-        return shown
+                body[name] = value
+        return body
 
 
 @dataclass(slots=True, eq=False)
@@ -182,7 +182,7 @@
 
     def to_api(self) -> Object:
         """Return the task as the API shows it."""
-        shown: Object = {
+        body: Object = {
             "index": self.index,
             "uid": self.uid,
             "state": self.state.value,
@@ -190,26 +190,26 @@
             "createdAt": timestamp(self.created_at),
         }
         if self.answer is not None:
-            shown["answer"] = self.answer.value
+            body["answer"] = self.answer.value
         if self.found:
-            shown["found"] = True
+            body["found"] = True
         for name, text in (("machine", self.host), ("reason", self.reason)):
             if text:
-                shown[name] = text
+                body[name] = text
         if self.retry_after_ms:
-            shown["retryAfter"] = format_duration(round(self.retry_after_ms))
+            body["retryAfter"] = format_duration(round(self.retry_after_ms))
         if self.exit_code is not None:
-            shown["exitCode"] = self.exit_code
+            body["exitCode"] = self.exit_code
         if self.cpu_s is not None:
-            shown["cpuSeconds"] = round(self.cpu_s, 3)
+            body["cpuSeconds"] = round(self.cpu_s, 3)
         for name, at in (
             ("answeredAt", self.answered_at),
             ("runningAt", self.running_at),
             ("endedAt", self.ended_at),
         ):
             if at is not None:
-                shown[name] = timestamp(at)
-        return shown
+                body[name] = timestamp(at)
+        return body
 
 
 @dataclass(slots=True, eq=False)
