--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -123,7 +123,7 @@
     """Progress may wait for the next publication; an answer must arrive by its deadline."""
     async with cluster(1) as (_, service, client):
         await pin_level(service, "holding")
-        service.heart.flush(service.clock.now())
+        service.controller.flush(service.clock.now())
         observed_states: list[str] = []
         job = await client.submit("climate", spec("blend"), name="a")
 
@@ -225,10 +225,10 @@
 
 async def test_memory_and_timer_lag_are_signals_of_the_process() -> None:
     async with cluster(1, "levels.memory=16 MiB") as (_, service, _client):
-        await until(lambda: service.heart.levelling.sight.memory_share > 1.0)
+        await until(lambda: service.controller.degradation.process_load.memory_share > 1.0)
         await until(lambda: level_name(service) == "holding")
         assert "memory" in level_object(service)["status"]["why"]
-    controller = service.heart.levelling.governor
+    controller = service.controller.degradation.governor
     observation = OverloadObservation(timer_lag_ms=300.0)
     assert controller.signals.readings(controller.elapsed_ms, observation)["lag"] == 300.0
 
@@ -273,7 +273,7 @@
         await asyncio.gather(*work)
         assert admitted
         assert rejected_count
-        await until(lambda: service.heart.open_tasks == 0)
+        await until(lambda: service.controller.open_tasks == 0)
         drain_sent_at = test_cluster.events("told", machine="n0", state="draining")[0]["t"]
         # Flood, machines and placer share this process, so that times are measured with some slack.
         late_offers = [
--- a/tests/project/test_layers.py
+++ b/tests/project/test_layers.py
@@ -130,7 +130,7 @@
         "snapshots",
         "watch",
     },
-    "tracing": {"heart", "spans"},
+    "tracing": {"finished_tasks", "spans"},
     "machine": {
         "admission",
         "grpc_conversion",
--- a/tests/tracing/test_tracing.py
+++ b/tests/tracing/test_tracing.py
@@ -12,12 +12,13 @@
 from click.testing import CliRunner
 
 from kelpfront.cli.main import main
-from kelpfront.controller.controller import Controller
+from kelpfront.controller.job_controller import JobController
 from kelpfront.lab.timeline.emulation import play
 from kelpfront.lab.timeline.script import read_day
 from kelpfront.lab.traces import TracesError, chosen, read_traces, waterfall
-from kelpfront.tracing.export import Tracer
-from kelpfront.tracing.spans import PARENT, Span, parent_of
+from kelpfront.scheduling.actions import Bind
+from kelpfront.tracing.export import Tracer, TracerSettings
+from kelpfront.tracing.spans import PARENT_ANNOTATION, Span, parent_of
 
 DAY = """
 name: traced
@@ -34,9 +35,9 @@
 """
 
 
-def traced(path: Path, heart_class: type[Controller] = Controller, share: float = 1.0) -> Any:
+def traced(path: Path, controller_class: type[JobController] = JobController, share: float = 1.0) -> Any:
     overrides = (f"tracing.file={path}", f"tracing.share={share}")
-    return play(read_day(DAY, "test"), 2, heart_class=heart_class, overrides=overrides)
+    return play(read_day(DAY, "test"), 2, controller_class=controller_class, overrides=overrides)
 
 
 def test_each_task_has_one_trace_and_its_attempts_are_the_offers_that_machines_saw(tmp_path: Path) -> None:
@@ -71,31 +72,37 @@
         assert all(span.trace == one.root.trace for span in one.parts)
 
 
-def test_writing_traces_changes_no_run_and_they_are_the_same_twice(tmp_path: Path) -> None:
+def test_writing_traces_changes_no_run_and_is_deterministic(tmp_path: Path) -> None:
     without = play(read_day(DAY, "test"), 2).figures["digest"]
     for name in ("a", "b"):
         assert traced(tmp_path / name).figures["digest"] == without
     assert (tmp_path / "a").read_bytes() == (tmp_path / "b").read_bytes()
 
 
-def test_a_share_of_the_tasks_is_traced_whole(tmp_path: Path) -> None:
+def test_a_share_of_the_tasks_has_complete_traces(tmp_path: Path) -> None:
     played = traced(tmp_path / "t.jsonl", share=0.3)
     found = read_traces([tmp_path / "t.jsonl"])
     assert 0.15 < len(found) / played.figures["jobs"] < 0.45
     assert all(one.parts for one in found)
 
 
-class LosesAttempts(Controller):
+class LosesAttempts(JobController):
     """The record of an attempt is dropped when the next begins."""
 
-    def _bind(self, now: float, bind: Any) -> None:
-        super()._bind(now, bind)
-        task = self._numbers[bind.task]
-        if len(task.attempts) > 1:
-            del task.attempts[0]
+    def __init__(self, *args: Any, **more: Any) -> None:
+        super().__init__(*args, **more)
+        bind_only = self.dispatcher.bind
 
+        def bind_and_lose(now: float, bind: Bind) -> None:
+            bind_only(now, bind)
+            task = self.context.tasks.by_scheduler_id[bind.task]
+            if len(task.attempts) > 1:
+                del task.attempts[0]
 
-def test_a_placer_that_loses_the_record_of_an_attempt_is_found(tmp_path: Path) -> None:
+        self.dispatcher.bind = bind_and_lose  # type: ignore[method-assign]
+
+
+def test_a_controller_that_loses_the_record_of_an_attempt_is_detected(tmp_path: Path) -> None:
     played = traced(tmp_path / "t.jsonl", LosesAttempts)
     offers = Counter(line["task"] for line in played.lines if line["ev"] == "offer")
     attempts = {
@@ -105,9 +112,9 @@
     assert any(offers[uid] > count for uid, count in attempts.items())
 
 
-def test_an_owners_trace_goes_on_in_the_placers(tmp_path: Path) -> None:
-    tracer = Tracer(tmp_path / "t.jsonl", "p", at_once=True)
-    parent = parent_of({PARENT: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"})
+def test_the_clients_trace_continues_in_the_controllers(tmp_path: Path) -> None:
+    tracer = Tracer(tmp_path / "t.jsonl", "p", TracerSettings(synchronous=True))
+    parent = parent_of({PARENT_ANNOTATION: "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"})
     tracer.write(Span("task", 1.0, 2.0, {"kelpfront.task": "x"}), parent)
     tracer.write(Span("task", 1.0, 2.0, {"kelpfront.task": "y"}))
     tracer.close()
@@ -131,13 +138,13 @@
         "00-xyz7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01",
     ],
 )
-def test_what_is_no_trace_context_is_none(text: str) -> None:
-    assert parent_of({PARENT: text}) is None
+def test_a_malformed_trace_context_is_ignored(text: str) -> None:
+    assert parent_of({PARENT_ANNOTATION: text}) is None
 
 
-def test_the_file_stays_within_its_bound(tmp_path: Path) -> None:
+def test_the_file_stays_within_its_size_limit(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
-    tracer = Tracer(path, "p", most_bytes=5_000, at_once=True)
+    tracer = Tracer(path, "p", TracerSettings(max_bytes=5_000, synchronous=True))
     for number in range(200):
         tracer.write(Span("task", 0.0, 1.0, {"kelpfront.task": str(number)}))
     tracer.close()
@@ -150,16 +157,16 @@
     assert kept == list(range(200 - len(kept), 200))
 
 
-def test_a_full_disk_costs_traces_and_nothing_else(tmp_path: Path) -> None:
+def test_a_full_disk_costs_traces_and_nothing_else() -> None:
     full = Path("/dev/full")
     if not full.exists():
         pytest.skip("needs /dev/full")
-    tracer = Tracer(full, "p", at_once=True)
+    tracer = Tracer(full, "p", TracerSettings(synchronous=True))
     tracer.write(Span("task", 0.0, 1.0))
     tracer.close()
 
 
-def test_traces_are_drawn_for_people_and_bad_files_named(tmp_path: Path) -> None:
+def test_traces_are_rendered_as_text_and_malformed_files_named(tmp_path: Path) -> None:
     path = tmp_path / "t.jsonl"
     traced(path)
     found = read_traces([path])
