--- a/kelpfront/failure_detector/service.py
+++ b/kelpfront/failure_detector/service.py
@@ -82,8 +82,8 @@
             yield
         finally:
             self._follower.stop()
-            await self._connections.close()
             self._transport.close()
+            await self._connections.close()
 
     async def _run_tasks(self, stopping: asyncio.Event) -> None:
         """Run the service's tasks until it is to stop. An error of any of them ends the service."""
