--- a/kelpfront/controller/answers.py
+++ b/kelpfront/controller/answers.py
@@ -26,7 +26,7 @@
         """Move a task to the state that is its answer; a failed task that is found to run keeps its own."""
         context = self._context
         if task.needs_answer:
-            context.tasks.record_answered()
+            context.task_table.record_answered()
             context.degradation.on_answered(now, task, state)
         task.move(now, state)
         context.publisher.job_answered(task.job)
@@ -41,16 +41,16 @@
             retry_after_ms: how long its client should wait before it submits the task again.
         """
         context = self._context
-        task = context.tasks.by_scheduler_id.get(task_id)
+        task = context.task_table.by_scheduler_id.get(task_id)
         if task is None or task.withdrawn or not task.needs_answer:
             return
         task.reason = _reason_of_last_attempt(task)
         task.retry_after_ms = retry_after_ms
         self.answer(now, task, state)
         context.log.info(FINAL_ANSWER_EVENTS[state], task, reason=task.reason)
-        context.jobs.check_finished(now, task.job)
+        context.job_table.check_finished(now, task.job)
         if task.open_attempt is None and not task.possibly_executed:
-            context.tasks.remove(task)
+            context.task_table.remove(task)
         else:
             recheck_at = now + context.cluster.settings.orphan_check_ms
             context.timers.set(recheck_at, lambda then: self._stop_looking(then, task))
@@ -62,7 +62,7 @@
         for attempt in task.attempts:
             if attempt.sent_at is not None and attempt.end not in NOT_EXECUTED_ENDS:
                 self._context.stops.request(attempt.host, task.uid, attempt.number, "given up")
-        self._context.tasks.remove(task)
+        self._context.task_table.remove(task)
 
 
 def _reason_of_last_attempt(task: Task) -> str:
--- a/kelpfront/controller/attempts.py
+++ b/kelpfront/controller/attempts.py
@@ -156,8 +156,8 @@
             meaning.outcome, end.cause, meaning.reason, message=end.message, task_finished=True
         )
         self.close(now, attempt, closed)
-        context.tasks.remove(task)
-        context.jobs.check_finished(now, task.job)
+        context.task_table.remove(task)
+        context.job_table.check_finished(now, task.job)
 
     def _record_final_state(self, now: float, attempt: Attempt, lost_reason: str) -> None:
         task = attempt.task
@@ -192,7 +192,7 @@
         elif orphan is not None:
             context.stops.request(orphan.host, task.uid, orphan.attempt_number, "given up")
         if task.withdrawn:
-            context.tasks.remove(task)
+            context.task_table.remove(task)
 
     def _record_end(self, now: float, attempt: Attempt, end: AttemptEnd) -> None:
         attempt.ended_at = now
--- a/kelpfront/controller/context.py
+++ b/kelpfront/controller/context.py
@@ -30,8 +30,8 @@
         cluster: the settings.
         store: the objects that the API shows.
         registry: the machines.
-        tasks: the index of tasks.
-        jobs: the index of jobs.
+        task_table: the index of tasks.
+        job_table: the index of jobs.
         stops: the requests to machines to stop a task.
         publisher: brings changes to the store.
         degradation: the levels of reduced service.
@@ -44,8 +44,8 @@
     cluster: Cluster
     store: ResourceStore
     registry: MachineRegistry
-    tasks: TaskTable
-    jobs: JobTable
+    task_table: TaskTable
+    job_table: JobTable
     stops: StopRequests
     publisher: StatusPublisher
     degradation: DegradationReporter
--- a/kelpfront/controller/dispatch.py
+++ b/kelpfront/controller/dispatch.py
@@ -52,7 +52,7 @@
     def bind(self, now: float, bind: Bind) -> None:
         """Offer a task to the machine that the scheduler chose."""
         context = self._context
-        task = context.tasks.by_scheduler_id[bind.task]
+        task = context.task_table.by_scheduler_id[bind.task]
         entry = context.registry.by_id[bind.machine]
         number = len(task.attempts)
         attempt = Attempt(
@@ -73,7 +73,7 @@
 
     def cancel(self, now: float, cancel: CancelAttempt) -> None:
         """Give up an attempt that is out."""
-        task = self._context.tasks.by_scheduler_id.get(cancel.task)
+        task = self._context.task_table.by_scheduler_id.get(cancel.task)
         if task is None:
             return
         for attempt in task.attempts:
@@ -84,7 +84,7 @@
 
     def migrate(self, migrate: Migrate) -> None:
         """Stop a placed task, so that its client submits it again for a better place."""
-        task = self._context.tasks.by_scheduler_id.get(migrate.task)
+        task = self._context.task_table.by_scheduler_id.get(migrate.task)
         attempt = None if task is None else task.open_attempt
         if task is not None and attempt is not None and attempt.placed:
             task.reason = MOVED
@@ -99,7 +99,7 @@
         withdrawn, its time is up, its machine drains or is gone, the window of a repeat with an idempotency
         key is over, or the offer was held up for longer than the slow-start slots allow for.
         """
-        attempt = self._context.tasks.find_attempt(task_uid, attempt_number)
+        attempt = self._context.task_table.find_attempt(task_uid, attempt_number)
         if attempt is None or not attempt.is_open or attempt.sent_at is not None:
             return False
         if not self._still_sendable(now, attempt):
@@ -153,7 +153,7 @@
 
     def _find_unanswered(self, task_uid: str, attempt_number: int) -> Attempt | None:
         """Return an attempt that is out; None where the stream told before what the machine holds."""
-        attempt = self._context.tasks.find_attempt(task_uid, attempt_number)
+        attempt = self._context.task_table.find_attempt(task_uid, attempt_number)
         is_out = attempt is not None and attempt.is_open and not attempt.placed
         return attempt if is_out else None
 
--- a/kelpfront/controller/job_controller.py
+++ b/kelpfront/controller/job_controller.py
@@ -106,8 +106,8 @@
         orphans: handles instances that were given up and turn up.
         attempts: records how attempts go.
         dispatcher: sends offers.
-        jobs: carries out what clients want.
-        machines: follows the machines.
+        job_manager: carries out what clients want.
+        machine_monitor: follows the machines.
     """
 
     def __init__(
@@ -135,17 +135,17 @@
         self.orphans = OrphanHandler(context, self.answers)
         self.attempts = AttemptTracker(context, self.answers, self.orphans)
         self.dispatcher = Dispatcher(context, self.attempts, load_reports, endpoints)
-        self.jobs = JobManager(context, self.arrivals, self.attempts, options.limits, new_uid)
-        recovery = TaskRecovery(context, self.jobs, self.orphans)
+        self.job_manager = JobManager(context, self.arrivals, self.attempts, options.limits, new_uid)
+        recovery = TaskRecovery(context, self.job_manager, self.orphans)
         reconciler = Reconciler(context, identity.incarnation, self.attempts, self.orphans, recovery)
-        self.machines = MachineMonitor(context, load_reports, endpoints, reconciler)
+        self.machine_monitor = MachineMonitor(context, load_reports, endpoints, reconciler)
         self._endpoints = endpoints
 
     def _make_context(self, identity: ControllerIdentity, options: ControllerOptions) -> ControllerContext:
         cluster, store = self.cluster, self.store
         registry = MachineRegistry(cluster)
         publisher = StatusPublisher(store, registry)
-        tasks = TaskTable()
+        task_table = TaskTable()
         intents = IntentQueue()
         degradation = DegradationReporter(cluster, store, identity.name, options.levels, identity.seed)
         scheduler = options.scheduler or Scheduler(cluster.settings, identity.seed)
@@ -154,8 +154,8 @@
             cluster=cluster,
             store=store,
             registry=registry,
-            tasks=tasks,
-            jobs=JobTable(store, publisher, tasks, options.limits.finished_jobs),
+            task_table=task_table,
+            job_table=JobTable(store, publisher, task_table, options.limits.finished_jobs),
             stops=StopRequests(identity.name, intents),
             publisher=publisher,
             degradation=degradation,
@@ -180,7 +180,7 @@
     @property
     def open_tasks(self) -> int:
         """How many tasks still need their answer."""
-        return self.context.tasks.open_count
+        return self.context.task_table.open_count
 
     @property
     def pending_count(self) -> int:
@@ -189,34 +189,34 @@
 
     def longest_remaining_ms(self, now: float) -> float:
         """Return how long until the last open task has its deadline; 0 where none is open."""
-        return self.context.tasks.longest_remaining_ms(now)
+        return self.context.task_table.longest_remaining_ms(now)
 
     # ---- Jobs -----------------------------------------------------------------------------------------
 
     def timeout_ms(self, spec: JobSpec) -> float:
         """Return how long a job's client waits for an answer."""
-        return self.jobs.timeout_ms(spec)
+        return self.job_manager.timeout_ms(spec)
 
     def check_spec(self, name: str, spec: JobSpec) -> None:
         """Check that the job can be one of this cluster; ApiError 422 where it cannot."""
-        self.jobs.check_spec(name, spec)
+        self.job_manager.check_spec(name, spec)
 
     def find_by_client_token(self, namespace: str, token: str) -> Stored | None:
         """Return the job that was made with a client's token; None where there is none."""
-        job = self.context.jobs.find_by_token(namespace, token)
+        job = self.context.job_table.find_by_token(namespace, token)
         return None if job is None else self.store.find(JOBS, job.key)
 
     def submit(self, now: float, submission: Submission) -> Stored:
         """Accept a job: each of its tasks is owed one answer. ApiError where it is not accepted."""
-        return self.jobs.submit(now, submission)
+        return self.job_manager.submit(now, submission)
 
     def update(self, now: float, key: tuple[str, str], update: JobUpdate) -> Stored:
         """Change a job's labels, annotations or count. ApiError where this is not accepted."""
-        return self.jobs.update(now, key, update)
+        return self.job_manager.update(now, key, update)
 
     def delete(self, now: float, key: tuple[str, str]) -> Stored:
         """Remove a job and withdraw its tasks; nothing more is owed for them."""
-        return self.jobs.delete(now, key)
+        return self.job_manager.delete(now, key)
 
     def record_early_rejection(self, now: float, count: int, *, is_retry: bool) -> None:
         """Tasks were rejected before they came here: a sign of what is wanted, the first time."""
@@ -246,11 +246,11 @@
 
     def apply_inventory(self, now: float, inventory: Inventory) -> None:
         """Take over the machines that there are from now on."""
-        self.machines.apply_inventory(now, inventory)
+        self.machine_monitor.apply_inventory(now, inventory)
 
     def cordon(self, now: float, host: str, *, unschedulable: bool) -> Stored:
         """Drain a machine by its operator's word, or take that back."""
-        return self.machines.cordon(now, host, unschedulable=unschedulable)
+        return self.machine_monitor.cordon(now, host, unschedulable=unschedulable)
 
     def on_link_down(self, now: float, host: str) -> None:
         """A machine's stream broke."""
@@ -258,7 +258,7 @@
 
     def on_machine_message(self, now: float, host: str, message: wire.StreamMessage) -> None:
         """A message of a machine's stream, in the order of the stream."""
-        self.machines.on_message(now, host, message)
+        self.machine_monitor.on_message(now, host, message)
 
     def on_stop_confirmed(self, host: str, task_uid: str) -> None:
         """The machine has received that a task is no longer wanted."""
@@ -266,7 +266,7 @@
 
     def on_health_check(self, now: float, host: str, result: HealthCheckResult) -> None:
         """A health check was answered, or was not answered in time."""
-        self.machines.on_health_check(now, host, result)
+        self.machine_monitor.on_health_check(now, host, result)
 
     # ---- The scheduler's decisions --------------------------------------------------------------------
 
@@ -329,7 +329,7 @@
         self._endpoints.publish_due(now)
 
     def _check(self, now: float) -> None:
-        self.machines.advance(now)
+        self.machine_monitor.advance(now)
         self.context.publisher.refresh_machines(now, self.degradation.measures.background)
         open_share = self.open_tasks / self._limits.open_tasks
         self.context.intents.extend(self.degradation.observe(now, self.registry, open_share))
--- a/kelpfront/controller/jobs.py
+++ b/kelpfront/controller/jobs.py
@@ -128,7 +128,7 @@
         return self._context.registry.any_fits(kind, cores, memory)
 
     def _check_limits(self, submission: Submission) -> None:
-        open_count = self._context.tasks.open_count
+        open_count = self._context.task_table.open_count
         if open_count + submission.spec.count > self._limits.open_tasks:
             raise ApiError(
                 429,
@@ -137,7 +137,7 @@
                 name=submission.name,
                 retry_after_s=RETRY_AFTER_LIMIT_S,
             )
-        if self._context.jobs.unfinished_count >= self._limits.jobs:
+        if self._context.job_table.unfinished_count >= self._limits.jobs:
             raise ApiError(
                 429,
                 f"{self._limits.jobs} jobs are not finished, which is the most",
@@ -165,7 +165,7 @@
         context.degradation.check_admission(now, request, submission.name)
         self._check_limits(submission)
         job = self._make_job(submission, class_index, feasible=feasible)
-        context.jobs.add(job)
+        context.job_table.add(job)
         self._add_tasks(job, spec.count, submission.received_at)
         self._arrivals.hand_over_some(now)
         context.publisher.discard_job(job)  # what is decided by now is in what is published first
@@ -195,10 +195,10 @@
         for _ in range(count):
             index = job.next_index
             job.next_index += 1
-            scheduler_id = context.tasks.next_scheduler_id()
+            scheduler_id = context.task_table.next_scheduler_id()
             task = Task(job, index, f"{job.uid}-{index}", scheduler_id, received_at, deadline)
             job.add(task)
-            context.tasks.add(task)
+            context.task_table.add(task)
             self._arrivals.push(task)
         context.degradation.on_accepted(job, count)
 
@@ -211,7 +211,7 @@
             ApiError: the change is not accepted, and nothing was changed.
         """
         context = self._context
-        job = context.jobs.by_key[key]
+        job = context.job_table.by_key[key]
         new_spec = _spec_to_api(update.spec)
         new_spec.setdefault("patience", job.spec["patience"])
         _check_fixed_fields(job, new_spec)
@@ -224,12 +224,12 @@
             job.spec = new_spec
             job.generation += 1
         if added_count > 0:
-            context.jobs.mark_active(job)
+            context.job_table.mark_active(job)
             job.finished_at = None
             self._add_tasks(job, added_count, update.received_at)
         else:
             self._withdraw_newest(now, job, -added_count)
-        context.jobs.check_finished(now, job)
+        context.job_table.check_finished(now, job)
         context.publisher.job_changed(job)
         self._arrivals.hand_over_some(now)
         context.publisher.flush(now)
@@ -240,7 +240,7 @@
             job.class_index, job.namespace, added_count, job.timeout_ms, possible=job.feasible
         )
         self._context.degradation.check_admission(now, request, job.name)
-        open_count = self._context.tasks.open_count
+        open_count = self._context.task_table.open_count
         if open_count + added_count > self._limits.open_tasks:
             raise ApiError(
                 429, f"{open_count} tasks wait for their answer", retry_after_s=RETRY_AFTER_LIMIT_S
@@ -257,12 +257,12 @@
     def delete(self, now: float, key: tuple[str, str]) -> Stored:
         """Remove a job and withdraw its tasks; nothing more is owed for them."""
         context = self._context
-        job = context.jobs.by_key[key]
+        job = context.job_table.by_key[key]
         context.publisher.flush(now)
         job.deleted = True
         for task in list(job.tasks.values()):
             self.withdraw(now, task)
-        context.jobs.forget(job)
+        context.job_table.forget(job)
         return context.store.delete(JOBS, key)
 
     def withdraw(self, now: float, task: Task) -> None:
@@ -271,7 +271,7 @@
             return
         context = self._context
         if task.needs_answer:
-            context.tasks.record_answered()
+            context.task_table.record_answered()
             context.degradation.on_withdrawn(task.job)
         task.withdrawn = True
         if task.handed_over:
@@ -285,7 +285,7 @@
             end = AttemptEnd(AttemptOutcome.CANCELLED, "withdrawn", task_finished=True)
             self._attempts.close(now, attempt, end)
         if task.open_attempt is None:
-            context.tasks.remove(task)
+            context.task_table.remove(task)
 
 
 def _spec_to_api(spec: JobSpec) -> Object:
--- a/kelpfront/controller/orphans.py
+++ b/kelpfront/controller/orphans.py
@@ -85,7 +85,7 @@
     def on_found(self, now: float, host: str, task_uid: str, attempt_number: int) -> None:
         """A machine holds an instance that was given up, or that nobody here knows."""
         context = self._context
-        task = context.tasks.by_uid.get(task_uid)
+        task = context.task_table.by_uid.get(task_uid)
         if task is None:
             context.stops.request(host, task_uid, attempt_number, "no longer wanted")
             return
@@ -116,7 +116,7 @@
 
     def adopt_anew(self, now: float, task: Task, entry: MachineRecord, attempt_number: int) -> None:
         """Adopt a running instance of a task that the scheduler had before and has no more."""
-        self._context.tasks.renumber(task)
+        self._context.task_table.renumber(task)
         self.adopt(now, task, entry, attempt_number, running=True)
 
     def adopt(
@@ -125,7 +125,7 @@
         """Make an instance that a machine holds the placed task, and tell the scheduler that it was found."""
         context = self._context
         self._reopen_attempt(now, task, entry, attempt_number)
-        context.jobs.mark_active(task.job)
+        context.job_table.mark_active(task.job)
         entry.task_count += 1
         task.host = entry.name
         if task.state is not TaskState.PLACED:
--- a/kelpfront/controller/reconciliation.py
+++ b/kelpfront/controller/reconciliation.py
@@ -46,7 +46,7 @@
 
     def on_taken(self, now: float, host: str, message: wire.Taken) -> None:
         """A machine holds an attempt: the answer to its offer, the news that it runs, or an orphan."""
-        attempt = self._context.tasks.find_attempt(message.task, message.attempt)
+        attempt = self._context.task_table.find_attempt(message.task, message.attempt)
         if attempt is not None and attempt.is_open and attempt.host == host:
             self._attempts.accept(now, attempt, running=message.running)
         else:
@@ -56,7 +56,7 @@
         """A machine holds an attempt no more."""
         context = self._context
         context.stops.confirm(host, message.task)
-        task = context.tasks.by_uid.get(message.task)
+        task = context.task_table.by_uid.get(message.task)
         if task is None:
             return
         if task.orphan == (host, message.attempt):
@@ -72,7 +72,7 @@
 
     def on_status_report(self, now: float, host: str, report: wire.Note) -> None:
         """A machine reports how a placed task fares."""
-        attempt = self._context.tasks.find_attempt(report.task, report.attempt)
+        attempt = self._context.task_table.find_attempt(report.task, report.attempt)
         if attempt is None or not attempt.placed or attempt.host != host:
             return
         topic = STATUS_TOPICS[report.topic]
@@ -88,7 +88,7 @@
     def on_snapshot(self, now: float, entry: MachineRecord, snapshot: wire.Snapshot) -> None:
         """A machine reports all that it holds of this controller's."""
         reports = {report.offer.task: report for report in snapshot.tasks}
-        for task in list(self._context.tasks.by_uid.values()):
+        for task in list(self._context.task_table.by_uid.values()):
             attempt = task.open_attempt
             if attempt is not None and attempt.host == entry.name:
                 self._reconcile_attempt(now, attempt, reports.get(task.uid))
@@ -117,8 +117,8 @@
         offer = report.offer
         if report.phase == "ended":
             context.stops.confirm(entry.name, offer.task)
-        elif offer.task in context.tasks.by_uid:
-            attempt = context.tasks.find_attempt(offer.task, offer.attempt)
+        elif offer.task in context.task_table.by_uid:
+            attempt = context.task_table.find_attempt(offer.task, offer.attempt)
             is_open = attempt is not None and attempt.is_open
             if report.phase != "waiting" and not is_open:
                 self._orphans.on_found(now, entry.name, offer.task, offer.attempt)
@@ -129,7 +129,7 @@
 
     def declare_lost(self, now: float, entry: MachineRecord) -> None:
         """Count all that is placed on a machine as lost: it was out of contact for too long."""
-        for task in list(self._context.tasks.by_uid.values()):
+        for task in list(self._context.task_table.by_uid.values()):
             attempt = task.open_attempt
             if attempt is not None and attempt.placed and attempt.host == entry.name:
                 self._attempts.finish(now, attempt, InstanceEnd("lost"))
--- a/kelpfront/controller/recovery.py
+++ b/kelpfront/controller/recovery.py
@@ -37,7 +37,7 @@
             fields = {"task": offer.task, "machine": entry.name, "class": offer.cls}
             context.intents.append(LogLine("warning", "found task of an unknown class", fields))
             return
-        job = context.jobs.by_key.get((offer.job.namespace, offer.job.name))
+        job = context.job_table.by_key.get((offer.job.namespace, offer.job.name))
         if job is not None and job.uid != offer.job.uid and not self._replace_unsent(now, job, offer.job):
             context.stops.request(entry.name, offer.task, offer.attempt, "asked for anew")
             return
@@ -63,18 +63,18 @@
         context = self._context
         job = restore_job(context.cluster, class_index, offer, now)
         context.store.create(JOBS, job.key, job.to_api())
-        context.jobs.add(job)
+        context.job_table.add(job)
         return job
 
     def _add_task(self, now: float, job: Job, offer: wire.Offer) -> Task:
         """Add the found task. It has no answer here: the earlier incarnation may have given it."""
         context = self._context
-        scheduler_id = context.tasks.next_scheduler_id()
+        scheduler_id = context.task_table.next_scheduler_id()
         index = offer.job.index
         task = Task(job, index, offer.task, scheduler_id, now, math.inf, TaskState.PLACED)
         task.found = True
         task.handed_over = True
         job.add(task)
         job.next_index = max(job.next_index, index + 1)
-        context.tasks.add(task)
+        context.task_table.add(task)
         return task
--- a/kelpfront/lab/timeline/emulation.py
+++ b/kelpfront/lab/timeline/emulation.py
@@ -92,7 +92,7 @@
         overrides: Sequence[str] = (),
     ) -> None:
         """`overrides` are SECTION.KEY=VALUE, put over the day's settings."""
-        self._heart_class, self._overrides = controller_class, tuple(overrides)
+        self._controller_class, self._overrides = controller_class, tuple(overrides)
         self.day, self.seed, self.loop, self.network = day, seed, loop, network
         self.rng = random.Random(f"emulation/{seed}")
         self.epoch_s = EPOCH_S
@@ -181,7 +181,7 @@
                 self.inventory,
                 seed=self.rng.getrandbits(32),
                 clock=self._clock(self.skews.get(placer.name, 0.0)),
-                controller_class=self._heart_class,
+                controller_class=self._controller_class,
                 stopwatch=self.loop.time,
                 threads=False,
             )
--- a/kelpfront/lab/wrongplacers.py
+++ b/kelpfront/lab/wrongplacers.py
@@ -87,7 +87,7 @@
 
         def bind_twice(now: float, bind: Bind) -> None:
             bind_once(now, bind)
-            task = self.context.tasks.by_scheduler_id[bind.task]
+            task = self.context.task_table.by_scheduler_id[bind.task]
             first = task.attempts[-1]
             other = next(e for e in self.registry.entries.values() if e.name != first.host)
             second = Attempt(task, 9, 9, other.name, other.machine_id, now, first.timeout_at)
@@ -174,7 +174,7 @@
 
     def clear_to_send(self, now: float, task_uid: str, attempt_number: int) -> bool:
         cleared = super().clear_to_send(now, task_uid, attempt_number)
-        attempt = self.context.tasks.find_attempt(task_uid, attempt_number)
+        attempt = self.context.task_table.find_attempt(task_uid, attempt_number)
         if cleared and attempt is not None:
             attempt.sent_at = None
         return cleared
@@ -226,7 +226,7 @@
     """Rule 3: right before the first byte a machine that drains is taken as usable."""
 
     def clear_to_send(self, now: float, task_uid: str, attempt_number: int) -> bool:
-        attempt = self.context.tasks.find_attempt(task_uid, attempt_number)
+        attempt = self.context.task_table.find_attempt(task_uid, attempt_number)
         entry = None if attempt is None else self.registry.entries.get(attempt.host)
         if entry is None or entry.state is not State.DRAINING:
             return super().clear_to_send(now, task_uid, attempt_number)
@@ -329,7 +329,7 @@
     """Rule 1: the gate does not ask whether the task still waits, nor whether its time is up."""
 
     def clear_to_send(self, now: float, task_uid: str, attempt_number: int) -> bool:
-        attempt = self.context.tasks.find_attempt(task_uid, attempt_number)
+        attempt = self.context.task_table.find_attempt(task_uid, attempt_number)
         if attempt is None:
             return False
         if attempt.sent_at is None:
--- a/kelpfront/tracing/finished_tasks.py
+++ b/kelpfront/tracing/finished_tasks.py
@@ -26,4 +26,4 @@
     def on_removed(task: Task) -> None:
         sink(trace_of(task, controller.name, now()), parent_of(task.job.annotations))
 
-    controller.context.tasks.on_removed = on_removed
+    controller.context.task_table.on_removed = on_removed
--- a/tests/controller/test_controller_jobs.py
+++ b/tests/controller/test_controller_jobs.py
@@ -30,8 +30,8 @@
     driver.advance(10_000.0)
     assert driver.controller.open_tasks == 0
     assert driver.store.count(JOBS) == 0
-    assert driver.controller.context.tasks.by_uid == {}
-    assert driver.controller.context.tasks.by_scheduler_id == {}
+    assert driver.controller.context.task_table.by_uid == {}
+    assert driver.controller.context.task_table.by_scheduler_id == {}
 
 
 def test_a_change_of_count_adds_and_withdraws_tasks_and_nothing_else_changes() -> None:
@@ -97,7 +97,8 @@
     driver.advance(10_000.0)
     assert driver.job()["metadata"]["uid"] == first["metadata"]["uid"]
     assert (
-        len(driver.controller.context.tasks.by_uid) + len(driver.controller.context.tasks.by_scheduler_id)
+        len(driver.controller.context.task_table.by_uid)
+        + len(driver.controller.context.task_table.by_scheduler_id)
         <= 2
     )
     assert {sent.offer.task for sent in driver.of(SendOffer)} == {first["status"]["tasks"][0]["uid"]}
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -118,7 +118,7 @@
         uid = tasks[0].uid
         machine = its.fleet.machines[tasks[0].machine]
         machine._exit(uid)
-        await until(lambda: uid not in service.controller.context.tasks.by_uid)
+        await until(lambda: uid not in service.controller.context.task_table.by_uid)
 
 
 async def test_a_late_answer_is_given_up_and_the_copy_dealt_with_by_its_effect() -> None:
@@ -151,7 +151,7 @@
         task = await placed(client, "web")
         machine = its.fleet.machines[task.machine]
         machine.crash()
-        await until(lambda: task.uid not in service.controller.context.tasks.by_uid)
+        await until(lambda: task.uid not in service.controller.context.task_table.by_uid)
         await machine.boot(cold=False)
         await until(lambda: service.controller.registry.entries[machine.name].state.value == "Ready")
         assert (await placed(client, "web")).answer == "Placed"
@@ -166,9 +166,9 @@
         link._call.cancel()
         await until(lambda: not link._up.is_set())
         its.fleet.machines["n0"]._exit(task.uid)
-        await until(lambda: task.uid not in service.controller.context.tasks.by_uid)
+        await until(lambda: task.uid not in service.controller.context.task_table.by_uid)
         assert boot is not None and link._position.resume == (boot[0], boot[1] + 1)
-        job = service.store.find(JOBS, next(iter(service.controller.context.jobs.by_key)))
+        job = service.store.find(JOBS, next(iter(service.controller.context.job_table.by_key)))
         assert job is not None and job.body["status"]["tasks"][0]["state"] == "Ended"
 
 
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -265,7 +265,7 @@
         await until(lambda: not any(m.node.tasks for m in its.fleet.machines.values()))
         assert len(its.events("end", cause="stopped")) == 3
         context = service.controller.context
-        await until(lambda: context.tasks.by_uid == {} and len(context.stops) == 0)
+        await until(lambda: context.task_table.by_uid == {} and len(context.stops) == 0)
 
 
 # ---- Placers that die, and ones that stop -----------------------------------------------------------------
--- a/tests/tracing/test_tracing.py
+++ b/tests/tracing/test_tracing.py
@@ -95,7 +95,7 @@
 
         def bind_and_lose(now: float, bind: Bind) -> None:
             bind_only(now, bind)
-            task = self.context.tasks.by_scheduler_id[bind.task]
+            task = self.context.task_table.by_scheduler_id[bind.task]
             if len(task.attempts) > 1:
                 del task.attempts[0]
 
