--- a/tests/controller/test_controller_jobs.py
+++ b/tests/controller/test_controller_jobs.py
@@ -96,11 +96,8 @@
         driver.submit()
     driver.advance(10_000.0)
     assert driver.job()["metadata"]["uid"] == first["metadata"]["uid"]
-    assert (
-        len(driver.controller.context.task_table.by_uid)
-        + len(driver.controller.context.task_table.by_scheduler_id)
-        <= 2
-    )
+    task_table = driver.controller.context.task_table
+    assert len(task_table.by_uid) + len(task_table.by_scheduler_id) <= 2
     assert {sent.offer.task for sent in driver.of(SendOffer)} == {first["status"]["tasks"][0]["uid"]}
 
 
