--- a/kelpfront/scheduling/health_checks.py
+++ b/kelpfront/scheduling/health_checks.py
@@ -29,6 +29,8 @@
 """What waits there may go elsewhere; one missed check may be one lost message."""
 MISSED_CHECKS_BEFORE_LOST = 3
 """What runs there is lost, without waiting for the endpoint list to say so."""
+LAST_CHECKS_MS = MISSED_CHECKS_BEFORE_LOST * HEALTH_CHECK_TIMEOUT_MS
+"""The time that the checks before a loss take."""
 
 
 class HealthChecks:
@@ -62,12 +64,14 @@
     def on_scan_timer(self) -> None:
         """Check the machines that hold attempts and have been silent for too long."""
         self._is_scan_scheduled = False
+        now = self._context.now
         holding = [m for m in self._fleet.machines.values() if m.open_attempts]
         for machine in holding:
+            if machine.is_being_checked or now < self._check_due_at(machine):
+                continue
             if self._are_checks_over_budget():
                 break
-            if not machine.is_being_checked and self._context.now >= self._check_due_at(machine):
-                self._check(machine)
+            self._check(machine)
         if holding:
             self.schedule_scan()
 
@@ -125,8 +129,7 @@
             return machine.silent_since + MACHINE_LOST_AFTER_MS - HEALTH_CHECK_TIMEOUT_MS
         # Not each second: all machines hold tasks of each placer, and sixteen placers sent more health checks
         # than offers.
-        last_checks_ms = MISSED_CHECKS_BEFORE_LOST * HEALTH_CHECK_TIMEOUT_MS
-        latest = machine.silent_since + MACHINE_LOST_AFTER_MS - last_checks_ms - SCAN_INTERVAL_MS
+        latest = machine.silent_since + MACHINE_LOST_AFTER_MS - LAST_CHECKS_MS - SCAN_INTERVAL_MS
         if not machine.unaccepted_count:
             return latest
         unaccepted_since = [a.sent_at for a in machine.open_attempts.values() if not a.is_accepted]
--- a/kelpfront/scheduling/model.py
+++ b/kelpfront/scheduling/model.py
@@ -154,10 +154,10 @@
     def silent_since(self) -> float:
         """When it was last in contact, or last observed where an observation counts as a health check."""
         last_contact_at = self.last_contact_at
-        is_check_required = self.check_required_from > max(last_contact_at, self.last_check_ended_at)
-        if self.last_observed_at <= last_contact_at or is_check_required:
+        if self.last_observed_at <= last_contact_at:
             return last_contact_at
-        return self.last_observed_at
+        is_check_required = self.check_required_from > max(last_contact_at, self.last_check_ended_at)
+        return last_contact_at if is_check_required else self.last_observed_at
 
     def record_observation(self, now: float, observed_at: float, *, check_anyway: bool) -> None:
         """Add that a failure detector had an answer to what it sent at `observed_at` or later."""
