--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -138,6 +138,7 @@
         after = more.pop("after", 0.0)
         timeout_ms = more.pop("timeout_ms", 4000.0)
         memory = more.pop("memory", 1.5)
+        assert not more, more
         return self.send(TaskArrived(task, cls, service, cores, memory, timeout_ms), after)
 
     def bind(self, task: int, **more: Any) -> int:
@@ -155,6 +156,7 @@
     ) -> list[SchedulerAction]:
         after = more.pop("after", 0.0)
         task_finished = more.pop("task_finished", False)
+        assert not more, more
         return self.send(AttemptClosed(task, attempt, machine, outcome, reason, task_finished, 5.0), after)
 
     def report_load(self, machine: int, load: LoadReport) -> list[SchedulerAction]:
@@ -194,9 +196,10 @@
 
 
 def crowded_settings(**changes: Any) -> SchedulerSettings:
-    """No machine serves in full, so the least-loaded pick decides; one placer, and sizes that make g least.
+    """Settings with which no machine serves in full, so that the least loaded safe machine is chosen.
 
-    The class is above the lowest priority, so it does not wait for room by use.
+    One placer and its sizes make the guardrails as tight as they get. The class is above the lowest priority,
+    so it does not wait for capacity by use.
     """
     classes = task_class(full_service_utilization=0.01, degradation_range=0.0), task_class(priority=0)
     plain = settings(*classes, replica_count=1, **changes)
--- a/tests/scheduling/test_scheduling_placement.py
+++ b/tests/scheduling/test_scheduling_placement.py
@@ -42,12 +42,12 @@
 
 
 def test_independent_placers_choose_the_same_preferred_machine() -> None:
-    homes = set()
-    for me in range(3):
-        driver = Driver(settings(replica_index=me), seed=me)
+    chosen = set()
+    for index in range(3):
+        driver = Driver(settings(replica_index=index), seed=index)
         driver.listing(*(machine(n, free_cores=28.0, free_memory=48.0) for n in range(6)))
-        homes.add(driver.bind(1, service=9))
-    assert len(homes) == 1
+        chosen.add(driver.bind(1, service=9))
+    assert len(chosen) == 1
 
 
 def test_only_tasks_of_the_lowest_priority_wait_where_they_would_crowd_a_machine() -> None:
--- a/tests/scheduling/test_scheduling_slow_start.py
+++ b/tests/scheduling/test_scheduling_slow_start.py
@@ -1,7 +1,7 @@
-"""What all placers together may send to a machine that is cold, over any window of the told length.
+"""What all placers together may offer to a warming machine, over any window of the settings' length.
 
-Many schedulers are driven by one virtual time, each by its own clock, and always have more work than they may
-send. An offer counts anywhere between its bind and the last instant at which it may still be written.
+Many schedulers run on one virtual time, each by its own clock, and always have more work than they may
+offer. An offer counts anywhere between its bind and the last instant at which it may still be written.
 """
 
 from __future__ import annotations
@@ -44,16 +44,16 @@
 
 
 class WarmingFleet:
-    """Placers and the offers that each machine may see, as the first and last instant of each."""
+    """Placers, and for each machine the first and last instant of each offer."""
 
     def __init__(
-        self, placers: int, budget: float, warming: tuple[Endpoint, ...] = (), indexes: range | None = None
+        self, placers: int, limit: float, warming: tuple[Endpoint, ...] = (), indexes: range | None = None
     ) -> None:
         base = settings(replica_count=placers, connect_timeout_ms=CONNECT)
-        rules = replace(base.slow_start, window_ms=WINDOW, max_offers_per_window=budget, duration_ms=1e9)
+        rules = replace(base.slow_start, window_ms=WINDOW, max_offers_per_window=limit, duration_ms=1e9)
         self.settings = replace(base, slow_start=rules)
         self.listed = warming or (machine(IDENT, started_at=BEGIN - 10.0),)
-        self.budget = budget
+        self.limit = limit
         self.indexes = indexes or range(placers)
         self.schedulers = {placer: self.start(placer) for placer in self.indexes}
         self.clock_ahead_ms = dict.fromkeys(self.indexes, 0.0)  # of each placer's clock, in milliseconds
@@ -100,8 +100,8 @@
         return max((max_in_a_window(offers) for offers in self.offers.values()), default=0)
 
     def excess(self) -> float:
-        """Of the worst window over the budget, in roots of the budget."""
-        return (self.worst() - self.budget) / math.sqrt(self.budget)
+        """The excess of the worst window over the limit, in square roots of the limit."""
+        return (self.worst() - self.limit) / math.sqrt(self.limit)
 
 
 def max_in_a_window(offers: list[tuple[float, float]]) -> int:
@@ -114,8 +114,8 @@
     return most
 
 
-def allowed_by_chance(budget: float) -> float:
-    return budget + 2 * math.sqrt(budget) + 2
+def allowed_by_chance(limit: float) -> float:
+    return limit + 2 * math.sqrt(limit) + 2
 
 
 def slot_ms() -> float:
@@ -123,7 +123,7 @@
 
 
 def instants(slots: int, pivot: int, chance: random.Random | None = None) -> Callable[[], list[float]]:
-    """One instant in each slot: the last one before the pivot and the first from it on, or any."""
+    """One instant in each slot: its end before the pivot and its start from there on, or any."""
     begin = math.ceil(BEGIN / slot_ms()) + 1
 
     def draw() -> list[float]:
@@ -136,42 +136,42 @@
 
 
 def spend_all(fleet: WarmingFleet, draw: Callable[[], list[float]]) -> None:
-    """Each placer spends what it may once in each of its slots, in the order of time."""
+    """Each placer offers all that it may once in each of its slots, in the order of time."""
     slots = [(at - fleet.clock_ahead_ms[placer], placer) for placer in fleet.indexes for at in draw()]
     for at, placer in sorted(slots):
         fleet.spend(placer, at)
 
 
-BUDGETS = st.sampled_from([1, 2, 3, 5, 9, 10, 20, 30, 57, 120, 250])
+LIMITS = st.sampled_from([1, 2, 3, 5, 9, 10, 20, 30, 57, 120, 250])
 PLACERS = st.sampled_from([3, 20, 30, 60])
 
 
 @runs(max_examples=60)
-@given(PLACERS, BUDGETS, st.integers(0, 2**48), st.integers(1, 12), st.integers(0, 2**32))
+@given(PLACERS, LIMITS, st.integers(0, 2**48), st.integers(1, 12), st.integers(0, 2**32))
 def test_no_window_exceeds_the_limit_though_connections_are_late_and_clocks_differ(
-    placers: int, budget: int, ident: int, pivot: int, seed: int
+    placers: int, limit: int, ident: int, pivot: int, seed: int
 ) -> None:
-    """Guards against offers that wait for a connection until their time-out, and go out in a later slot."""
+    """Guards against offers that wait for a connection until their time-out, and are sent in a later slot."""
     chance = random.Random(seed)
-    fleet = WarmingFleet(placers, budget, (machine(ident, started_at=BEGIN - 10.0),))
+    fleet = WarmingFleet(placers, limit, (machine(ident, started_at=BEGIN - 10.0),))
     for placer in fleet.indexes:
         fleet.clock_ahead_ms[placer] = chance.choice([0.0, CONNECT / 2, chance.uniform(0.0, CONNECT / 2)])
         fleet.list_machines(placer, BEGIN)
     spend_all(fleet, instants(13, pivot, chance))
-    assert fleet.worst() <= budget
+    assert fleet.worst() <= limit
 
 
 @runs(max_examples=60)
-@given(PLACERS, BUDGETS, st.integers(1, 12), st.integers(0, 2**32))
+@given(PLACERS, LIMITS, st.integers(1, 12), st.integers(0, 2**32))
 def test_no_window_exceeds_the_limit_though_placers_restart_and_the_machine_is_relisted(
-    placers: int, budget: int, pivot: int, seed: int
+    placers: int, limit: int, pivot: int, seed: int
 ) -> None:
-    """Guards against turns of one slot that are had twice: by two lives of a placer, or of a list's entry.
+    """Guards against offers of one slot that are made twice: by two incarnations of a placer or of an entry.
 
-    Placers also learn of the machine one after another, and one that is started anew has another seed.
+    Placers also learn of the machine one after another, and a restarted one has another seed.
     """
     chance = random.Random(seed)
-    fleet = WarmingFleet(placers, budget)
+    fleet = WarmingFleet(placers, limit)
     removed = replace(fleet.listed[0], state=MachineState.REMOVED)
     listed_to: set[int] = set()
     for at, placer in sorted(
@@ -191,60 +191,60 @@
                 fleet.list_machines(placer, at + 0.1, removed, kind=EndpointListKind.CHANGES)
                 fleet.list_machines(placer, at + 0.2, kind=EndpointListKind.CHANGES)
         fleet.spend(placer, at + 0.3)
-    assert fleet.worst() <= budget
+    assert fleet.worst() <= limit
 
 
 @runs(max_examples=150)
 @given(
     st.sampled_from([20, 30, 60]),
-    BUDGETS,
+    LIMITS,
     st.sampled_from([0.1, 0.3, 0.5, 0.7]),
     st.floats(-12.0, 12.0),
     st.integers(0, 2**32),
 )
 def test_clocks_that_were_stepped_between_restarts_add_no_more_than_chance(
-    placers: int, budget: int, share: float, slots: float, seed: int
+    placers: int, limit: int, share: float, slots: float, seed: int
 ) -> None:
     """Placers that restart after a step of the wall clock go by it; the others are slewed, for hours.
 
-    They restart by their numbers. Guards against turns that go by numbers too: one part of the placers then
-    has all turns of some seconds, and the other part has its own by another clock at the same time.
+    They restart in the order of their indexes. Guards against slots that go by indexes too: one part of the
+    placers then has all offers of some seconds, and the other part has its own by another clock meanwhile.
     """
     chance = random.Random(seed)
-    fleet = WarmingFleet(placers, budget, (machine(chance.getrandbits(48), started_at=BEGIN - 10.0),))
+    fleet = WarmingFleet(placers, limit, (machine(chance.getrandbits(48), started_at=BEGIN - 10.0),))
     first = chance.randrange(placers)
     for number in range(round(share * placers)):
         fleet.clock_ahead_ms[(first + number) % placers] = slots * slot_ms()
     for placer in fleet.indexes:
         fleet.list_machines(placer, BEGIN - 20.0 * slot_ms())
     spend_all(fleet, instants(24, 12, chance))
-    assert fleet.worst() <= allowed_by_chance(budget)
+    assert fleet.worst() <= allowed_by_chance(limit)
 
 
-@pytest.mark.parametrize("budget", [5, 57, 250])
+@pytest.mark.parametrize("limit", [5, 57, 250])
 @pytest.mark.parametrize("beyond", [1, 10, 20])
-def test_placers_beyond_the_replica_count_have_no_offers(beyond: int, budget: int) -> None:
-    """Guards against a fleet that grew while its settings did not: number 20 of 20 took number 0's turns."""
-    fleet = WarmingFleet(20, budget, indexes=range(20 + beyond))
+def test_placers_beyond_the_replica_count_have_no_offers(beyond: int, limit: int) -> None:
+    """Guards against a fleet that outgrew its settings: index 20 of 20 took the offers of index 0."""
+    fleet = WarmingFleet(20, limit, indexes=range(20 + beyond))
     for placer in fleet.indexes:
         fleet.list_machines(placer, BEGIN)
     spend_all(fleet, instants(9, 5))
-    assert fleet.worst() <= budget
+    assert fleet.worst() <= limit
 
 
 @pytest.mark.parametrize("seed", range(3))
-@pytest.mark.parametrize("budget", [9, 57])
+@pytest.mark.parametrize("limit", [9, 57])
 @pytest.mark.parametrize("placers", [3, 20, 30, 60])
-def test_three_quarters_of_the_limit_go_out_over_a_long_time(placers: int, budget: int, seed: int) -> None:
-    """All that is told goes out in four slots, so over a long time a window has three quarters of it.
+def test_three_quarters_of_the_limit_go_out_over_a_long_time(placers: int, limit: int, seed: int) -> None:
+    """The whole limit goes out in four slots, so over a long time a window has three quarters of it.
 
-    The slots are lengthened by a connect time-out, which takes its part. Guards against a ramp that starves.
+    The slots are lengthened by a connect time-out, which takes its part. Guards against starvation.
     """
-    fleet = WarmingFleet(placers, budget, (machine(seed * 977, started_at=BEGIN - 10.0),))
+    fleet = WarmingFleet(placers, limit, (machine(seed * 977, started_at=BEGIN - 10.0),))
     for placer in fleet.indexes:
         fleet.list_machines(placer, BEGIN)
     spend_all(fleet, instants(40, 40, random.Random(seed)))
-    assert sum(len(offers) for offers in fleet.offers.values()) == 10 * budget
+    assert sum(len(offers) for offers in fleet.offers.values()) == 10 * limit
 
 
 def test_a_warming_machine_whose_connections_do_not_come_up_is_ejected() -> None:
@@ -265,12 +265,12 @@
     assert went[-1] == 2
 
 
-@pytest.mark.parametrize(("placers", "budget"), [(1, 7), (3, 7), (220, 60), (220, 3), (2, 1)])
+@pytest.mark.parametrize(("placers", "limit"), [(1, 7), (3, 7), (220, 60), (220, 3), (2, 1)])
 def test_all_placers_together_keep_the_limit_of_a_warming_machine_and_use_it(
-    placers: int, budget: int
+    placers: int, limit: int
 ) -> None:
     base = settings(replica_count=placers)
-    rules = replace(base.slow_start, max_offers_per_window=float(budget))
+    rules = replace(base.slow_start, max_offers_per_window=float(limit))
     drivers = [Driver(replace(base, replica_index=placer, slow_start=rules)) for placer in range(placers)]
     for driver in drivers:
         driver.listing(machine(1))
@@ -289,7 +289,7 @@
                 )
     assert sent
     for at in sent:
-        assert sum(at - rules.window_ms < other <= at for other in sent) <= budget
+        assert sum(at - rules.window_ms < other <= at for other in sent) <= limit
 
 
 def test_a_placer_that_has_just_started_offers_a_warming_machine_nothing() -> None:
--- a/tests/scheduling/test_scheduling_under_faults.py
+++ b/tests/scheduling/test_scheduling_under_faults.py
@@ -61,12 +61,12 @@
 class Client:
     """One placer with its task records, checked against the rules at each of its actions."""
 
-    def __init__(self, me: int, cold: dict[int, list[float]], *, on_request: bool) -> None:
+    def __init__(self, index: int, slow_start_offers: dict[int, list[float]], *, on_request: bool) -> None:
         self.settings = settings(
-            *CLASSES, replica_index=me, endpoint_list_on_request=on_request, machines_preempt=True
+            *CLASSES, replica_index=index, endpoint_list_on_request=on_request, machines_preempt=True
         )
-        self.scheduler = Scheduler(self.settings, seed=me)
-        self.cold = cold
+        self.scheduler = Scheduler(self.settings, seed=index)
+        self.slow_start_offers = slow_start_offers
         self.view: dict[int, Endpoint] = {}
         self.named: dict[int, Endpoint] = {}
         self.tasks: dict[int, TaskArrived] = {}
@@ -125,16 +125,16 @@
             assert cls.idempotency is Idempotency.IDEMPOTENCY_KEY
             assert now <= maybe[0]["sent"] + cls.idempotency_window_ms
             assert all(
-                place_of(self.named[a["machine"]], cls.idempotency_scope)
-                == place_of(entry, cls.idempotency_scope)
+                domain_id(self.named[a["machine"]], cls.idempotency_scope)
+                == domain_id(entry, cls.idempotency_scope)
                 for a in maybe
             )
         if cls.spread_domain is not FailureDomain.NONE:
             service = self.tasks[task].service
             there = 1 + sum(
                 a["open"]
-                and place_of(self.named[a["machine"]], cls.spread_domain)
-                == place_of(entry, cls.spread_domain)
+                and domain_id(self.named[a["machine"]], cls.spread_domain)
+                == domain_id(entry, cls.spread_domain)
                 for other, attempts in self.attempts.items()
                 if self.tasks[other].service == service
                 for a in attempts
@@ -143,39 +143,39 @@
                 its_service == service
                 and (
                     on not in self.named
-                    or place_of(self.named[on], cls.spread_domain) == place_of(entry, cls.spread_domain)
+                    or domain_id(self.named[on], cls.spread_domain) == domain_id(entry, cls.spread_domain)
                 )
                 for its_service, on in self.found.values()
             )
             assert there <= cls.max_per_domain
         rules = self.settings.slow_start
         if entry.started_at and now < entry.started_at + rules.duration_ms:
-            sends = self.cold[target]
-            sends.append(now)
-            assert sum(at > now - rules.window_ms for at in sends) <= rules.max_offers_per_window
+            sent = self.slow_start_offers[target]
+            sent.append(now)
+            assert sum(at > now - rules.window_ms for at in sent) <= rules.max_offers_per_window
 
 
-def place_of(entry: Endpoint, place: FailureDomain) -> int:
+def domain_id(entry: Endpoint, domain: FailureDomain) -> int:
     return {
         FailureDomain.MACHINE: entry.id,
         FailureDomain.CELL: entry.cell,
         FailureDomain.ZONE: entry.zone,
-    }.get(place, 0)
+    }.get(domain, 0)
 
 
 @runs(derandomize=True, deadline=None, max_examples=60)
 @given(seed=st.integers(0, 2**32), on_request=st.booleans())
 def test_rules_hold_under_random_faults(*, seed: int, on_request: bool) -> None:
     chance = random.Random(seed)
-    cold: dict[int, list[float]] = defaultdict(list)
-    clients = [Client(me, cold, on_request=on_request) for me in range(PLACERS)]
+    slow_start_offers: dict[int, list[float]] = defaultdict(list)
+    clients = [Client(index, slow_start_offers, on_request=on_request) for index in range(PLACERS)]
     fleet = {n: machine(n, free_cores=chance.uniform(-25, 25)) for n in range(FLEET)}
     now, next_task = 5000.0, 1
     for client in clients:
-        told = EndpointList(EndpointListKind.CACHED, 1, tuple(fleet.values()))
+        listed = EndpointList(EndpointListKind.CACHED, 1, tuple(fleet.values()))
         client.view.update(fleet)
         client.named.update(fleet)
-        client.send(now, told)
+        client.send(now, listed)
     for _ in range(250):
         until = now + chance.choice([0.0, 2.0, 15.0, 60.0, 400.0])
         now = fire_timers(clients, until)
