--- a/kelpfront/api/decode.py
+++ b/kelpfront/api/decode.py
@@ -1,9 +1,12 @@
-"""Request bodies to models, with every mistake named at once."""
+"""Request bodies to models, with all mistakes of a body reported at once.
+
+What the fields mean is left to the models; HTTP is left to the fronts.
+"""
 
 from __future__ import annotations
 
 import json
-from typing import Any, Literal, TypeVar
+from typing import Any, Generic, Literal, NamedTuple, TypeVar
 
 from pydantic import BaseModel, TypeAdapter, ValidationError
 
@@ -26,16 +29,23 @@
 }
 
 
+class Decoded(NamedTuple, Generic[M]):
+    """A model, and warnings about fields that were ignored."""
+
+    model: M
+    warnings: tuple[str, ...]
+
+
 def parse_json(body: bytes) -> Any:
-    """JSON data of a body; ApiError 400 says where it stops being JSON."""
+    """Return the JSON object of a body. Raises ApiError 400, which says where it stops being JSON."""
     if not body:
         raise ApiError(400, "the request has no body; a JSON object is expected")
     try:
         data = json.loads(body)
     except (UnicodeDecodeError, json.JSONDecodeError) as error:
-        raise ApiError(400, f"the body is not JSON: {error}") from None
-    except RecursionError:
-        raise ApiError(400, "the body is nested too deeply") from None
+        raise ApiError(400, f"the body is not JSON: {error}") from error
+    except RecursionError as error:
+        raise ApiError(400, "the body is nested too deeply") from error
     if not isinstance(data, dict):
         raise ApiError(400, f"the body is a JSON {type(data).__name__}; an object is expected")
     if _depth(data) > MAX_DEPTH:
@@ -45,25 +55,25 @@
 
 def decode(
     adapter: TypeAdapter[M], resource: Resource, data: Any, validation: FieldValidation = "Strict"
-) -> tuple[M, tuple[str, ...]]:
-    """The model, and warnings about fields that were passed over; ApiError 422 names what is wrong.
+) -> Decoded[M]:
+    """Validate data and return the model. Raises ApiError 422, which names all that is wrong.
 
-    `Strict` refuses unknown fields. `Warn` and `Ignore` drop them, the first with a warning for each.
+    `Strict` rejects unknown fields. `Warn` and `Ignore` drop them, the first with a warning for each.
     """
     warnings: list[str] = []
     while True:
         try:
-            return adapter.validate_python(data), tuple(warnings)
+            return Decoded(adapter.validate_python(data), tuple(warnings))
         except ValidationError as error:
             problems = error.errors(include_url=False, include_context=False)
-            unknown = [p["loc"] for p in problems if p["type"] == "extra_forbidden"]
+            unknown = [problem["loc"] for problem in problems if problem["type"] == "extra_forbidden"]
             if validation == "Strict" or len(unknown) < len(problems):
-                name = _name_of(data)
-                raise invalid(resource, name, tuple(_cause(p) for p in problems[:MAX_CAUSES])) from None
-            for loc in unknown:
-                data = _without(data, loc)
+                causes = tuple(_cause(problem) for problem in problems[:MAX_CAUSES])
+                raise invalid(resource, _name_of(data), causes) from error
+            for location in unknown:
+                data = _without(data, location)
                 if validation == "Warn":
-                    warnings.append(f'unknown field "{_path(loc)}"')
+                    warnings.append(f'unknown field "{_path(location)}"')
 
 
 def _cause(problem: Any) -> Cause:
@@ -76,15 +86,19 @@
     return Cause(_path(problem["loc"]), message, _REASONS.get(kind, "FieldValueInvalid"))
 
 
-def _path(loc: tuple[str | int, ...]) -> str:
+def _path(location: tuple[str | int, ...]) -> str:
     text = ""
-    for part in loc:
-        text += f"[{part}]" if isinstance(part, int) else f".{part}" if text else part
+    for part in location:
+        if isinstance(part, int):
+            text += f"[{part}]"
+        else:
+            text += f".{part}" if text else part
     return text.removesuffix(".[key]")
 
 
-def _without(data: Any, loc: tuple[str | int, ...]) -> Any:
-    head, *rest = loc
+def _without(data: Any, location: tuple[str | int, ...]) -> Any:
+    """Return a copy of the data without the member at a location."""
+    head, *rest = location
     if isinstance(data, dict):
         if not rest:
             return {name: value for name, value in data.items() if name != head}
@@ -99,7 +113,8 @@
 
 
 def _depth(data: Any) -> int:
-    deepest, stack = 0, [(data, 1)]
+    deepest = 0
+    stack = [(data, 1)]  # not recursive: the data's depth is the client's choice
     while stack:
         value, depth = stack.pop()
         deepest = max(deepest, depth)
--- a/kelpfront/api/errors.py
+++ b/kelpfront/api/errors.py
@@ -1,4 +1,8 @@
-"""Errors of the API as `Status` objects, by the public conventions."""
+"""Errors of the API as `Status` objects, by the public conventions.
+
+Each function here makes one kind of error. When to raise it is for the callers to decide; the fronts send it
+as HTTP or gRPC status.
+"""
 
 from __future__ import annotations
 
@@ -28,20 +32,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Cause:
-    """What is wrong with one field; `reason` is one of the conventions' FieldValue... words."""
+    """What is wrong with one field; `reason` is one of the conventions' `FieldValue...` reasons."""
 
     field: str
     message: str
     reason: str = "FieldValueInvalid"
 
     def render(self) -> Object:
+        """Return the cause as the details of a `Status` object have it."""
         return {"reason": self.reason, "message": self.message, "field": self.field}
 
 
 class ApiError(Exception):
-    """An error that the client is told as a `Status` object."""
-
-    def __init__(
+    """An error that is sent to the client as a `Status` object.
+
+    Attributes:
+        code: The HTTP status.
+        reason: The conventions' reason; that of the code if none is given.
+        resource: The kind of object that the error is about, if any.
+        name: The name of that object.
+        causes: What is wrong with single fields.
+        retry_after_s: After how many seconds the client may try again; 0 says nothing of it.
+        continue_token: For a list that has expired: where it can go on.
+    """
+
+    def __init__(  # noqa: PLR0913 - the fields of a Status, all by keyword but the first two
         self,
         code: int,
         message: str,
@@ -57,13 +72,14 @@
         self.code = code
         self.message = message
         self.reason = reason or REASON_OF_CODE.get(code, "Unknown")
-        self.resource, self.name = resource, name
+        self.resource = resource
+        self.name = name
         self.causes = causes
         self.retry_after_s = retry_after_s
         self.continue_token = continue_token
 
     def render(self) -> Object:
-        """The `Status` object."""
+        """Return the `Status` object."""
         details: dict[str, Any] = {}
         if self.name:
             details["name"] = self.name
@@ -90,7 +106,7 @@
 
 
 def success(resource: Resource, name: str, uid: str) -> Object:
-    """The `Status` that answers a delete."""
+    """Return the `Status` that answers a delete."""
     return {
         "kind": "Status",
         "apiVersion": "v1",
@@ -101,10 +117,12 @@
 
 
 def not_found(resource: Resource, name: str) -> ApiError:
+    """Return the error for an object that does not exist."""
     return ApiError(404, f'{resource.plural}.{GROUP} "{name}" not found', resource=resource, name=name)
 
 
 def already_exists(resource: Resource, name: str) -> ApiError:
+    """Return the error for a creation under a name that is in use."""
     return ApiError(
         409,
         f'{resource.plural}.{GROUP} "{name}" already exists',
@@ -115,6 +133,7 @@
 
 
 def conflict(resource: Resource, name: str, message: str) -> ApiError:
+    """Return the error for a write that does not fit the present state of the object."""
     return ApiError(
         409,
         f'operation cannot be fulfilled on {resource.plural}.{GROUP} "{name}": {message}',
@@ -124,6 +143,7 @@
 
 
 def invalid(resource: Resource, name: str, causes: tuple[Cause, ...]) -> ApiError:
+    """Return the error for an object whose fields are not valid."""
     text = "; ".join(f"{cause.field}: {cause.message}" for cause in causes)
     return ApiError(
         422,
@@ -135,4 +155,5 @@
 
 
 def expired(message: str, continue_token: str = "") -> ApiError:
+    """Return the error for a revision or list that is no longer kept."""
     return ApiError(410, message, reason="Expired", continue_token=continue_token)
--- a/kelpfront/api/jobs.py
+++ b/kelpfront/api/jobs.py
@@ -1,7 +1,8 @@
-"""Jobs: tasks of one shape that their owner wants placed.
+"""Jobs: tasks with the same resource request that their owner wants placed.
 
-Each of a job's `count` tasks gets exactly one answer, Placed, Refused or Failed, within the patience. The
-answer never changes; the state goes on after it (Placed, Running, then Ended or Lost).
+Each of a job's `count` tasks gets exactly one answer (Placed, Refused or Failed) within the job's `patience`.
+The answer never changes; the state goes on after it (Placed, Running, then Ended or Lost). Names of fields
+are those of the API's JSON.
 """
 
 from __future__ import annotations
@@ -18,11 +19,15 @@
 MAX_COUNT = 1000  # tasks of one job: bounds the size of its object and of each event that shows it
 
 
+MIN_DURATION_MS = 10.0  # below it, no answer can come in time
+MAX_DURATION_MS = 3_600_000.0  # one hour
+
+
 def _canonical_duration(text: str) -> str:
-    ms = parse_duration(text)
-    if not 10.0 <= ms <= 3_600_000.0:
+    duration_ms = parse_duration(text)
+    if not MIN_DURATION_MS <= duration_ms <= MAX_DURATION_MS:
         raise ValueError(f"{text!r} is not from 10ms to 1h")
-    return format_duration(ms)
+    return format_duration(duration_ms)
 
 
 Duration = Annotated[
@@ -32,7 +37,8 @@
 ]
 
 
-MAX_ARGV, MAX_ENV = 256, 100  # entries of a command and of its environment
+MAX_ARGV = 256  # entries of a command
+MAX_ENV = 100  # entries of its environment
 MAX_RUN_BYTES = 32_768  # of a command with its environment, in UTF-8: offers carry it
 
 
@@ -140,30 +146,28 @@
     )
 
     @model_validator(mode="after")
-    def _runs(self) -> JobSpec:
+    def _check_command(self) -> JobSpec:
         if self.command is None:
-            given = [
-                name
-                for name, value in (
-                    ("env", self.env),
-                    ("workdir", self.workdir),
-                    ("stopGrace", self.stop_grace),
-                )
-                if value is not None
-            ]
-            if given:
-                raise ValueError(f"{', '.join(given)}: allowed only beside a command")
+            self._check_nothing_needs_a_command()
             return self
         if not self.command[0]:
             raise ValueError("command: its first word, the program, is empty")
-        texts = [*self.command, *(self.env or {}), *(self.env or {}).values()]
+        env = self.env or {}
+        texts = [*self.command, *env, *env.values()]
         size = sum(len(text.encode("utf-8", "surrogatepass")) for text in texts)
         if size > MAX_RUN_BYTES:
             raise ValueError(f"command and env: {size} bytes together; {MAX_RUN_BYTES} are allowed")
         return self
 
+    def _check_nothing_needs_a_command(self) -> None:
+        fields = (("env", self.env), ("workdir", self.workdir), ("stopGrace", self.stop_grace))
+        given = [name for name, value in fields if value is not None]
+        if given:
+            raise ValueError(f"{', '.join(given)}: allowed only beside a command")
+
     @property
     def patience_ms(self) -> float | None:
+        """How long the owner waits for each answer, in milliseconds; None for the class's deadline."""
         return None if self.patience is None else parse_duration(self.patience)
 
 
@@ -183,7 +187,7 @@
     state: TaskState
     answer: Answer | None = Field(None, description="Set once, never changed.")
     found: bool = Field(
-        False,
+        default=False,
         description="It turned out to run: after it was failed, or when its placer had started anew. "
         "Then the answer is the one given before, or none of this start of the placer.",
     )
@@ -255,4 +259,4 @@
     "workdir",
     "stopGrace",
 )
-"""What of a job's spec cannot be changed once tasks were made of it."""
+"""Fields of a job's spec that cannot be changed after its creation."""
--- a/kelpfront/api/levels.py
+++ b/kelpfront/api/levels.py
@@ -1,4 +1,7 @@
-"""Levels of reduced service: one object a placer, to be listed and watched; operators may pin its level."""
+"""Degradation levels: one object for each placer, to be listed and watched; operators may pin its level.
+
+Names of fields are those of the API's JSON. The decisions are in `kelpfront.degradation`.
+"""
 
 from __future__ import annotations
 
@@ -9,11 +12,11 @@
 from kelpfront.api.jobs import Duration
 from kelpfront.api.meta import API_VERSION, ApiModel, ObjectMeta
 
-Word = Literal["full", "careful", "recovering", "essential", "holding"]
+LevelName = Literal["full", "careful", "recovering", "essential", "holding"]
 
 
 class Pin(ApiModel):
-    level: Word = Field(description="Held whatever the symptoms say.")
+    level: LevelName = Field(description="Held whatever the symptoms say.")
     for_: Duration = Field(alias="for", description="From when it was written.")
 
 
@@ -31,8 +34,8 @@
     """One change, with the figures that decided."""
 
     at: str
-    before: Word
-    after: Word
+    before: LevelName
+    after: LevelName
     why: str
     evidence: list[Evidence] = Field(default_factory=list)
 
@@ -46,7 +49,7 @@
 
 
 class LevelStatus(ApiModel):
-    level: Word
+    level: LevelName
     since: str
     meaning: str
     why: str = ""
--- a/kelpfront/api/machines.py
+++ b/kelpfront/api/machines.py
@@ -1,4 +1,7 @@
-"""Machines: what the inventory says of them, what they report, and whether they take new work."""
+"""Machines: what the inventory says of them, what they report, and whether they accept new work.
+
+Names of fields are those of the API's JSON.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
     memory: float
     address: str
     unschedulable: bool = Field(
-        False, strict=True, description="True drains the machine: it gets no new work."
+        default=False, strict=True, description="True drains the machine: it gets no new work."
     )
 
 
@@ -69,4 +72,4 @@
 MACHINE_INPUT: TypeAdapter[MachineInput] = TypeAdapter(MachineInput)
 
 FIXED_SPEC_FIELDS = ("kind", "rack", "room", "cores", "memory", "address")
-"""What the inventory says; only `unschedulable` is the API's to change."""
+"""Set by the inventory; clients may change only `unschedulable`."""
--- a/kelpfront/api/meta.py
+++ b/kelpfront/api/meta.py
@@ -1,4 +1,7 @@
-"""What all resources have in common: names, metadata, and the two resources themselves."""
+"""What all resources have in common: names, labels, metadata, and the kinds of resources themselves.
+
+The fields of each kind are in `jobs`, `machines` and `levels`.
+"""
 
 from __future__ import annotations
 
@@ -27,25 +30,26 @@
 
 
 def name_of_token(token: str, prefix: str = "job-") -> str:
-    """The name of a job that was submitted with a client token and without a name."""
+    """Return the name of a job that was submitted with a client token and without a name."""
     return prefix + hashlib.blake2b(token.encode(), digest_size=8).hexdigest()
 
 
 def check_name(value: str) -> str:
-    """A resource's name: RFC 1123 subdomain."""
+    """Return a resource's name; raise ValueError if it is no RFC 1123 subdomain."""
     if not _DNS_NAME.fullmatch(value):
         raise ValueError(f"{value!r} is not a name: {DNS_NAME_FORM}")
     return value
 
 
 def check_namespace(value: str) -> str:
-    """A namespace: RFC 1123 label."""
+    """Return a namespace; raise ValueError if it is no RFC 1123 label."""
     if not _DNS_LABEL.fullmatch(value):
         raise ValueError(f"{value!r} is not a namespace: {DNS_LABEL_FORM}")
     return value
 
 
 def check_label_key(value: str) -> str:
+    """Return a label's key; raise ValueError if it has not the form [PREFIX/]NAME."""
     prefix, slash, name = value.rpartition("/")
     if slash and not _DNS_NAME.fullmatch(prefix):
         raise ValueError(f"prefix of {value!r} is not a name: {DNS_NAME_FORM}")
@@ -55,6 +59,7 @@
 
 
 def check_label_value(value: str) -> str:
+    """Return a label's value; raise ValueError if it is not valid. It may be empty."""
     if value and not _LABEL_NAME.fullmatch(value):
         raise ValueError(f"{value!r} is not a label's value: {LABEL_FORM}")
     return value
@@ -118,14 +123,16 @@
     namespaced: bool
     verbs: tuple[str, ...]
     fields: tuple[str, ...]
-    """What fieldSelector may name, besides metadata.name and metadata.namespace."""
+    """What a field selector may name, besides metadata.name and metadata.namespace."""
 
     @property
     def list_kind(self) -> str:
+        """The kind of a list of these objects."""
         return f"{self.kind}List"
 
     @property
     def selectable(self) -> tuple[str, ...]:
+        """All that a field selector may name."""
         names = ("metadata.name", "metadata.namespace") if self.namespaced else ("metadata.name",)
         return names + self.fields
 
@@ -158,7 +165,7 @@
 
 
 def field_of(obj: Object, path: str) -> str:
-    """The value at a dotted path as fieldSelector compares it: text, with booleans in lower case."""
+    """Return the value at a dotted path as field selectors compare it: text, with booleans in lower case."""
     value: Any = obj
     for part in path.split("."):
         value = value.get(part) if isinstance(value, dict) else None
--- a/kelpfront/api/patch.py
+++ b/kelpfront/api/patch.py
@@ -6,7 +6,7 @@
 
 
 def merge_patch(target: Any, patch: Any) -> Any:
-    """The target with the patch applied; neither is changed. A null in the patch removes the member."""
+    """Return the target with the patch applied; a null removes the member. Neither argument is changed."""
     if not isinstance(patch, dict):
         return patch
     merged = dict(target) if isinstance(target, dict) else {}
--- a/kelpfront/api/selectors.py
+++ b/kelpfront/api/selectors.py
@@ -1,4 +1,4 @@
-"""Label and field selectors, by the public conventions."""
+"""Label and field selectors, by the public conventions: how they are read, and which objects they match."""
 
 from __future__ import annotations
 
@@ -21,22 +21,25 @@
     """What selectors look at of an object."""
 
     @property
-    def labels(self) -> Mapping[str, str]: ...
+    def labels(self) -> Mapping[str, str]:
+        """The object's labels."""
+        ...
 
     def field(self, path: str) -> str:
-        """The value at a path that the resource lets fieldSelector name, as text."""
+        """Return the value at a path that the resource lets a field selector name, as text."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One requirement on a label."""
+    """One requirement on a label. `values` are those of the operators `in` and `notin`."""
 
     key: str
     operator: Literal["in", "notin", "exists", "absent"]
     values: frozenset[str] = frozenset()
 
     def matches(self, labels: Mapping[str, str]) -> bool:
+        """Return whether an object with these labels meets the requirement."""
         match self.operator:
             case "in":
                 return labels.get(self.key) in self.values
@@ -50,6 +53,8 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldTerm:
+    """One requirement on a field: that it has the value, or (not `equal`) that it has another."""
+
     path: str
     value: str
     equal: bool
@@ -57,19 +62,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Which objects of a resource a list or watch is about."""
+    """Which objects of a resource a list or watch is about: those that meet all requirements."""
 
     labels: tuple[Term, ...] = ()
     fields: tuple[FieldTerm, ...] = ()
 
     def matches(self, obj: Selectable) -> bool:
+        """Return whether an object is selected."""
         return all(term.matches(obj.labels) for term in self.labels) and all(
             (obj.field(term.path) == term.value) == term.equal for term in self.fields
         )
 
     @property
     def name(self) -> str | None:
-        """The one name that can match, where there is one; lets watches be looked up by it."""
+        """The only name that can match, if there is one, by which watches can be looked up."""
         for term in self.fields:
             if term.path == "metadata.name" and term.equal:
                 return term.value
@@ -80,33 +86,40 @@
 
 
 def parse_selector(resource: Resource, labels: str, fields: str) -> Selector:
-    """Reads `labelSelector` and `fieldSelector`; ApiError 400 names the term that is not understood."""
+    """Read `labelSelector` and `fieldSelector`. Raises ApiError 400, which names the term that is wrong."""
     return Selector(_label_terms(labels), _field_terms(resource, fields))
 
 
 def _label_terms(text: str) -> tuple[Term, ...]:
     terms: list[Term] = []
-    at = 0
-    while at < len(text):
-        if text[at].isspace():
-            at += 1
+    offset = 0
+    while offset < len(text):
+        if text[offset].isspace():
+            offset += 1
             continue
         if len(terms) == MAX_TERMS:
             raise ApiError(400, f"labelSelector: more than {MAX_TERMS} terms")
-        match = _SET.match(text, at) or _EQUALITY.match(text, at) or _EXISTS.match(text, at)
+        # In this order: each form's text begins like the one after it.
+        match = _SET.match(text, offset) or _EQUALITY.match(text, offset) or _EXISTS.match(text, offset)
         if match is None:
-            raise ApiError(400, f"labelSelector: not understood from {text[at:]!r} on")
+            raise ApiError(400, f"labelSelector: not understood from {text[offset:]!r} on")
         terms.append(_term(match))
-        at = match.end()
-        rest = text[at:].lstrip()
-        if rest and not rest.startswith(","):
-            raise ApiError(400, f"labelSelector: ',' expected before {rest!r}")
-        at = len(text) - len(rest) + 1 if rest else len(text)
-        if rest == ",":
-            raise ApiError(400, "labelSelector: a term expected after the last ','")
+        offset = _next_term_offset(text, match.end())
     return tuple(terms)
 
 
+def _next_term_offset(text: str, term_end: int) -> int:
+    """Return where the term after the next comma begins, or the end of the text."""
+    rest = text[term_end:].lstrip()
+    if not rest:
+        return len(text)
+    if not rest.startswith(","):
+        raise ApiError(400, f"labelSelector: ',' expected before {rest!r}")
+    if rest == ",":
+        raise ApiError(400, "labelSelector: a term expected after the last ','")
+    return len(text) - len(rest) + 1
+
+
 def _term(match: re.Match[str]) -> Term:
     found = match.groupdict()
     try:
@@ -118,7 +131,7 @@
             value = check_label_value(found["value"])
             return Term(key, "notin" if found["op"] == "!=" else "in", frozenset({value}))
     except ValueError as error:
-        raise ApiError(400, f"labelSelector: {error}") from None
+        raise ApiError(400, f"labelSelector: {error}") from error
     return Term(key, "absent" if found["no"] else "exists")
 
 
--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -1,4 +1,4 @@
-"""Selectors, merge patch, request bodies and units."""
+"""Selectors, merge patch, request bodies, units and the clock."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize(
-    ("selector", "chosen"),
+    ("selector", "expected"),
     [
         ("", {"blue", "red", "none"}),
         ("team=blue", {"blue"}),
@@ -48,24 +48,26 @@
         (" team in (blue,green) , tier = web ", {"blue"}),
     ],
 )
-def test_label_selectors(selector: str, chosen: set[str]) -> None:
-    its = parse_selector(JOBS, selector, "")
+def test_a_label_selector_matches_objects_that_meet_all_terms(selector: str, expected: set[str]) -> None:
+    parsed = parse_selector(JOBS, selector, "")
     objects = {
         "blue": labelled(team="blue", tier="web"),
         "red": labelled(team="red"),
         "none": labelled(),
     }
-    assert {name for name, obj in objects.items() if its.matches(obj)} == chosen
+    assert {name for name, obj in objects.items() if parsed.matches(obj)} == expected
 
 
-@pytest.mark.parametrize("bad", ["a=b c", "in (x)", "a in x", "a=b,", "=b", "a=(b)", "a=b,,c", "-=b", "a=-"])
-def test_a_bad_label_selector_is_named(bad: str) -> None:
+@pytest.mark.parametrize(
+    "invalid", ["a=b c", "in (x)", "a in x", "a=b,", "=b", "a=(b)", "a=b,,c", "-=b", "a=-"]
+)
+def test_an_invalid_label_selector_is_a_bad_request(invalid: str) -> None:
     with pytest.raises(ApiError, match="labelSelector") as error:
-        parse_selector(JOBS, bad, "")
+        parse_selector(JOBS, invalid, "")
     assert error.value.code == 400
 
 
-def test_field_selectors() -> None:
+def test_a_field_selector_compares_text_and_names_what_is_supported() -> None:
     machine = stored(MACHINES, spec={"unschedulable": True, "room": "east"})
     assert parse_selector(MACHINES, "", "spec.unschedulable=true,metadata.name=a").matches(machine)
     assert not parse_selector(MACHINES, "", "spec.room!=east").matches(machine)
@@ -90,14 +92,14 @@
         ({"a": "foo"}, "bar", "bar"),
     ],
 )
-def test_merge_patch(target: Any, patch: Any, result: Any) -> None:
+def test_a_merge_patch_follows_the_rfc_and_changes_no_input(target: Any, patch: Any, result: Any) -> None:
     before = repr(target)
     assert merge_patch(target, patch) == result
     assert repr(target) == before
 
 
 @pytest.mark.parametrize(
-    ("body", "says"),
+    ("body", "message"),
     [
         (b"", "no body"),
         (b"{", "not JSON"),
@@ -107,20 +109,20 @@
         (b"[" * 100_000, "nested|JSON"),
     ],
 )
-def test_a_body_that_is_no_object_is_a_bad_request(body: bytes, says: str) -> None:
-    with pytest.raises(ApiError, match=says) as error:
+def test_a_body_that_is_not_an_object_is_a_bad_request(body: bytes, message: str) -> None:
+    with pytest.raises(ApiError, match=message) as error:
         parse_json(body)
     assert error.value.code == 400
 
 
-def test_every_mistake_of_a_body_is_named_at_once() -> None:
-    wrong = {
+def test_all_mistakes_of_a_body_are_reported_at_once() -> None:
+    invalid = {
         "kind": "Pod",
         "metadata": {"name": "UPPER", "labels": {"a b": "x"}},
         "spec": {"service": "", "cores": -1, "memory": "2", "patience": "5", "colour": "red"},
     }
     with pytest.raises(ApiError) as error:
-        decode(JOB_INPUT, JOBS, wrong)
+        decode(JOB_INPUT, JOBS, invalid)
     assert (error.value.code, error.value.reason) == (422, "Invalid")
     causes = {cause.field: cause for cause in error.value.causes}
     assert set(causes) == {
@@ -139,39 +141,39 @@
     assert "a number and a unit" in causes["spec.patience"].message
 
 
-def test_unknown_fields_are_passed_over_only_where_the_client_asks_for_it() -> None:
-    odd = {**JOB, "spec": {**JOB["spec"], "colour": "red"}, "extra": 1}
+def test_unknown_fields_are_ignored_only_where_the_client_asks_for_it() -> None:
+    data = {**JOB, "spec": {**JOB["spec"], "colour": "red"}, "extra": 1}
     with pytest.raises(ApiError):
-        decode(JOB_INPUT, JOBS, odd)
-    model, warnings = decode(JOB_INPUT, JOBS, odd, "Warn")
+        decode(JOB_INPUT, JOBS, data)
+    model, warnings = decode(JOB_INPUT, JOBS, data, "Warn")
     assert (model.spec.service, set(warnings)) == (
         "front",
         {'unknown field "spec.colour"', 'unknown field "extra"'},
     )
-    assert decode(JOB_INPUT, JOBS, odd, "Ignore")[1] == ()
-    assert "colour" in odd["spec"]
+    assert decode(JOB_INPUT, JOBS, data, "Ignore").warnings == ()
+    assert "colour" in data["spec"]
     with pytest.raises(ApiError, match=r"spec\.cores"):
-        decode(JOB_INPUT, JOBS, {**odd, "spec": {**odd["spec"], "cores": 0}}, "Warn")
+        decode(JOB_INPUT, JOBS, {**data, "spec": {**data["spec"], "cores": 0}}, "Warn")
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.floats(min_value=1, max_value=1e9).map(lambda ms: round(ms, 3)))
-def test_durations_are_read_back(ms: float) -> None:
+def test_a_formatted_duration_is_read_back(ms: float) -> None:
     assert parse_duration(format_duration(ms)) == pytest.approx(ms, rel=1e-9)
 
 
 @pytest.mark.parametrize(("text", "ms"), [("700 ms", 700), ("1.5s", 1500), (" 2 min ", 120_000), ("0", 0)])
-def test_durations(text: str, ms: float) -> None:
+def test_a_duration_is_a_number_and_a_unit(text: str, ms: float) -> None:
     assert parse_duration(text) == ms
 
 
-@pytest.mark.parametrize("bad", ["5", "s", "-1s", "1 fortnight", "1e3ms", "", "1s 2s"])
-def test_a_duration_without_a_unit_is_not_taken(bad: str) -> None:
+@pytest.mark.parametrize("text", ["5", "s", "-1s", "1 fortnight", "1e3ms", "", "1s 2s"])
+def test_a_text_that_is_no_duration_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match="a number and a unit"):
-        parse_duration(bad)
+        parse_duration(text)
 
 
-def test_sizes() -> None:
+def test_a_size_is_a_whole_number_and_a_unit() -> None:
     assert parse_size("64 KiB") == 65536
     assert format_size(1 << 20) == "1 MiB"
     assert parse_size(format_size(1000)) == 1000
@@ -179,8 +181,9 @@
         parse_size("1.5 MiB")
 
 
-def test_the_clock_never_goes_back_and_follows_the_wall_clock_slowly() -> None:
-    wall, steady = [1000.0], [50.0]
+def test_the_common_clock_never_goes_back_and_follows_the_wall_clock_slowly() -> None:
+    wall = [1000.0]
+    steady = [50.0]
     clock = CommonClock(lambda: wall[0], lambda: steady[0])
     assert clock.now() == 1_000_000.0
     for step in (0.0, 10.0, -3600.0):
@@ -193,7 +196,7 @@
     assert clock.now() == clock.now()
 
 
-def test_timestamps_are_read_back() -> None:
+def test_a_formatted_timestamp_is_read_back() -> None:
     assert timestamp(0.0) == "1970-01-01T00:00:00.000000Z"
     assert parse_timestamp(timestamp(1_764_590_400_123.456)) == pytest.approx(
         1_764_590_400_123.456, abs=0.001
