--- a/kelpfront/failure_detector/__main__.py
+++ b/kelpfront/failure_detector/__main__.py
@@ -12,7 +12,7 @@
 from kelpfront.failure_detector.service import FailureDetectorService
 from kelpfront.logs import configure_logs
 from kelpfront.platform.config import ConfigError
-from kelpfront.platform.directory import BadEventError, events_of
+from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 
 
 def main(program: str = "kelpfront.failure_detector") -> int:
@@ -23,8 +23,8 @@
     path = Path(sys.argv[1])
     try:
         config = read_watch_config(path)
-        events_of(config.platform.known, config.platform)
-    except (ConfigError, BadEventError) as error:
+        parse_events(config.platform.known, config.platform)
+    except (ConfigError, InvalidEventError) as error:
         print(f"{program}: {error}", file=sys.stderr)
         return 2
     configure_logs("info", "json", watcher=config.platform.name)
--- a/kelpfront/failure_detector/service.py
+++ b/kelpfront/failure_detector/service.py
@@ -16,10 +16,10 @@
 from kelpfront.failure_detector.config import FailureDetectorConfig
 from kelpfront.platform import messages
 from kelpfront.platform.config import Address
-from kelpfront.platform.coordinator import Follower
-from kelpfront.platform.directory import events_of
-from kelpfront.platform.fleet import Fleet
-from kelpfront.platform.messages import BadMessageError, Lines
+from kelpfront.platform.discovery_client import DiscoveryClient
+from kelpfront.platform.endpoint_events import parse_events
+from kelpfront.platform.endpoint_table import EndpointTable
+from kelpfront.platform.messages import InvalidMessageError, LineSplitter
 from kelpfront.platform.timeouts import POLL_CONNECT_MS
 from kelpfront.scheduling.events import MachineId
 
@@ -42,7 +42,7 @@
         self._ident, self.address, self._watcher, self._now = ident, address, watcher, now
         self._connect_s = connect_s
         self._transport: asyncio.Transport | None = None
-        self._lines = Lines()
+        self._lines = LineSplitter()
         self._dialling: asyncio.Task[None] | None = None
 
     def test(self, anew: bool) -> None:
@@ -74,7 +74,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
-        self._transport, self._lines = transport, Lines()
+        self._transport, self._lines = transport, LineSplitter()
         self._watcher.connected(self._now(), self._ident)
 
     def data_received(self, data: bytes) -> None:
@@ -83,7 +83,7 @@
                 message = messages.decode(line)
                 if message.op == "tested":
                     self._watcher.answered(self._ident, message.call)
-        except BadMessageError:
+        except InvalidMessageError:
             self._abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -111,13 +111,13 @@
         self._config = config
         self._clock = CommonClock()
         self.watcher = FailureDetector(epoch, config.test_ms)
-        self._fleet = Fleet()
+        self._fleet = EndpointTable()
         self._links: dict[MachineId, Link] = {}
         platform = config.platform
         self._connect_s = (platform.settings.connect_timeout_ms or POLL_CONNECT_MS) / 1000.0
-        self._follower = Follower(
+        self._follower = DiscoveryClient(
             platform.coordinator,
-            lambda: self._fleet.follow,
+            lambda: self._fleet.poll_index,
             self._take,
             random.Random(epoch),
             platform.settings.connect_timeout_ms or POLL_CONNECT_MS,
@@ -156,15 +156,15 @@
 
     def _take(self, raw: Any) -> None:
         generation = self._fleet.generation
-        index, events = events_of(raw, self._config.platform)
-        for change in self._fleet.take(index, events):
-            for machine in change.gone:
+        index, events = parse_events(raw, self._config.platform)
+        for change in self._fleet.apply(index, events):
+            for machine in change.removed:
                 self._fleet.machines.pop(machine.id, None)
         if self._fleet.generation != generation:
             machines = self._fleet.machines
             zones = {
                 zone: [(ident, machines[ident].name) for ident in members]
-                for zone, members in self._fleet.zones().items()
+                for zone, members in self._fleet.machines_by_zone().items()
                 if zone in self._config.zones
             }
             for ident in self.watcher.listed(self._clock.now(), zones):
--- a/kelpfront/lab/controlcost.py
+++ b/kelpfront/lab/controlcost.py
@@ -16,9 +16,9 @@
 from kelpfront.lab.fleet.settings import config_json, members
 from kelpfront.lab.platform import line, offer
 from kelpfront.platform.config import config_of
-from kelpfront.platform.core import Core
-from kelpfront.platform.directory import events_of
-from kelpfront.platform.intents import Intent, Tell, Test
+from kelpfront.platform.core import PlacerCore
+from kelpfront.platform.endpoint_events import parse_events
+from kelpfront.platform.intents import SendHealthCheck, SendToClient
 from kelpfront.platform.messages import decode
 from kelpfront.scheduling.events import MachineId
 from kelpfront.scheduling.scheduler import Scheduler
@@ -37,7 +37,7 @@
         known = {"index": 1, "updates": [_event(1, listed, True)]}
         raw = config_json(0, 16, "127.0.0.1:0", "127.0.0.1:1", known)
         self.config = config_of(raw)
-        self.core = Core(self.config, Scheduler(self.config.settings, 1))
+        self.core = PlacerCore(self.config, Scheduler(self.config.settings, 1))
         self.now, self.spent, self.index = 1e12, 0.0, 1
         self.out_bytes = self.in_bytes = self.tests = 0
         self._answers: list[tuple[float, int, MachineId, bytes]] = []
@@ -48,8 +48,8 @@
 
     def listed(self, raw: Any) -> None:
         began = time.process_time()
-        index, events = events_of(raw, self.config)
-        self.core.listed(self.now, index, events)
+        index, events = parse_events(raw, self.config)
+        self.core.apply_endpoint_events(self.now, index, events)
         self.spent += time.process_time() - began
         self.take()
 
@@ -62,24 +62,22 @@
             extras = f"cores:1;memory:2;service:{number % 997:016x};at:{name}"
             data = offer(f"{number:016x}", extras=extras)
             began = time.process_time()
-            self.core.owner_says(self.now, conn, decode(data))
+            self.core.on_client_message(self.now, conn, decode(data))
             self.spent += time.process_time() - began
         self.take()
 
     def take(self) -> None:
         """Answers the tests among what the core wants."""
-        out: list[Intent] = self.core.out
-        self.core.out = []
-        for intent in out:
-            if isinstance(intent, Test):
+        for intent in self.core.outbox.drain():
+            if isinstance(intent, SendHealthCheck):
                 load = {"load": "x0:12.5;x1:20.25;q:0"}
-                answer = line("tested", intent.call, why=1, with_=load)
+                answer = line("tested", intent.check_id, why=1, with_=load)
                 self.tests += 1
                 self.out_bytes += len(intent.data)
                 self.in_bytes += len(answer)
                 item = (self.now + ANSWER_MS, self.tests, intent.machine, answer)
                 heapq.heappush(self._answers, item)
-            elif isinstance(intent, Tell):
+            elif isinstance(intent, SendToClient):
                 self.out_bytes += len(intent.data)
 
     def run(self, ms: float) -> None:
@@ -89,7 +87,7 @@
             while self._answers and self._answers[0][0] <= self.now:
                 _, _, machine, data = heapq.heappop(self._answers)
                 began = time.process_time()
-                self.core.machine_says(self.now, machine, decode(data))
+                self.core.on_machine_message(self.now, machine, decode(data))
                 self.spent += time.process_time() - began
             began = time.process_time()
             self.core.timers.run(self.now)
@@ -154,7 +152,11 @@
 
 def handed_over(machines: int, tasks: int) -> dict[str, Any]:
     bench = Bench(machines, tasks)
-    return {"machines": machines, "tasks": tasks, "held": len(bench.core.calls)} | dict(bench.core.counts)
+    return (
+        {"machines": machines, "tasks": tasks, "held": len(bench.core.requests)}
+        | bench.core.counters.log_fields()
+        | bench.core.limits.fields()
+    )
 
 
 def main() -> int:
--- a/kelpfront/lab/corecost.py
+++ b/kelpfront/lab/corecost.py
@@ -23,12 +23,12 @@
 from kelpfront.lab import platform as standins
 from kelpfront.lab.fleet import settings
 from kelpfront.platform import messages
-from kelpfront.platform.calls import CALLS_MOST, CALLS_OF_ONE
 from kelpfront.platform.config import config_of
-from kelpfront.platform.core import Core
-from kelpfront.platform.directory import events_of
-from kelpfront.platform.intents import Offer, Test
+from kelpfront.platform.core import PlacerCore
+from kelpfront.platform.endpoint_events import parse_events
+from kelpfront.platform.intents import Offer, SendHealthCheck
 from kelpfront.platform.messages import Message, decode
+from kelpfront.platform.requests import MAX_REQUESTS, MAX_REQUESTS_PER_CONNECTION
 from kelpfront.platform.timeouts import POLL_WAIT_MS
 from kelpfront.scheduling.scheduler import Scheduler
 
@@ -54,7 +54,7 @@
     def __init__(self, machines: int, tasks: int) -> None:
         raw = settings.config_json(0, PLACERS, "127.0.0.1:1", "127.0.0.1:1", {"index": 0, "updates": []})
         self._config = config_of(raw)
-        self.core = Core(self._config, Scheduler(self._config.settings, self._config.seed))
+        self.core = PlacerCore(self._config, Scheduler(self._config.settings, self._config.seed))
         self.members, self.now = settings.members(machines), 1e12
         self.tests = self.accepted = 0
         self._number = 0
@@ -63,11 +63,11 @@
         self._conns = 0
         for number in range(tasks):
             self._found(number)
-        self.core.out.clear()
+        self.core.outbox.drain()
 
     def _conn(self, number: int) -> int:
         """Owners' connections come one after another as each has as many calls as it may."""
-        conn = number // (CALLS_OF_ONE // 2)
+        conn = number // (MAX_REQUESTS_PER_CONNECTION // 2)
         if conn == self._conns:
             self.core.sessions.open(self.now, conn, "127.0.0.9")
             self._conns += 1
@@ -78,29 +78,30 @@
         extras = f"{_extras(number)};at:{name}"
         fields: dict[str, str | int | float] = {**FIELDS, "class": "easy", "extras": extras}
         message = Message("offer", f"{number:016x}", fields, desc=DESC)
-        self.core.owner_says(self.now, self._conn(number), message)
+        self.core.on_client_message(self.now, self._conn(number), message)
 
     def hear(self, body: bytes) -> None:
         """An answer of the list service, from its bytes on."""
-        index, events = events_of(json.loads(body), self._config)
-        self.core.listed(self.now, index, events)
-        self.core.freshness.heard(self.now)
+        index, events = parse_events(json.loads(body), self._config)
+        self.core.apply_endpoint_events(self.now, index, events)
+        self.core.freshness.on_answer(self.now)
 
     def spare_changes(self, number: int) -> bytes:
         """The answer that is the `number`th from now on: one machine's room has changed."""
         member = {**self.members[number % len(self.members)], "spare": [20.0 - number % 5, 40.0]}
-        return _body(standins.event(self.core.fleet.index + 1 + number, member))
+        return _body(standins.event(self.core.endpoints.index + 1 + number, member))
 
     def advance(self, to: float) -> None:
         """Lets time pass; what is tested answers after 1 ms."""
         while self.now < to:
             self.now += STEP_MS
             self.core.timers.run(self.now)
-            out, self.core.out = self.core.out, []
-            for intent in out:
-                if isinstance(intent, Test):
+            for intent in self.core.outbox.drain():
+                if isinstance(intent, SendHealthCheck):
                     self.tests += 1
-                    self.core.machine_says(self.now, intent.machine, decode(TESTED % intent.call.encode()))
+                    self.core.on_machine_message(
+                        self.now, intent.machine, decode(TESTED % intent.check_id.encode())
+                    )
 
     def next_start(self) -> tuple[str, bytes, bytes, bytes]:
         """The id of a task that is yet to come, its set-up, and its machine's answer and release."""
@@ -111,19 +112,19 @@
 
     def start(self, lines: tuple[str, bytes, bytes, bytes]) -> None:
         """A task from its set-up to its end."""
-        call, set_up, accept, end = lines
+        _call, set_up, accept, end = lines
         self.now += 1.0
         conn = self._conns - 1 if self._conns else self._conn(0)
-        self.core.owner_says(self.now, conn, decode(set_up))
-        self.core.settle(self.now)
-        sent = next((intent for intent in self.core.out if isinstance(intent, Offer)), None)
-        self.core.out.clear()
-        if sent is None or self.core.gate(self.now, call, sent.number) is None:
+        self.core.on_client_message(self.now, conn, decode(set_up))
+        self.core.submit_arrivals(self.now)
+        sent = next((intent for intent in self.core.outbox.drain() if isinstance(intent, Offer)), None)
+        self.core.outbox.drain()
+        if sent is None or self.core.encode_offer(self.now, sent.key) is None:
             return
-        self.core.machine_says(self.now, sent.machine, decode(accept), sent.number)
+        self.core.on_machine_message(self.now, sent.machine, decode(accept), sent.attempt_number)
         self.accepted += 1
-        self.core.machine_says(self.now, sent.machine, decode(end))
-        self.core.out.clear()
+        self.core.on_machine_message(self.now, sent.machine, decode(end))
+        self.core.outbox.drain()
 
 
 def _extras(number: int) -> str:
@@ -156,7 +157,7 @@
         core = LoneCore(machines, tasks)
         gc.collect()
         held = tracemalloc.get_traced_memory()[0]
-        core.core.out.clear()
+        core.core.outbox.drain()
         return held / MIB
     finally:
         tracemalloc.stop()
@@ -164,7 +165,7 @@
 
 def measure_point(machines: int, tasks: int, events: int) -> dict[str, float]:
     """One round of one size: a core is made, rests, hears events and starts tasks."""
-    lone = LoneCore(machines, min(tasks, CALLS_MOST - 1))
+    lone = LoneCore(machines, min(tasks, MAX_REQUESTS - 1))
     lone.advance(lone.now + SETTLE_S * 1000.0)
     tests, until = lone.tests, lone.now + REST_S * 1000.0
     rest = _spent(lambda: lone.advance(until)) / REST_S
@@ -172,7 +173,7 @@
     changes = [lone.spare_changes(number) for number in range(events)]
     heard = _spent(lambda: _each(lone.hear, changes)) / events
     starts = [lone.next_start() for _ in range(events)]
-    lone.core.out.clear()
+    lone.core.outbox.drain()
     started = _spent(lambda: _each(lone.start, starts)) / events
     return {
         "join_s": lone.join_s,
@@ -212,7 +213,7 @@
     An answer of the list service is as its own page shows it: without spaces, and with the least head that
     HTTP/1.1 has.
     """
-    set_up = messages.SetUp(CALL, 0, 1500.0, FIELDS["key"], FIELDS["idem"], 0, 1.0, 2.0, "", DESC)
+    set_up = messages.PlacementRequest(CALL, 0, 1500.0, FIELDS["key"], FIELDS["idem"], 0, 1.0, 2.0, "", DESC)
     at = {**FIELDS, "extras": f"{FIELDS['extras']};at:s-00c41f7a"}
     target = f"/v2/stream?follow=1234567&wait_ms={POLL_WAIT_MS:.0f}"
     client = h11.Connection(h11.CLIENT)
@@ -240,7 +241,7 @@
         "tested": len(messages.encode("tested", CALL, {"load": "x0:12;x1:40;queue:3"}, 1)),
         "set_up": len(messages.encode("offer", CALL, FIELDS, desc=DESC)),
         "set_up_at": len(messages.encode("offer", CALL, at, desc=DESC)),
-        "set_up_on": len(set_up.line("batch", 1480.0)),
+        "set_up_on": len(set_up.encode_offer("batch", 1480.0)),
         "accept": len(messages.encode("accept", CALL, {}, desc=DESC)),
         "end": len(messages.encode("end", CALL, {}, 16)),
         "ended": len(messages.encode("ended", CALL, {})),
--- a/kelpfront/lab/fleet/restart.py
+++ b/kelpfront/lab/fleet/restart.py
@@ -125,10 +125,12 @@
             "first": _figures(first, shape.share),
             "again": _figures(again, shape.share),
             "handed_over": each * len(killed),
-            "found": sum(counts.get("found", 0) for counts in after),
-            "found_before": sum(counts.get("found", 0) for counts in before),
-            "bounds": sum(value for counts in after for name, value in counts.items() if "bound" in name),
-            "tasks_lost": sum(counts.get("tasks lost", 0) for counts in after),
+            "found": sum(counts.get("adopted_tasks", 0) for counts in after),
+            "found_before": sum(counts.get("adopted_tasks", 0) for counts in before),
+            "bounds": sum(
+                value for counts in after for name, value in counts.items() if name.startswith("limit_")
+            ),
+            "tasks_lost": sum(counts.get("tasks_lost", 0) for counts in after),
             "memory_mb_most": max((counts.get("memory_mb", 0) for counts in after), default=0),
             "descriptors_most": max((counts.get("descriptors", 0) for counts in after), default=0),
         }
--- a/kelpfront/lab/fleet/scale/hollow.py
+++ b/kelpfront/lab/fleet/scale/hollow.py
@@ -29,7 +29,14 @@
 )
 from kelpfront.lab.fleet.scale.traffic import IN, OUT, Traffic
 from kelpfront.lab.platform import Json
-from kelpfront.platform.messages import LINE_MOST, BadMessageError, Cause, Lines, decode, encode
+from kelpfront.platform.messages import (
+    MAX_LINE_BYTES,
+    Cause,
+    InvalidMessageError,
+    LineSplitter,
+    decode,
+    encode,
+)
 
 DRAIN_S = 0.5  # within which a told drain has to be kept
 LEAST_S = 1.0  # a task runs at least so long
@@ -202,7 +209,7 @@
     transport: asyncio.Transport
 
     def __init__(self, workers: Workers) -> None:
-        self._workers, self._lines = workers, Lines()
+        self._workers, self._lines = workers, LineSplitter()
         self.machine = self.placer = -1
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -232,13 +239,13 @@
         try:
             for line in self._lines.feed(data):
                 self._workers.said(self, line)
-        except BadMessageError:
+        except InvalidMessageError:
             self._workers.unreadable += 1
             self.transport.abort()
 
     def say(self, op: str, data: bytes) -> None:
         self._workers.traffic.add(self.placer, OUT, op, len(data))
-        if self.transport.get_write_buffer_size() < 16 * LINE_MOST:
+        if self.transport.get_write_buffer_size() < 16 * MAX_LINE_BYTES:
             self.transport.write(data)
         else:  # it does not read
             self.transport.abort()
--- a/kelpfront/lab/fleet/scale/owners.py
+++ b/kelpfront/lab/fleet/scale/owners.py
@@ -19,10 +19,10 @@
 from kelpfront.lab.fleet.scale.traffic import IN, OUT, Traffic
 from kelpfront.lab.fleet.settings import CLASSES
 from kelpfront.platform.messages import (
-    HARMLESS,
-    BadMessageError,
+    RETRYABLE_CAUSES,
     Cause,
-    Lines,
+    InvalidMessageError,
+    LineSplitter,
     Message,
     decode,
     encode,
@@ -156,7 +156,7 @@
             self.standing[call] = machine_number(message.desc)
         elif message.op == "end":
             if call in self._open:
-                self._answer(call, "refused" if message.why in HARMLESS else "failed")
+                self._answer(call, "refused" if message.why in RETRYABLE_CAUSES else "failed")
             elif call in self.standing:
                 self._released(call, self.standing.pop(call), message.why)
             else:
@@ -203,7 +203,7 @@
     transport: asyncio.Transport
 
     def __init__(self, owners: Owners) -> None:
-        self._owners, self._lines = owners, Lines()
+        self._owners, self._lines = owners, LineSplitter()
         self._tested: asyncio.Future[bool] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -225,7 +225,7 @@
                         self._tested.set_result(message.why == 1)
                 else:
                     self._owners.said(message)
-        except BadMessageError:
+        except InvalidMessageError:
             self._owners.counts["unreadable"] += 1
             self.transport.abort()
 
--- a/kelpfront/lab/fleet/scale/regions.py
+++ b/kelpfront/lab/fleet/scale/regions.py
@@ -22,7 +22,7 @@
 from kelpfront.lab.platform import Json, event
 from kelpfront.logs import configure_logs
 from kelpfront.platform.config import Address
-from kelpfront.platform.coordinator import Follower
+from kelpfront.platform.discovery_client import DiscoveryClient
 
 RELAY = 250  # and above: addresses at which other regions' lists ask
 TICK_S = 0.02
@@ -95,7 +95,7 @@
         self.drains: list[Drain] = []
         self.lists = [RegionList(shape, region, ports, self.drains) for region in range(shape.regions)]
         self.proxies: list[FaultProxy] = []
-        self._followers: list[Follower] = []
+        self._followers: list[DiscoveryClient] = []
         self._rate, self._owed, self._looked_at = 0.0, 0.0, time.monotonic()
         self.told = 0
 
@@ -125,7 +125,7 @@
             asker.relay(raw, asked.region)
             heard["index"] = int(raw["index"])
 
-        follower = Follower(
+        follower = DiscoveryClient(
             Address(*proxy.address),
             lambda: heard["index"],
             take,
--- a/kelpfront/lab/liveness.py
+++ b/kelpfront/lab/liveness.py
@@ -22,9 +22,9 @@
 from kelpfront.lab.fleet.settings import ZONES, config_json, whole_list
 from kelpfront.lab.platform import line, offer
 from kelpfront.platform.config import config_of
-from kelpfront.platform.core import Core
-from kelpfront.platform.directory import events_of
-from kelpfront.platform.intents import Tell, Test
+from kelpfront.platform.core import PlacerCore
+from kelpfront.platform.endpoint_events import parse_events
+from kelpfront.platform.intents import SendHealthCheck, SendToClient
 from kelpfront.platform.messages import decode
 from kelpfront.scheduling.events import LivenessObserved, MachineId
 from kelpfront.scheduling.scheduler import Scheduler
@@ -106,10 +106,10 @@
         known = {"index": 1, "updates": [whole_list(1, len(world.workers))]}
         raw = config_json(self.number, world.placers_most, "127.0.0.1:0", "127.0.0.1:1", known)
         self.config = config_of(raw)
-        self.core = Core(self.config, Scheduler(self.config.settings, self.number))
+        self.core = PlacerCore(self.config, Scheduler(self.config.settings, self.number))
         self._wake_at = 0.0
         self._where: dict[str, str] = {}
-        self.core.listed(self.clock, *events_of(known, self.config))
+        self.core.apply_endpoint_events(self.clock, *parse_events(known, self.config))
         names = list(world.workers)
         for task in range(self.tasks):
             conn = task // PORTION
@@ -119,27 +119,26 @@
             call = f"{self.number << 32 | task:016x}"
             self._where[call] = name
             extras = f"cores:0.1;memory:0.1;service:{task % 997:016x};at:{name}"
-            self.core.owner_says(self.clock, conn, decode(offer(call, extras=extras)))
+            self.core.on_client_message(self.clock, conn, decode(offer(call, extras=extras)))
         if world.watchers_most:
             self.news = LivenessView(world.rng.getrandbits(64), world.watchers_most)
-            self.news.listed(self.core.fleet.zones())
-            self.core.probes.heard = self._probed
+            self.news.listed(self.core.endpoints.machines_by_zone())
+            self.core.health_checks.observer = self._probed
             self.every(HELLO_MS, self._hello)
             self.every(SPOT_MS, self._spot)
         self.flush()
 
     def holds(self, worker: str) -> int:
-        return len(self.core.machines[self.world.workers[worker].id].standing)
+        return len(self.core.endpoints.machines[self.world.workers[worker].id].running)
 
     def flush(self) -> None:
-        while self.core.out:
-            out, self.core.out = self.core.out, []
-            for intent in out:
-                if isinstance(intent, Test):
+        while self.core.outbox:
+            for intent in self.core.outbox.drain():
+                if isinstance(intent, SendHealthCheck):
                     self.counts["tests"] += 1
                     self.counts["bytes out"] += len(intent.data) + SEGMENT
-                    self.world.test(self, intent.machine, intent.call, self._answered)
-                elif isinstance(intent, Tell) and intent.data.startswith(b'{"op":"end"'):
+                    self.world.test(self, intent.machine, intent.check_id, self._answered)
+                elif isinstance(intent, SendToClient) and intent.data.startswith(b'{"op":"end"'):
                     for ended in intent.data.splitlines():
                         name = self._where.get(decode(ended).call)  # none: an answer to a set-up
                         if name is not None:
@@ -157,7 +156,7 @@
     def _answered(self, ident: MachineId, call: str) -> None:
         data = line("tested", call, why=1, with_={"load": "x0:12.5;x1:20.25;q:0"})
         self.counts["bytes in"] += len(data) + SEGMENT
-        self.core.machine_says(self.clock, ident, decode(data))
+        self.core.on_machine_message(self.clock, ident, decode(data))
         self.flush()
 
     def _probed(self, now: float, ident: MachineId, silent: bool) -> None:
@@ -167,7 +166,7 @@
     def _take(self, seen: list[LivenessObserved]) -> None:
         for one in seen:
             self.world.judge(self, one)
-            self.core.probes.others_saw(self.clock, one)
+            self.core.health_checks.on_liveness_observed(self.clock, one)
 
     def _hello(self) -> None:
         assert self.news is not None
@@ -178,7 +177,7 @@
 
     def _spot(self) -> None:
         assert self.news is not None
-        self._take(self.news.spot(self.clock, self.core.holds))
+        self._take(self.news.spot(self.clock, self.core.has_running_tasks))
         self.flush()
 
     def digest(self, place: int, data: bytes) -> None:
@@ -256,8 +255,8 @@
         self.workers: dict[str, Worker] = {}
         listed = whole_list(1, workers)
         config = config_of(config_json(0, placers, "127.0.0.1:0", "127.0.0.1:1", {}))
-        for entry in events_of({"index": 1, "updates": [listed]}, config)[1][0].entries:
-            self.workers[entry.name] = Worker(entry.machine.id, entry.name, entry.machine.zone)
+        for entry in parse_events({"index": 1, "updates": [listed]}, config)[1][0].entries:
+            self.workers[entry.name] = Worker(entry.endpoint.id, entry.name, entry.endpoint.zone)
         self.by_id = {worker.id: worker for worker in self.workers.values()}
         self.cut: Callable[[Process, Worker], bool] = lambda who, worker: False
         self.deaf: Callable[[Process, Process], bool] = lambda sender, receiver: False
--- a/kelpfront/platform/__main__.py
+++ b/kelpfront/platform/__main__.py
@@ -1,11 +1,11 @@
 """`python -m kelpfront.platform`: one placer in service, configured by the file that LB_CONFIG names."""
-# ruff: noqa: E402
+# ruff: noqa: E402 - the time at which the process began is read before the imports, which take long
 
 from __future__ import annotations
 
 import time
 
-BEGAN = time.monotonic() - time.process_time()  # of the process, at the latest
+BEGAN_AT = time.monotonic() - time.process_time()  # of the process, at the latest
 
 import asyncio
 import os
@@ -15,38 +15,42 @@
 
 from kelpfront.logs import configure_logs
 from kelpfront.platform.config import ConfigError, read_config
-from kelpfront.platform.directory import BadEventError, events_of
+from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
+from kelpfront.platform.read_timing import TimedSelector
 from kelpfront.platform.service import Service
-from kelpfront.platform.turns import Turns
+
+EXIT_OK = 0
+EXIT_UNUSABLE_CONFIGURATION = 2
 
 
 def main() -> int:
+    """Run the placer of this process's environment; return the exit code."""
     name = os.environ.get("LB_CONFIG", "")
     if not name:
         print("kelpfront.platform: LB_CONFIG: the path of the configuration file is wanted", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE_CONFIGURATION
     return serve(Path(name))
 
 
 def serve(path: Path) -> int:
-    """One placer, until it is told to end; the exit code."""
+    """Run one placer until it is told to end; return the exit code."""
     # A signal during start must not end the process: the service sets its own handler once it runs.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = read_config(path)
-        events_of(config.known, config)
-    except (ConfigError, BadEventError) as error:
+        parse_events(config.known, config)
+    except (ConfigError, InvalidEventError) as error:
         print(f"kelpfront.platform: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE_CONFIGURATION
     configure_logs("info", "json", placer=config.name)
+    selector = TimedSelector()
     try:
-        turns = Turns()
-        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(turns)) as runner:
-            runner.run(Service(path, config, turns, BEGAN).run())
+        with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(selector)) as runner:
+            runner.run(Service(path, config, selector, BEGAN_AT).run())
     except OSError as error:
         print(f"kelpfront.platform: {path}: listen: {error.strerror or error}", file=sys.stderr)
-        return 2
-    return 0
+        return EXIT_UNUSABLE_CONFIGURATION
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/kelpfront/platform/attempts.py
+++ b/kelpfront/platform/attempts.py
@@ -1,314 +1,166 @@
-"""Attempts of one placer in service: decisions are carried out, and hear how it ended. Sans I/O.
+"""Attempts of one placer, from the scheduler's decision to their end. Pure.
 
-It chooses nothing: no machine, no time-out, no further attempt, no refusal. Times are Unix milliseconds. What
-is to be sent is in `out`, in order, after every call.
+It chooses nothing: no machine, no time-out, no further attempt. What is owed to the client is
+`request_lifecycle`'s affair; what follows an acceptance is `running_tasks`'.
 """
 
 from __future__ import annotations
 
-import itertools
-from collections import Counter, deque
-from collections.abc import Callable
+from dataclasses import dataclass
 
 from kelpfront.platform import messages
-from kelpfront.platform.calls import Attempt, Call, CallBook, Machine, found_most
-from kelpfront.platform.config import Config
-from kelpfront.platform.fleet import Fleet
-from kelpfront.platform.freshness import Freshness
-from kelpfront.platform.handovers import Handovers
-from kelpfront.platform.intents import Abandon, Conn, Forget, Intent, Offer, Presence, Say
+from kelpfront.platform.core_state import CoreState
+from kelpfront.platform.intents import AbandonAttempt, Offer
 from kelpfront.platform.messages import Cause
-from kelpfront.platform.probes import Probes
-from kelpfront.platform.sessions import Session, Sessions
-from kelpfront.scheduling.actions import (
-    Bind,
-    CancelAttempt,
-    CheckHealth,
-    DeclareMachineLost,
-    Fail,
-    FetchEndpointList,
-    LogMachineEjected,
-    Migrate,
-    Reject,
-    SchedulerAction,
-    SetTimer,
-    Subscribe,
-)
+from kelpfront.platform.requests import Attempt, PendingRequest
+from kelpfront.platform.scheduler_driver import SchedulerDriver
+from kelpfront.scheduling.actions import Bind, CancelAttempt
 from kelpfront.scheduling.events import (
     AttemptClosed,
     AttemptOutcome,
-    HealthCheckCompleted,
     LoadReport,
     MachineId,
     MachineState,
     OutcomeReason,
-    SchedulerEvent,
-    TaskId,
-    TaskWithdrawn,
-    TimerFired,
 )
-from kelpfront.scheduling.scheduler import Scheduler
-from kelpfront.timers import Timers
-
-
-class Attempts:
-    """The calls, machines and sessions of one placer, and its attempts, from the decision to their end."""
-
-    def __init__(
-        self, config: Config, scheduler: Scheduler, presence: Callable[[Conn, str], Presence]
-    ) -> None:
-        self._config, self._settings, self._scheduler = config, config.settings, scheduler
-        self._presence = presence
-        self.out: list[Intent] = []
-        self.logs: list[str] = []
-        self.fleet = Fleet()
-        self.machines = self.fleet.machines
-        self.counts: Counter[str] = Counter()
-        self.calls = CallBook(self.reached, found_most(config.memory_mb))
-        self.timers = Timers()
-        self.sessions = Sessions(lambda tell: self.out.append(tell), self.reached)
-        self._numbers = itertools.count(1)
-        self.probes = Probes(self._decide, lambda intent: self.out.append(intent), self.timers)
-        self.freshness = Freshness(self.timers, self._decide)
-        self.handovers = Handovers(self.timers, lambda: self.freshness.heard_at, self._lost, self.reached)
-        self._events: deque[SchedulerEvent] = deque()
-        self._deciding = False
+from kelpfront.scheduling.settings import SchedulerSettings
 
-    def reached(self, bound: str) -> None:
-        """Counts that a bound was reached; the first time is told in the log."""
-        name = f"bound: {bound}"
-        self.counts[name] += 1
-        if self.counts[name] == 1:
-            self.logs.append(f"bound reached: {bound}")
 
-    # ---- The decisions --------------------------------------------------------------------------------
+@dataclass(frozen=True, slots=True)
+class AttemptEnd:
+    """How an attempt ended, with what its machine reported on that."""
 
-    def _decide(self, now: float, event: SchedulerEvent) -> None:
-        """Hands over events one at a time: what an action brings about waits for its turn."""
-        self._events.append(event)
-        if self._deciding:
-            return
-        self._deciding = True
-        try:
-            while self._events:
-                for action in self._scheduler.handle(now, self._events.popleft()):
-                    self._carry_out(now, action)
-        finally:
-            self._deciding = False
-
-    def _carry_out(self, now: float, action: SchedulerAction) -> None:
-        match action:
-            case Bind():
-                self._bind(now, action)
-            case Reject(task):
-                self._answer(now, task, Cause.CONGESTION)
-            case Fail(task):
-                self._answer(now, task, Cause.TEMPORARY_FAILURE)
-            case CancelAttempt(task, number):
-                call = self.calls.of_task(task)
-                if call is not None and call.out is not None and call.out.number == number:
-                    self._give_up(now, call.out, AttemptOutcome.CANCELLED)
-            case Migrate(task):
-                self._move(now, task)
-            case CheckHealth(machine, timeout):
-                self._probe(now, machine, timeout)
-            case DeclareMachineLost(machine):
-                self.process_gone(now, machine)
-            case SetTimer(at, token):
-                self.timers.set(at, lambda then: self._decide(then, TimerFired(token)))
-            case LogMachineEjected(ejected, scope, cause, ejection_ms):
-                fields = f"machine={ejected:x} scope={scope} cause={cause} ejection_ms={ejection_ms:g}"
-                self.logs.append(f"machine ejected {fields}")
-            case Subscribe() | FetchEndpointList():
-                pass  # the coordinator is followed all the time
+    outcome: AttemptOutcome
+    reason: OutcomeReason = OutcomeReason.UNSPECIFIED
+    load: LoadReport | None = None
 
-    def _probe(self, now: float, machine: MachineId, timeout: float) -> None:
-        if machine in self.machines:
-            self.counts["probes"] += 1
-            self.probes.ask(now, machine, f"{next(self._numbers):016x}", timeout)
-        else:
-            self._events.append(HealthCheckCompleted(machine, False, 0.0, no_response=True))
 
-    # ---- Attempts -------------------------------------------------------------------------------------
-
-    def _bind(self, now: float, bind: Bind) -> None:
-        task, machine = bind.task, bind.machine
-        call = self.calls.of_task(task)
-        if call is None or call.out is not None or machine not in self.machines:
-            over = call is None or call.answered
-            number = 0 if call is None else call.attempts
-            closed = AttemptClosed(
-                task, number, machine, AttemptOutcome.NOT_SENT, OutcomeReason.UNSPECIFIED, over, 0.0, None
-            )
-            self._events.append(closed)
-            if call is not None:
-                call.attempts += 1
+class Attempts:
+    """Creates, gives up and closes attempts; the scheduler receives how each ended."""
+
+    def __init__(self, settings: SchedulerSettings, driver: SchedulerDriver, state: CoreState) -> None:
+        self._class_names = [task_class.name for task_class in settings.classes]
+        self._driver = driver
+        self._requests = state.requests
+        self._endpoints = state.endpoints
+        self._machine_tasks = state.machine_tasks
+        self._sessions = state.sessions
+        self._outbox = state.outbox
+        self._timers = state.timers
+        self._counters = state.counters
+
+    def bind(self, now: float, action: Bind) -> None:
+        """Offer the task to a machine."""
+        request = self._requests.of_task(action.task)
+        can_offer = request is not None and request.attempt is None
+        if request is None or not can_offer or action.machine not in self._endpoints.machines:
+            self._report_not_sent(action, request)
             return
-        due = now + bind.timeout_ms if bind.timeout_ms > 0 else call.due
-        attempt = Attempt(call, call.attempts, machine, now, min(due, call.due), now + bind.send_within_ms)
-        call.attempts += 1
-        call.out = attempt
-        self.counts["attempts"] += 1
-        self.timers.set(attempt.due, lambda then: self._timed_out(then, attempt))
-        if attempt.latest < attempt.due:
-            self.timers.set(attempt.latest, lambda then: self._too_late(then, attempt))
-        self.out.append(Offer(machine, call.call, attempt.number))
-
-    def _timed_out(self, now: float, attempt: Attempt) -> None:
-        if attempt.call.out is attempt and not attempt.placed:
-            self._give_up(
-                now, attempt, AttemptOutcome.TIMED_OUT if attempt.written else AttemptOutcome.UNREACHABLE
-            )
-
-    def _too_late(self, now: float, attempt: Attempt) -> None:
-        if attempt.call.out is attempt and not attempt.written:
-            self._give_up(now, attempt, AttemptOutcome.NOT_SENT)
-
-    def gate(self, now: float, call_id: str, number: int) -> bytes | None:
-        """The bytes of an offer, asked for right before they go out; None where it is not to go out."""
-        attempt = self.calls.open_attempt(call_id, number)
-        if attempt is None or attempt.written or now >= attempt.due:
-            return None
-        if not self._waits(now, attempt.call):
-            return None
-        machine = self.machines.get(attempt.machine)
-        if (
-            machine is None
-            or machine.state is not MachineState.READY
-            or now > attempt.latest
-            or attempt.bound_at < machine.anew_at  # decided for a former life, which was warm, maybe
-        ):
-            self._close(now, attempt, AttemptOutcome.NOT_SENT)
-            return None
-        attempt.written = True
-        call = attempt.call
-        cls = self._settings.classes[call.set_up.cls].name
-        return call.set_up.line(cls, attempt.due - now)
-
-    def unanswered(self, now: float, call_id: str, number: int, end: AttemptOutcome) -> None:
-        """Its connection never came up (UNREACHABLE: nothing was sent), or ended after the write (RESET)."""
-        attempt = self.calls.open_attempt(call_id, number)
-        if attempt is not None:
-            self._close(now, attempt, end)
-
-    def _give_up(self, now: float, attempt: Attempt, end: AttemptOutcome) -> None:
-        """The machine is told before anything else happens: only then is the attempt no longer out."""
-        call = attempt.call
-        data = messages.encode("end", call.call, {}, Cause.NORMAL) if attempt.written else b""
-        silent = end is AttemptOutcome.TIMED_OUT
-        self.out.append(Abandon(attempt.machine, call.call, attempt.number, data, silent))
-        self._close(now, attempt, end)
-
-    def _close(
-        self,
-        now: float,
-        attempt: Attempt,
-        end: AttemptOutcome,
-        reason: OutcomeReason = OutcomeReason.UNSPECIFIED,
-        load: LoadReport | None = None,
-    ) -> None:
-        """The attempt has ended; the decisions hear of it."""
-        call = attempt.call
-        call.out = None
-        self.counts[f"{'placed ' if attempt.placed else ''}{end.value}"] += 1
-        over = call.answered
-        if attempt.placed:
-            machine = self.machines.get(attempt.machine)
-            if machine is not None:
-                machine.standing.pop(call.call, None)
-                if not machine.standing and machine.state is MachineState.REMOVED:
-                    self._forget(machine)
-        if over:
-            self._drop(call)
-        took = now - attempt.bound_at
-        session = self.sessions.get(call.conn)
-        vouched = session is not None and session.vouched
+        timeout_at = now + action.timeout_ms if action.timeout_ms > 0 else request.deadline
+        attempt = Attempt(
+            request=request,
+            number=request.attempt_count,
+            machine=action.machine,
+            created_at=now,
+            deadline=min(timeout_at, request.deadline),
+            send_by=now + action.send_within_ms,
+        )
+        request.attempt_count += 1
+        request.attempt = attempt
+        self._counters.attempts += 1
+        self._timers.set(attempt.deadline, lambda then: self._on_timeout(then, attempt))
+        if attempt.send_by < attempt.deadline:
+            self._timers.set(attempt.send_by, lambda then: self._on_send_window_over(then, attempt))
+        self._outbox.put(Offer(attempt.machine, request.request_id, attempt.number))
+
+    def _report_not_sent(self, action: Bind, request: PendingRequest | None) -> None:
+        """Have the scheduler receive that the attempt it wants cannot be made."""
         closed = AttemptClosed(
-            call.task, attempt.number, attempt.machine, end, reason, over, took, load, vouched
+            action.task,
+            0 if request is None else request.attempt_count,
+            action.machine,
+            AttemptOutcome.NOT_SENT,
+            OutcomeReason.UNSPECIFIED,
+            task_finished=request is None or request.answered,
+            elapsed_ms=0.0,
         )
-        self._decide(now, closed)
-
-    def _drop(self, call: Call) -> None:
-        """The call is over and nothing of it is out."""
-        self.calls.drop(call)
-        session = self.sessions.get(call.conn)
-        if session is not None:
-            session.calls.pop(call.call, None)
-
-    def _answer(self, now: float, task: TaskId, cause: Cause) -> None:
-        call = self.calls.of_task(task)
-        if call is None or call.answered:
-            return
-        self.counts["refused" if cause in messages.HARMLESS else "failed"] += 1
-        self._finish(now, call)
-        self.sessions.answer(call, messages.encode("end", call.call, {}, cause))
-
-    def _finish(self, now: float, call: Call) -> None:
-        """No answer is owed any more; an attempt that is still out is given up."""
-        call.answered = True
-        if call.out is not None:
-            self._give_up(now, call.out, AttemptOutcome.CANCELLED)
+        self._driver.enqueue(closed)
+        if request is not None:
+            request.attempt_count += 1
+
+    def cancel(self, now: float, action: CancelAttempt) -> None:
+        """Give up the attempt if it is the one in flight."""
+        request = self._requests.of_task(action.task)
+        attempt = None if request is None else request.attempt
+        if attempt is not None and attempt.number == action.attempt:
+            self.give_up(now, attempt, AttemptOutcome.CANCELLED)
+
+    def _on_timeout(self, now: float, attempt: Attempt) -> None:
+        if attempt.request.attempt is attempt and not attempt.accepted:
+            outcome = AttemptOutcome.TIMED_OUT if attempt.sent else AttemptOutcome.UNREACHABLE
+            self.give_up(now, attempt, outcome)
+
+    def _on_send_window_over(self, now: float, attempt: Attempt) -> None:
+        if attempt.request.attempt is attempt and not attempt.sent:
+            self.give_up(now, attempt, AttemptOutcome.NOT_SENT)
+
+    def encode_offer(self, now: float, attempt: Attempt) -> bytes | None:
+        """Return the bytes of an offer right before they are written; None where it must not be sent."""
+        if not self._may_send(now, attempt):
+            self.close(now, attempt, AttemptEnd(AttemptOutcome.NOT_SENT))
+            return None
+        attempt.sent = True
+        spec = attempt.request.spec
+        return spec.encode_offer(self._class_names[spec.class_index], attempt.deadline - now)
+
+    def _may_send(self, now: float, attempt: Attempt) -> bool:
+        machine = self._endpoints.machines.get(attempt.machine)
+        if machine is None or machine.state is not MachineState.READY:
+            return False
+        # What was decided for a former incarnation, which may have been warm, is decided anew.
+        is_for_former_incarnation = attempt.created_at < machine.restarted_at
+        return now <= attempt.send_by and not is_for_former_incarnation
+
+    def give_up(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Give an attempt up; its machine is notified first: only then is it no longer in flight."""
+        request_id = attempt.request.request_id
+        data = messages.encode("end", request_id, {}, Cause.NORMAL) if attempt.sent else b""
+        no_response = outcome is AttemptOutcome.TIMED_OUT
+        self._outbox.put(AbandonAttempt(attempt.machine, attempt.key, data, no_response))
+        self.close(now, attempt, AttemptEnd(outcome))
+
+    def close(self, now: float, attempt: Attempt, end: AttemptEnd) -> None:
+        """End an attempt; the scheduler receives how."""
+        request = attempt.request
+        request.attempt = None
+        is_finished = request.answered
+        if attempt.accepted:
+            self._counters.task_outcomes[end.outcome] += 1
+            self._machine_tasks.remove(attempt.machine, request)
         else:
-            self._drop(call)
-
-    # ---- Owners that leave ----------------------------------------------------------------------------
-
-    def owner_closed(self, now: float, conn: Conn) -> None:
-        """Set-ups open on it are given up; tasks that stand go on."""
-        self._give_all_up(now, self.sessions.close(conn))
-
-    def _give_all_up(self, now: float, session: Session | None) -> None:
-        for call in [] if session is None else list(session.calls.values()):
-            if not call.answered:
-                self._withdraw(now, call)
-
-    def _withdraw(self, now: float, call: Call) -> None:
-        self.counts["withdrawn"] += 1
-        if call.decided:
-            self._decide(now, TaskWithdrawn(call.task))
-        if not call.answered:
-            self._finish(now, call)
-
-    def _waits(self, now: float, call: Call) -> bool:
-        """Whether its owner still waits; what has been given up, heard or not yet, is withdrawn.
-
-        A connection that has closed is not taken as closed before what came ahead of that has been heard.
-        """
-        presence = self._presence(call.conn, call.call)
-        if presence is Presence.HERE:
-            return True
-        self.counts["left unread"] += 1
-        if presence is Presence.LEFT:
-            self._give_all_up(now, self.sessions.get(call.conn))
-        if not call.answered:
-            self._withdraw(now, call)
-        return False
-
-    def _move(self, now: float, task: TaskId) -> None:
-        call = self.calls.of_task(task)
-        if call is None or call.out is None or not call.out.placed or call.ended:
-            return
-        call.ended = True
-        self.counts["moves"] += 1
-        self.sessions.release(now, call, messages.encode("redirect", call.call, {}))
-        self.out.append(Say(call.out.machine, messages.encode("end", call.call, {}, Cause.UNSPECIFIED)))
-
-    def _lost(self, now: float, call: Call) -> None:
-        """A task that stood is over with its machine: its owner is told, and so are the decisions."""
-        if call.out is None:
-            return
-        if not call.ended:
-            self.sessions.release(now, call, messages.encode("end", call.call, {}, Cause.TEMPORARY_FAILURE))
-        self._close(now, call.out, AttemptOutcome.RESET)
-
-    def process_gone(self, now: float, ident: MachineId) -> None:
-        """The machine's process is dead: what stood there is cut."""
-        machine = self.machines.get(ident)
-        if machine is not None:
-            self.counts["tasks lost"] += len(machine.standing)
-            for call in list(machine.standing.values()):
-                self._lost(now, call)
-
-    def _forget(self, machine: Machine) -> None:
-        if self.machines.pop(machine.id, None) is not None:
-            self.out.append(Forget(machine.id))
+            self._counters.attempt_outcomes[end.outcome] += 1
+        if is_finished:
+            self.forget_request(request)
+        closed = AttemptClosed(
+            request.task,
+            attempt.number,
+            attempt.machine,
+            end.outcome,
+            end.reason,
+            task_finished=is_finished,
+            elapsed_ms=now - attempt.created_at,
+            load=end.load,
+            client_trusted=self._sessions.is_established(request.connection),
+        )
+        self._driver.submit(now, closed)
+
+    def forget_request(self, request: PendingRequest) -> None:
+        """Drop a request that is over and of which nothing is in flight."""
+        self._requests.remove(request)
+        self._sessions.forget_request(request)
+
+    def in_flight_on(self, machine: MachineId, request: PendingRequest | None) -> Attempt | None:
+        """Return the request's attempt if it was sent to that machine and is not closed."""
+        attempt = None if request is None else request.attempt
+        is_there = attempt is not None and attempt.machine == machine and attempt.sent
+        return attempt if is_there else None
--- /dev/null
+++ b/kelpfront/platform/client_connection.py
@@ -0,0 +1,113 @@
+"""One client's connection: what has arrived on it, read or not. Which lines are taken, others decide."""
+
+from __future__ import annotations
+
+import asyncio
+import select
+import socket
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from typing import SupportsIndex
+
+from kelpfront.platform.idle_connections import NEVER, PartialLine
+from kelpfront.platform.intents import ClientPresence
+from kelpfront.platform.messages import MAX_LINE_BYTES, LineSplitter, contains_withdrawal
+
+MAX_PEEK_BYTES = 256 << 10
+"""Bytes in the kernel that are searched for a line that withdraws a request."""
+
+
+class PeekableReader(asyncio.StreamReader):
+    """A stream whose unread bytes can be inspected.
+
+    Attributes:
+        unread: what has been read from the kernel and by nobody else.
+        has_ended: whether the client sends no more.
+    """
+
+    def __init__(self) -> None:
+        super().__init__(limit=MAX_LINE_BYTES, loop=asyncio.get_running_loop())
+        self.unread = bytearray()
+        self.has_ended = False
+
+    def feed_data(self, data: Iterable[SupportsIndex]) -> None:
+        """Take what was read from the kernel."""
+        self.unread += bytes(data)
+        super().feed_data(data)
+
+    def feed_eof(self) -> None:
+        """Take note that the client sends no more."""
+        self.has_ended = True
+        super().feed_eof()
+
+    async def read(self, n: int = -1) -> bytes:
+        """Read up to `n` bytes."""
+        data = await super().read(n)
+        del self.unread[: len(data)]
+        return data
+
+
+@dataclass(slots=True, eq=False)
+class ClientConnection:
+    """One open connection. Times are seconds of the event loop's clock.
+
+    Attributes:
+        last_valid_at: when it last sent a valid message; NEVER before the first one.
+        partial_line: the line that it has begun and not ended.
+        splitter: splits what was read into lines.
+        pending_lines: lines that wait for their turn.
+    """
+
+    reader: PeekableReader
+    writer: asyncio.StreamWriter
+    opened_at: float
+    last_valid_at: float = NEVER
+    partial_line: PartialLine | None = None
+    splitter: LineSplitter = field(default_factory=LineSplitter)
+    pending_lines: list[bytes] = field(default_factory=list)
+
+    def presence(self, request_id: str) -> ClientPresence:
+        """Return whether the client still waits for a request, by all that has arrived.
+
+        That is: lines that wait, what the stream holds, and what is unread in the kernel.
+        """
+        if self.reader.has_ended or self.writer.is_closing():
+            return ClientPresence.DISCONNECTED
+        kernel = _peek_kernel(self.writer.get_extra_info("socket").fileno())
+        if kernel is None:
+            return ClientPresence.DISCONNECTED
+        if not (kernel or self.reader.unread or self.pending_lines):
+            return ClientPresence.WAITING
+        lines = b"\n".join((*self.pending_lines, self.splitter.rest))
+        unread = b"".join((lines, self.reader.unread, kernel))
+        if contains_withdrawal(unread, request_id):
+            return ClientPresence.WITHDRAWN
+        return ClientPresence.WAITING
+
+
+def _peek_kernel(fd: int) -> bytes | None:
+    """Return what is unread in the kernel; None where the connection has ended."""
+    poll = select.poll()
+    poll.register(fd, select.POLLIN | select.POLLRDHUP)
+    unread = b""
+    for _, events in poll.poll(0):
+        if events & ~select.POLLIN:
+            return None
+        peeked = _peek(fd)
+        if peeked == b"":
+            return None
+        unread = peeked or b""
+    return unread
+
+
+def _peek(fd: int) -> bytes | None:
+    """Return what is unread: no bytes where the connection has ended, None where it does not say."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
+    try:
+        return sock.recv(MAX_PEEK_BYTES, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+    except ConnectionError:
+        return b""
+    except OSError:
+        return None
+    finally:
+        sock.detach()
--- a/kelpfront/platform/config.py
+++ b/kelpfront/platform/config.py
@@ -1,4 +1,7 @@
-"""The platform's configuration file, checked. Errors name the file, the key and what is allowed."""
+"""The platform's configuration file, checked. Errors name the file, the key and what is allowed.
+
+The scheduler's settings are read by `kelpfront.wire`; events in `known` by `endpoint_events`.
+"""
 
 from __future__ import annotations
 
@@ -14,24 +17,57 @@
 
 T = TypeVar("T")
 
-MEMORY_MB = 64.0  # where the limits say nothing of it
-MEMORY_MOST_MB = 1 << 24
-WATCHERS_MOST = 16  # each sends digests every second
+DEFAULT_SOCKETS = 1024
+"""Descriptors where the limits say nothing of them."""
+
+MIN_SOCKETS = 64
+"""With fewer, clients, machines and the endpoint list would have none left for one another."""
+
+DEFAULT_MEMORY_MB = 64.0
+"""Memory where the limits say nothing of it."""
+
+MAX_MEMORY_MB = 1 << 24
+"""More is a mistake of units."""
+
+DEFAULT_IDLE_MS = 30_000.0
+"""After which machines close idle connections, where the settings say nothing of it."""
+
+MAX_FAILURE_DETECTORS = 16
+"""Each sends digests every second."""
+
+MAX_PORT = 65_535
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be used."""
+    """A configuration that cannot be used; the message names the key, the value and what is allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
+    """A host, by name or number, and a port."""
+
     host: str
     port: int
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """What the platform tells a placer at its start; times in `settings` are milliseconds."""
+    """What the platform tells a placer at its start.
+
+    Attributes:
+        name: of this placer, for the log.
+        listen: where clients connect to.
+        coordinator: where the endpoint list is polled.
+        seed: of the placer's random choices.
+        sockets: descriptors that the process may have open.
+        memory_mb: memory that it may use.
+        known: an answer of the coordinator that may be some seconds old.
+        settings: the scheduler's settings; times are milliseconds.
+        zones: names of zones, by the scheduler's index.
+        kinds: names of the kinds of machines, by the scheduler's index.
+        idle_ms: after which machines close idle connections.
+        watchers: failure detectors that report which machines live; empty: this placer checks all itself.
+    """
 
     name: str
     listen: Address
@@ -45,71 +81,112 @@
     kinds: tuple[str, ...]
     idle_ms: float
     watchers: tuple[Address, ...] = ()
-    """Who tells this placer which machines live; empty: it asks them itself."""
 
 
 def read_config(path: Path) -> Config:
-    """The file at `path`; ConfigError says what is wrong with it."""
+    """Return the configuration of the file at `path`.
+
+    Raises:
+        ConfigError: it cannot be read or used; the message names the file and the key.
+    """
     return read_json(path, config_of)
 
 
-def read_json(path: Path, read: Callable[[Any], T]) -> T:
-    """What `read` makes of the JSON file at `path`; ConfigError names the file."""
+def read_json(path: Path, parse: Callable[[Any], T]) -> T:
+    """Return what `parse` makes of the JSON file at `path`.
+
+    Raises:
+        ConfigError: the file cannot be read, or `parse` raised one; the message names the file.
+    """
     try:
         raw = json.loads(path.read_bytes())
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror or error}") from None
+        raise ConfigError(f"{path}: {error.strerror or error}") from error
     except (ValueError, RecursionError) as error:
-        raise ConfigError(f"{path}: not JSON: {error}") from None
+        raise ConfigError(f"{path}: not JSON: {error}") from error
     try:
-        return read(raw)
+        return parse(raw)
     except ConfigError as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise ConfigError(f"{path}: {error}") from error
 
 
 def config_of(raw: Any) -> Config:
+    """Return the configuration that the JSON value holds.
+
+    Raises:
+        ConfigError: it cannot be used; the message names the key.
+    """
     if not isinstance(raw, dict):
         raise ConfigError("a JSON object is wanted")
-    info = _table(raw, "settings")
-    try:
-        settings = replace(settings_of(info), machine_loss_notified=False)
-    except (ValueError, TypeError, AttributeError) as error:
-        raise ConfigError(f"settings: {error}") from None
-    sockets = _table(raw, "limits").get("sockets", 1024)
-    if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < 64:
-        raise ConfigError(f"limits: sockets: a whole number of at least 64 is wanted, not {sockets!r}")
-    memory = _table(raw, "limits").get("memory_mb", MEMORY_MB)
-    if isinstance(memory, bool) or not isinstance(memory, int | float) or not 1 <= memory <= MEMORY_MOST_MB:
-        raise ConfigError(f"limits: memory_mb: a number from 1 to {MEMORY_MOST_MB} is wanted, not {memory!r}")
-    seed = raw.get("seed", "0")
-    try:
-        number = int(str(seed), 16)
-    except ValueError:
-        raise ConfigError(f"seed: hex digits are wanted, not {seed!r}") from None
-    idle = _table(info, "Permissions").get("ConnIdleMs", 30_000.0)
-    if isinstance(idle, bool) or not isinstance(idle, int | float) or not idle > 0:
-        raise ConfigError(f"settings: Permissions: ConnIdleMs: above 0 is wanted, not {idle!r}")
+    info = _object(raw, "settings")
+    settings = _settings(info)
+    limits = _object(raw, "limits")
+    sockets = _sockets(limits)
+    memory_mb = _memory_mb(limits)
+    seed = _seed(raw.get("seed", "0"))
+    idle_ms = _idle_ms(info)
     return Config(
         name=str(raw.get("name", "")),
         listen=address_of(raw.get("listen"), "listen"),
         coordinator=address_of(raw.get("coordinator"), "coordinator"),
-        seed=number,
+        seed=seed,
         sockets=sockets,
-        memory_mb=float(memory),
-        known=_table(raw, "known"),
+        memory_mb=memory_mb,
+        known=_object(raw, "known"),
         settings=settings,
         zones=_names(info, "Zones"),
         kinds=_names(info, "Shapes"),
-        idle_ms=float(idle),
-        watchers=_watchers(_table(raw, "liveness")),
+        idle_ms=idle_ms,
+        watchers=_watchers(_object(raw, "liveness")),
     )
 
 
+def _settings(info: dict[str, Any]) -> SchedulerSettings:
+    try:
+        return replace(settings_of(info), machine_loss_notified=False)
+    except (ValueError, TypeError, AttributeError) as error:
+        raise ConfigError(f"settings: {error}") from error
+
+
+def _sockets(limits: dict[str, Any]) -> int:
+    value = limits.get("sockets", DEFAULT_SOCKETS)
+    if isinstance(value, bool) or not isinstance(value, int) or value < MIN_SOCKETS:
+        raise ConfigError(
+            f"limits: sockets: a whole number of at least {MIN_SOCKETS} is wanted, not {value!r}"
+        )
+    return value
+
+
+def _memory_mb(limits: dict[str, Any]) -> float:
+    value = limits.get("memory_mb", DEFAULT_MEMORY_MB)
+    if not _is_number(value) or not 1 <= value <= MAX_MEMORY_MB:
+        raise ConfigError(f"limits: memory_mb: a number from 1 to {MAX_MEMORY_MB} is wanted, not {value!r}")
+    return float(value)
+
+
+def _seed(value: Any) -> int:
+    try:
+        return int(str(value), 16)
+    except ValueError as error:
+        raise ConfigError(f"seed: hex digits are wanted, not {value!r}") from error
+
+
+def _idle_ms(info: dict[str, Any]) -> float:
+    value = _object(info, "Permissions").get("ConnIdleMs", DEFAULT_IDLE_MS)
+    if not _is_number(value) or not value > 0:
+        raise ConfigError(f"settings: Permissions: ConnIdleMs: above 0 is wanted, not {value!r}")
+    return float(value)
+
+
+def _is_number(value: Any) -> bool:
+    return isinstance(value, int | float) and not isinstance(value, bool)
+
+
 def _watchers(table: dict[str, Any]) -> tuple[Address, ...]:
     where = "liveness: watchers"
     value = table.get("watchers", [])
-    if not isinstance(value, list) or len(value) > WATCHERS_MOST:
-        raise ConfigError(f"{where}: a list of at most {WATCHERS_MOST} is wanted, not {value!r}")
+    if not isinstance(value, list) or len(value) > MAX_FAILURE_DETECTORS:
+        raise ConfigError(f"{where}: a list of at most {MAX_FAILURE_DETECTORS} is wanted, not {value!r}")
     found = tuple(datagram_address(item, where) for item in value)
     if len(set(found)) < len(found):
         raise ConfigError(f"{where}: each is wanted once, not {value!r}")
@@ -117,26 +194,35 @@
 
 
 def datagram_address(value: Any, where: str) -> Address:
-    """ADDRESS:PORT by number, as datagrams are told apart by it; ConfigError names `where`."""
+    """Return ADDRESS:PORT as an address; by number, as datagrams are told apart by it.
+
+    Raises:
+        ConfigError: the message names `where`.
+    """
     found = address_of(value, where)
     try:
         IPv4Address(found.host)
-    except ValueError:
-        raise ConfigError(f"{where}: an IPv4 address and a port are wanted, not {value!r}") from None
+    except ValueError as error:
+        raise ConfigError(f"{where}: an IPv4 address and a port are wanted, not {value!r}") from error
     if not found.port:
         raise ConfigError(f"{where}: a port above 0 is wanted, not {value!r}")
     return found
 
 
 def address_of(value: Any, where: str) -> Address:
-    """HOST:PORT as an address; ConfigError names `where`."""
+    """Return HOST:PORT as an address.
+
+    Raises:
+        ConfigError: the message names `where`.
+    """
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    if not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
+    has_port = port.isascii() and port.isdigit() and int(port) <= MAX_PORT
+    if not host or not has_port:
         raise ConfigError(f"{where}: HOST:PORT is wanted, not {value!r}")
     return Address(host, int(port))
 
 
-def _table(raw: dict[str, Any], name: str) -> dict[str, Any]:
+def _object(raw: dict[str, Any], name: str) -> dict[str, Any]:
     value = raw.get(name, {})
     if not isinstance(value, dict):
         raise ConfigError(f"{name}: a JSON object is wanted, not {value!r}")
--- /dev/null
+++ b/kelpfront/platform/core_runner.py
@@ -0,0 +1,81 @@
+"""Between the core and the sockets: carries out intents, writes the log, wakes the core when it is due."""
+
+from __future__ import annotations
+
+import asyncio
+import math
+from collections.abc import Callable
+
+import structlog
+
+from kelpfront.platform.core import PlacerCore
+from kelpfront.platform.intents import Intent, SendToClient
+from kelpfront.platform.machine_pools import MachineIntent
+
+log = structlog.get_logger("kelpfront.platform")
+
+
+class CoreRunner:
+    """Runs one core on the event loop.
+
+    Attributes:
+        send_to_client: carries out an intent for a client.
+        send_to_machine: carries out an intent for a machine.
+    """
+
+    def __init__(self, core: PlacerCore, now: Callable[[], float]) -> None:
+        """Make a runner; both carriers are set before the first flush, as they need `flush` themselves."""
+        self.send_to_client: Callable[[SendToClient], None] = _not_connected
+        self.send_to_machine: Callable[[MachineIntent], None] = _not_connected
+        self._core = core
+        self._now = now
+        self._flushing = False
+        self._timer: asyncio.TimerHandle | None = None
+        self._timer_at = 0.0
+
+    def flush(self) -> None:
+        """Carry out what the core wants, and set its timer. What that brings about joins the queue."""
+        if self._flushing:
+            return
+        self._flushing = True
+        try:
+            while self._core.outbox:
+                for intent in self._core.outbox.drain():
+                    self._carry_out(intent)
+        finally:
+            self._flushing = False
+        for record in self._core.log.drain():
+            log.info(record.event, **record.fields())
+        self._set_timer()
+
+    def _carry_out(self, intent: Intent) -> None:
+        if isinstance(intent, SendToClient):
+            self.send_to_client(intent)
+        else:
+            self.send_to_machine(intent)
+
+    def _set_timer(self) -> None:
+        due = self._core.timers.next()
+        if self._timer is not None and due < self._timer_at:
+            self.stop()
+        if due < math.inf and self._timer is None:
+            loop = asyncio.get_running_loop()
+            self._timer_at = due
+            delay_s = max(0.0, due - self._now()) / 1000.0
+            # What a stalled loop finds unread is read before time-outs are judged: two iterations later.
+            self._timer = loop.call_later(delay_s, loop.call_soon, loop.call_soon, self._on_timer)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self._core.timers.run(self._now())
+        self.flush()
+
+    def stop(self) -> None:
+        """Cancel the timer."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+
+def _not_connected(intent: Intent) -> None:
+    raise RuntimeError(f"no connections to carry out {type(intent).__name__}")
--- /dev/null
+++ b/kelpfront/platform/endpoint_table.py
@@ -0,0 +1,195 @@
+"""The machines of the endpoint list as its events have them, and whether an event was missed. Pure.
+
+What a change means for tasks that run on a machine is `endpoint_updates`' affair; the failure detector's
+program uses the table alone.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterator, Sequence
+from dataclasses import dataclass, field, replace
+
+from kelpfront.platform.config import Address
+from kelpfront.platform.endpoint_events import EndpointEntry, EndpointEvent
+from kelpfront.platform.requests import PendingRequest
+from kelpfront.scheduling.events import Endpoint, MachineId, MachineState
+
+MAX_REMEMBERED_REMOVALS = 1_024
+"""Removed machines that are remembered, so that an older list does not bring them back."""
+
+_NEVER = -1.0
+
+
+@dataclass(slots=True, eq=False)
+class Machine:
+    """A machine of the endpoint list, and the tasks that run on it.
+
+    Attributes:
+        running: requests whose tasks run there, by request id.
+        restarted_at: when this placer was notified of its present incarnation, where it knew of another.
+    """
+
+    id: MachineId
+    name: str
+    address: Address
+    state: MachineState
+    started_at: float
+    zone: int = -1
+    running: dict[str, PendingRequest] = field(default_factory=dict)
+    restarted_at: float = -math.inf
+
+
+@dataclass(slots=True)
+class EndpointChange:
+    """What one event has changed.
+
+    Attributes:
+        removed: machines that are still in the table; whoever applies the change forgets them.
+    """
+
+    event: EndpointEvent
+    added: list[Machine] = field(default_factory=list)
+    restarted: list[Machine] = field(default_factory=list)
+    removed: list[Machine] = field(default_factory=list)
+
+
+class EndpointTable:
+    """The machines by id.
+
+    Attributes:
+        index: the number of the last event that was applied.
+        generation: grows with each change of which machines there are.
+        has_gap: whether an event was missed, which would never be sent again.
+    """
+
+    def __init__(self) -> None:
+        self.machines: dict[MachineId, Machine] = {}
+        self.index = 0
+        self.generation = 0
+        self.has_gap = False
+        self._highest_index = 0  # of all that were applied, also before numbers went back
+        self._removed: dict[MachineId, float] = {}  # and when each had started
+
+    @property
+    def poll_index(self) -> int:
+        """The index after which events are wanted: 0, the complete list, where one was missed."""
+        return 0 if self.has_gap else self.index
+
+    def apply(self, index: int, events: Sequence[EndpointEvent]) -> Iterator[EndpointChange]:
+        """Apply an answer and yield its changes one by one; events applied before are passed over.
+
+        Numbers follow one another. Where some lack, or go back, what was received is applied, and the
+        complete list is wanted: a drain may have been among them. A service that is behind has an older list;
+        its events are applied from there on, but what it does not know yet of drains and removals is not
+        taken back.
+
+        Args:
+            index: the number that the answer says is the last.
+            events: its events.
+        """
+        if self.has_gap and events and events[0].complete:
+            yield self._fill_gap(index, events)
+            return
+        if index < self.index:
+            self.has_gap = True
+            return
+        for event in events:
+            if event.index <= self.index:
+                continue
+            self.has_gap |= not event.complete and event.index != self.index + 1
+            self.index = event.index
+            if event.complete or event.entries:
+                yield self._apply_event(event)
+        self.has_gap |= index > self.index
+        self.index = max(self.index, index)
+        self._highest_index = max(self._highest_index, self.index)
+
+    def _fill_gap(self, index: int, events: Sequence[EndpointEvent]) -> EndpointChange:
+        self.has_gap = False
+        merged = merge_events(events)
+        change = self._apply_event(merged)
+        self.index = max(index, merged.index)
+        self._highest_index = max(self._highest_index, self.index)
+        return change
+
+    def _apply_event(self, event: EndpointEvent) -> EndpointChange:
+        if event.index < self._highest_index:
+            event = self._without_reversals(event)
+        change = EndpointChange(event)
+        if event.complete:
+            named = {entry.endpoint.id for entry in event.entries}
+            change.removed = [machine for ident, machine in self.machines.items() if ident not in named]
+        for entry in event.entries:
+            self._apply_entry(entry, change)
+        for machine in change.removed:
+            self._remember_removal(machine)
+        self.generation += bool(change.added or change.removed)
+        return change
+
+    def _apply_entry(self, entry: EndpointEntry, change: EndpointChange) -> None:
+        endpoint = entry.endpoint
+        machine = self.machines.get(endpoint.id)
+        if machine is None:
+            machine = _new_machine(entry)
+            self.machines[endpoint.id] = machine
+            change.added.append(machine)
+        elif endpoint.started_at > machine.started_at:
+            change.restarted.append(machine)
+        machine.state = endpoint.state
+        machine.started_at = endpoint.started_at
+        self._removed.pop(endpoint.id, None)
+        if entry.address.host:
+            machine.address = entry.address
+        if endpoint.state is MachineState.REMOVED:
+            change.removed.append(machine)
+
+    def _remember_removal(self, machine: Machine) -> None:
+        self._removed[machine.id] = machine.started_at
+        if len(self._removed) > MAX_REMEMBERED_REMOVALS:
+            del self._removed[next(iter(self._removed))]
+
+    def _without_reversals(self, event: EndpointEvent) -> EndpointEvent:
+        """Return an older event without what later ones notified of the same incarnations."""
+        entries = [
+            self._without_reversed_drain(entry)
+            for entry in event.entries
+            if self._removed.get(entry.endpoint.id, _NEVER) < entry.endpoint.started_at
+        ]
+        return replace(event, entries=tuple(entries))
+
+    def _without_reversed_drain(self, entry: EndpointEntry) -> EndpointEntry:
+        endpoint = entry.endpoint
+        known = self.machines.get(endpoint.id)
+        if known is None or known.started_at < endpoint.started_at:
+            return entry
+        is_reversal = endpoint.state is MachineState.READY and known.state is MachineState.DRAINING
+        return replace(entry, endpoint=replace(endpoint, state=known.state)) if is_reversal else entry
+
+    def forget(self, machine_id: MachineId) -> bool:
+        """Drop a machine; return whether it was there."""
+        return self.machines.pop(machine_id, None) is not None
+
+    def machines_by_zone(self) -> dict[int, list[MachineId]]:
+        """Return the machines that are not removed, by zone."""
+        found: dict[int, list[MachineId]] = {}
+        for machine in self.machines.values():
+            if machine.state is not MachineState.REMOVED:
+                found.setdefault(machine.zone, []).append(machine.id)
+        return found
+
+
+def _new_machine(entry: EndpointEntry) -> Machine:
+    endpoint: Endpoint = entry.endpoint
+    return Machine(endpoint.id, entry.name, entry.address, endpoint.state, endpoint.started_at, endpoint.zone)
+
+
+def merge_events(events: Sequence[EndpointEvent]) -> EndpointEvent:
+    """Return one complete list that equals a complete list and the changes after it."""
+    entries: dict[MachineId, EndpointEntry] = {}
+    for event in events:
+        if event.complete:
+            entries = {}
+        entries |= {entry.endpoint.id: entry for entry in event.entries}
+    present = [entry for entry in entries.values() if entry.endpoint.state is not MachineState.REMOVED]
+    return EndpointEvent(events[-1].index, complete=True, entries=tuple(present))
--- /dev/null
+++ b/kelpfront/platform/failure_detector_client.py
@@ -0,0 +1,123 @@
+"""A placer's port for failure detectors' digests. Loaded only where the configuration names detectors.
+
+Which reports count is decided by `kelpfront.failure_detection.view`; what they mean, by the scheduler.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+from collections.abc import Iterable
+from typing import Any
+
+import structlog
+
+from kelpfront.failure_detection.digest import pack_hello
+from kelpfront.failure_detection.view import HELLO_MS, SPOT_MS, LivenessView
+from kelpfront.platform.background_tasks import BackgroundTasks
+from kelpfront.platform.config import Address
+from kelpfront.platform.core_access import CoreAccess
+from kelpfront.scheduling.events import LivenessObserved, MachineId
+
+log = structlog.get_logger("kelpfront.platform.failure_detector_client")
+
+
+class FailureDetectorClient(asyncio.DatagramProtocol):
+    """Between the detectors' datagrams and the core.
+
+    Attributes:
+        view: what the detectors report, and how often.
+    """
+
+    def __init__(
+        self,
+        host: str,
+        detectors: tuple[Address, ...],
+        access: CoreAccess,
+        *,
+        nonce: int,
+    ) -> None:
+        """Make a client, which receives once it is started.
+
+        Args:
+            host: where it listens, at a port of the system's choice.
+            detectors: the failure detectors; datagrams of others are ignored.
+            access: takes the reports to the core.
+            nonce: must not come again in another incarnation.
+        """
+        self.view = LivenessView(nonce, len(detectors))
+        self._host = host
+        self._core = access.core
+        self._now = access.now
+        self._flush = access.flush
+        self._addresses = [(address.host, address.port) for address in detectors]
+        self._index_by_address = {address: index for index, address in enumerate(self._addresses)}
+        self._generation = -1  # of the endpoint table that the view was told of
+        self._transport: asyncio.DatagramTransport | None = None
+        self._tasks = BackgroundTasks()
+
+    async def start(self) -> None:
+        """Listen, and say hello to the detectors.
+
+        Raises:
+            OSError: no port can be had.
+        """
+        loop = asyncio.get_running_loop()
+        self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(self._host, 0))
+        self._core.health_checks.observer = self.view.probed
+        self._tasks.start(self._send_hellos())
+        self._tasks.start(self._check_periodically())
+
+    async def close(self) -> None:
+        """Stop, and wait until nothing runs any more."""
+        self._core.health_checks.observer = None
+        self._tasks.cancel()
+        if self._transport is not None:
+            self._transport.close()
+        await self._tasks.wait()
+
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Take a datagram of a detector."""
+        index = self._index_by_address.get((addr[0], addr[1]))
+        if index is None:
+            return
+        self._update_machines()
+        now = self._now()
+        self._report(now, self.view.take(now, index, data))
+        self._flush()
+
+    def error_received(self, exc: Exception) -> None:
+        """Ignore it: nobody listens there, so no digests come, and that is what counts."""
+
+    def _report(self, now: float, observed: Iterable[LivenessObserved]) -> None:
+        for event in observed:
+            self._core.health_checks.on_liveness_observed(now, event)
+        for text in self.view.logs:
+            log.info("liveness", text=text)
+        self.view.logs.clear()
+
+    def _update_machines(self) -> None:
+        endpoints = self._core.endpoints
+        if self._generation != endpoints.generation:
+            self._generation = endpoints.generation
+            self.view.listed(endpoints.machines_by_zone())
+
+    async def _send_hellos(self) -> None:
+        while True:
+            hello = pack_hello(self.view.hello(self._now()))
+            for address in self._addresses:
+                assert self._transport is not None
+                with contextlib.suppress(OSError):
+                    self._transport.sendto(hello, address)
+            await asyncio.sleep(HELLO_MS / 1000.0)
+
+    async def _check_periodically(self) -> None:
+        while True:
+            await asyncio.sleep(SPOT_MS / 1000.0)
+            self._update_machines()
+            now = self._now()
+            self._report(now, self.view.spot(now, self._has_running_tasks))
+            self._flush()
+
+    def _has_running_tasks(self, machine: MachineId) -> bool:
+        return self._core.has_running_tasks(machine)
--- /dev/null
+++ b/kelpfront/platform/health_checks.py
@@ -0,0 +1,97 @@
+"""Health checks in flight: which machine each asks, and what it came to. Pure.
+
+The scheduler decides which machine is checked and when, and receives every result.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from kelpfront.platform import messages
+from kelpfront.platform.intents import (
+    HEALTH_CHECK_ATTEMPT,
+    AbandonAttempt,
+    AttemptKey,
+    Outbox,
+    SendHealthCheck,
+)
+from kelpfront.scheduling.events import (
+    HealthCheckCompleted,
+    LivenessObserved,
+    LoadReport,
+    MachineId,
+    SchedulerEvent,
+)
+from kelpfront.timers import Timers
+
+HealthCheckObserver = Callable[[float, MachineId, bool], None]
+"""Called with the time, the machine of a health check, and whether it gave no answer."""
+
+
+@dataclass(frozen=True, slots=True)
+class HealthCheckResult:
+    """A machine's answer to a health check, or that there was none."""
+
+    ok: bool
+    load: LoadReport | None = None
+    no_response: bool = False
+
+
+@dataclass(frozen=True, slots=True)
+class _InFlight:
+    machine: MachineId
+    sent_at: float
+
+
+class HealthChecks:
+    """Health checks of one placer, at most one in flight for a machine.
+
+    Attributes:
+        observer: called with each result, where failure detectors report on machines too.
+    """
+
+    def __init__(
+        self, submit: Callable[[float, SchedulerEvent], None], outbox: Outbox, timers: Timers
+    ) -> None:
+        self._submit = submit
+        self._outbox = outbox
+        self._timers = timers
+        self._in_flight: dict[str, _InFlight] = {}
+        self.observer: HealthCheckObserver | None = None
+
+    def __len__(self) -> int:
+        """Health checks in flight."""
+        return len(self._in_flight)
+
+    def send(self, now: float, machine: MachineId, check_id: str, timeout_ms: float) -> None:
+        """Send a health check; without an answer within `timeout_ms` it has failed."""
+        self._in_flight[check_id] = _InFlight(machine, now)
+        self._timers.set(now + timeout_ms, lambda then: self._on_timeout(then, check_id))
+        data = messages.encode("test", check_id, {}, 0)
+        self._outbox.put(SendHealthCheck(machine, check_id, data))
+
+    def on_answer(self, now: float, check_id: str, result: HealthCheckResult) -> None:
+        """Take a machine's answer; one to a health check that is not in flight means nothing."""
+        check = self._in_flight.pop(check_id, None)
+        if check is None:
+            return
+        elapsed_ms = now - check.sent_at
+        self._submit(
+            now,
+            HealthCheckCompleted(check.machine, result.ok, elapsed_ms, result.load, result.no_response),
+        )
+        if self.observer is not None:
+            self.observer(now, check.machine, result.no_response)
+
+    def on_liveness_observed(self, now: float, observed: LivenessObserved) -> None:
+        """Submit what failure detectors report on machines, which may stand for health checks."""
+        self._submit(now, observed)
+
+    def _on_timeout(self, now: float, check_id: str) -> None:
+        check = self._in_flight.get(check_id)
+        if check is None:
+            return
+        key = AttemptKey(check_id, HEALTH_CHECK_ATTEMPT)
+        self._outbox.put(AbandonAttempt(check.machine, key, b"", no_response=True))
+        self.on_answer(now, check_id, HealthCheckResult(ok=False, no_response=True))
--- a/kelpfront/platform/intents.py
+++ b/kelpfront/platform/intents.py
@@ -1,93 +1,144 @@
-"""What the core wants done on sockets."""
+"""What the core wants done on sockets: typed intents, in the order in which they are to be carried out.
+
+The core puts them into its `Outbox`; the service hands each to the connection that it concerns.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Iterator
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 from kelpfront.scheduling.events import MachineId
 
-Conn = int
-"""The number of an owner's connection, never used twice."""
+ConnectionId = int
+"""The number of a client's connection, never used twice."""
 
+HEALTH_CHECK_ATTEMPT = -1
+"""Stands for an attempt's number in the key of a health check."""
 
-class Presence(Enum):
-    """Whether the owner of a set-up still waits for it, by all that has come from it, read or not."""
 
-    HERE = "here"
-    WITHDRAWN = "withdrawn"  # a line that gives this set-up up has come
-    LEFT = "left"  # its connection is closed or reset, or sends no more
+class AttemptKey(NamedTuple):
+    """Names one attempt of a request, or one health check, towards the connections."""
 
+    request_id: str
+    attempt_number: int
 
-@dataclass(frozen=True, slots=True)
-class Tell:
-    """A line to an owner.
 
-    Where its connection can no longer be written to, a release is still owed to `peer`, the address that the
-    owner came from; and the task of `call`, which the line says is placed, has nobody who knows of it.
+class ClientPresence(Enum):
+    """Whether a client still waits for its request, by all that has arrived from it, read or not."""
+
+    WAITING = "waiting"
+    WITHDRAWN = "withdrawn"  # a line that withdraws this request has arrived
+    DISCONNECTED = "disconnected"  # its connection is closed or reset, or sends no more
+
+
+@dataclass(frozen=True, slots=True)
+class SendToClient:
+    """Send a line to a client.
+
+    Attributes:
+        peer: where the connection can no longer be written to, the end of a task is still owed to this
+            address, from which the client came; empty where nothing is owed.
+        accepted_request: the request that the line reports as placed, whose task has nobody who knows of it
+            where the line is not delivered; empty for other lines.
     """
 
-    conn: Conn
+    connection: ConnectionId
     data: bytes
     peer: str = ""
-    call: str = ""
+    accepted_request: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A set-up to a machine; its bytes come from the core's gate at the instant of the write."""
+    """Offer a request to a machine; `PlacerCore.encode_offer` gives its bytes right before the write."""
 
     machine: MachineId
-    call: str
-    number: int
+    request_id: str
+    attempt_number: int
+
+    @property
+    def key(self) -> AttemptKey:
+        """The name of the attempt."""
+        return AttemptKey(self.request_id, self.attempt_number)
 
 
 @dataclass(frozen=True, slots=True)
-class Abandon:
-    """An attempt is given up: the machine is told where the set-up has been written.
+class AbandonAttempt:
+    """Give an attempt up; the machine is notified where the offer has been written.
 
-    `silent`: no answer came in time, so its connection may be of no more use.
+    Attributes:
+        data: the line for the machine; empty where nothing was sent.
+        no_response: whether no answer came in time, so that its connection may be of no more use.
     """
 
     machine: MachineId
-    call: str
-    number: int
+    key: AttemptKey
     data: bytes
-    silent: bool = False
+    no_response: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """A line on a task that stands, on any connection to its machine."""
+class SendToMachine:
+    """Send a line on a running task, on any connection to its machine."""
 
     machine: MachineId
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Test:
-    """A probe."""
-
-    __test__ = False  # not a class of tests
-    NUMBER = -1  # in place of an attempt's, where a probe is abandoned
+class SendHealthCheck:
+    """Send a health check to a machine."""
 
     machine: MachineId
-    call: str
+    check_id: str
     data: bytes
 
+    @property
+    def key(self) -> AttemptKey:
+        """The name of the health check."""
+        return AttemptKey(self.check_id, HEALTH_CHECK_ATTEMPT)
+
 
 @dataclass(frozen=True, slots=True)
-class Listen:
-    """Tasks stand there: keep a connection open, on which the machine can tell of them."""
+class KeepConnected:
+    """Keep a connection open: tasks run on the machine, and it has to be able to report on them."""
 
     machine: MachineId
 
 
 @dataclass(frozen=True, slots=True)
-class Forget:
-    """Nothing stands there any more and the machine is gone: close its connections."""
+class ForgetMachine:
+    """Close all connections: nothing runs there any more and the machine was removed."""
 
     machine: MachineId
 
 
-Intent = Tell | Offer | Abandon | Say | Test | Listen | Forget
+Intent = (
+    SendToClient | Offer | AbandonAttempt | SendToMachine | SendHealthCheck | KeepConnected | ForgetMachine
+)
+
+
+class Outbox:
+    """The intents that the service has not carried out yet."""
+
+    def __init__(self) -> None:
+        self._intents: list[Intent] = []
+
+    def __len__(self) -> int:
+        return len(self._intents)
+
+    def __iter__(self) -> Iterator[Intent]:
+        return iter(self._intents)
+
+    def put(self, intent: Intent) -> None:
+        """Append an intent."""
+        self._intents.append(intent)
+
+    def drain(self) -> list[Intent]:
+        """Return all intents in their order, which are then gone from here."""
+        intents = self._intents
+        self._intents = []
+        return intents
--- /dev/null
+++ b/kelpfront/platform/limits.py
@@ -0,0 +1,43 @@
+"""The bounds of one placer that may be reached, how often each was, and the first time in the log. Pure.
+
+The bounds themselves stand beside what they bound; this module only counts and reports.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from enum import Enum
+
+from kelpfront.platform.log_records import LimitReached, LogRecords
+
+
+class Limit(Enum):
+    """A bound; the value names it in the log."""
+
+    REQUESTS = "requests"
+    REQUESTS_PER_CONNECTION = "requests_per_connection"
+    ADOPTED_TASKS = "adopted_tasks"
+    EARLY_TASK_ENDS = "early_task_ends"
+    UNDELIVERED_TASK_ENDS = "undelivered_task_ends"
+    CLIENT_CONNECTIONS = "client_connections"
+    CONNECTIONS_PER_MACHINE = "connections_per_machine"
+    DESCRIPTORS = "descriptors"
+    UNSENT_MACHINE_LINES = "unsent_machine_lines"
+
+
+class LimitMonitor:
+    """Counts how often each bound was reached; `log` receives a record the first time."""
+
+    def __init__(self, log: LogRecords) -> None:
+        self._log = log
+        self.counts: Counter[Limit] = Counter()
+
+    def reached(self, limit: Limit) -> None:
+        """Count that the bound was reached."""
+        self.counts[limit] += 1
+        if self.counts[limit] == 1:
+            self._log.add(LimitReached(limit.value))
+
+    def fields(self) -> dict[str, int]:
+        """Return the bounds that were reached, as fields of a log line."""
+        return {f"limit_{limit.value}": count for limit, count in self.counts.items()}
--- a/kelpfront/platform/messages.py
+++ b/kelpfront/platform/messages.py
@@ -1,7 +1,8 @@
 """Lines of the platform's protocol to typed messages and back. Pure, strict and bounded.
 
 A line is one JSON object: `op`, `call` (16 hex digits), `with` (strings and numbers), and where they belong
-`why` (a cause) and `desc`. What cannot be read is a `BadMessageError` that names what is wrong.
+`why` (a cause) and `desc`. This module alone knows the protocol's words; behind it a `call` is a request id,
+a `why` is a cause. What cannot be read is an `InvalidMessageError` that names what is wrong.
 """
 
 from __future__ import annotations
@@ -11,25 +12,34 @@
 from dataclasses import dataclass
 from enum import IntEnum
 from hashlib import blake2b
+from typing import NamedTuple
 
 import msgspec
 
 from kelpfront.scheduling.events import AttemptOutcome, LoadReport, MachineId, OutcomeReason, StatusTopic
 from kelpfront.scheduling.settings import Idempotency, SchedulerSettings
 
-LINE_MOST = 16 << 10  # bytes of one message, its line feed included
-LEFT_MOST = 10.0  # times the deadline of the class: more patience is a mistake, and would be held for it
-LOAD_MOST = 16  # values of one report that are looked at
+MAX_LINE_BYTES = 16 << 10
+"""Of one message, its line feed included."""
+
+MAX_TIMEOUT_DEADLINES = 10.0
+"""The longest timeout of a request, in deadlines of its class: more is a mistake, and would be kept."""
+
+MAX_LOAD_VALUES = 16
+"""Values of one load report that are read."""
+
+MAX_QUOTED = 32
+"""Characters of a wrong value that an error message quotes."""
 
 _CALL = re.compile(r"[0-9a-fA-F]{16}")
 _SERVICE = re.compile(r"[0-9a-fA-F]{1,16}")
-_NOTES = {
+_STATUS_TOPICS = {
     "live": StatusTopic.RUNNING,
     "c": StatusTopic.CORES_USED,
     "m": StatusTopic.MEMORY_USED,
     "s": StatusTopic.SERVICE,
+    "p": StatusTopic.MEMORY_PRESSURE,
 }
-_NOTES["p"] = StatusTopic.MEMORY_PRESSURE
 _REASONS = {
     "nc": OutcomeReason.NO_CORES,
     "nm": OutcomeReason.NO_MEMORY,
@@ -43,59 +53,73 @@
 
 
 class Cause(IntEnum):
-    """Causes of releases and refusals, by the names of the field's signalling standards."""
+    """Causes of ends and rejections, by the names of the signalling standards."""
 
     NORMAL = 16
-    UNSPECIFIED = 31  # of a task that was moved, or ended by its owner
+    UNSPECIFIED = 31  # of a task that was migrated, or ended by its client
     NO_CIRCUIT = 34  # full
     TEMPORARY_FAILURE = 41
-    CONGESTION = 42  # refused: asking again does no harm
+    CONGESTION = 42  # rejected: a retry is harmless
     UNAVAILABLE = 47  # a machine's error
     UNKNOWN_CALL = 81
     MISSING_FIELD = 96
-    BAD_FIELD = 100
+    INVALID_FIELD = 100
     MOOT = 102
 
 
-HARMLESS = frozenset({Cause.NO_CIRCUIT, Cause.CONGESTION, Cause.MOOT})
-"""Causes that promise an owner that asking again does no harm."""
+RETRYABLE_CAUSES = frozenset({Cause.NO_CIRCUIT, Cause.CONGESTION, Cause.MOOT})
+"""Causes that promise a client that a retry is harmless."""
+
+_RUNNING_OUTCOMES = {
+    int(Cause.NORMAL): AttemptOutcome.ENDED,
+    int(Cause.UNSPECIFIED): AttemptOutcome.CANCELLED,
+}
+_OFFER_OUTCOMES = {
+    int(Cause.NO_CIRCUIT): AttemptOutcome.REJECTED,
+    int(Cause.UNAVAILABLE): AttemptOutcome.ERROR,
+    int(Cause.MOOT): AttemptOutcome.NOT_SENT,
+}
 
 
-class BadMessageError(ValueError):
-    """A message that the protocol does not allow; `cause` is what its sender is told."""
+class InvalidMessageError(ValueError):
+    """A message that the protocol does not allow; `cause` is what its sender receives."""
 
-    def __init__(self, text: str, cause: Cause = Cause.BAD_FIELD) -> None:
+    def __init__(self, text: str, cause: Cause = Cause.INVALID_FIELD) -> None:
         super().__init__(text)
         self.cause = cause
 
 
-class Lines:
-    """Cuts what arrives into lines, without their line feeds. What has no line feed yet is bounded."""
+class LineSplitter:
+    """Splits what arrives into lines, without their line feeds. What has no line feed yet is bounded."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The lines that are whole now; BadMessageError where one is longer than a message may be."""
+        """Return the lines that are complete now.
+
+        Raises:
+            InvalidMessageError: a line is longer than a message may be.
+        """
         data = self._rest + data
         *lines, self._rest = data.split(b"\n")
-        if len(self._rest) >= LINE_MOST:
-            raise BadMessageError(f"a line of over {LINE_MOST} bytes")
+        if len(self._rest) >= MAX_LINE_BYTES:
+            raise InvalidMessageError(f"a line of over {MAX_LINE_BYTES} bytes")
         return lines
 
     @property
     def rest(self) -> bytes:
-        """What has come of a line that has not ended."""
+        """What has arrived of a line that has not ended."""
         return self._rest
 
     @property
-    def partial(self) -> bool:
+    def has_partial_line(self) -> bool:
         """Whether a line has begun and has not ended."""
         return bool(self._rest)
 
 
 class Message(msgspec.Struct, rename={"with_": "with"}):
-    """One message. `why` is 0 and `desc` empty where they were left out."""
+    """One message, its fields named as on the wire. `why` is 0 and `desc` empty where they were left out."""
 
     op: str
     call: str
@@ -104,7 +128,7 @@
     desc: str = ""
 
     def text(self, name: str) -> str:
-        """A field as text; empty where it was left out."""
+        """Return a field of `with` as text; empty where it was left out."""
         value = self.with_.get(name, "")
         return value if isinstance(value, str) else str(value)
 
@@ -114,33 +138,40 @@
 
 
 def decode(line: bytes) -> Message:
-    """One line, with or without its line feed; BadMessageError where it is not a message."""
-    if len(line) > LINE_MOST:
-        raise BadMessageError(f"a line of {len(line)} bytes, {LINE_MOST} at most")
+    """Return the message of one line, with or without its line feed.
+
+    Raises:
+        InvalidMessageError: it is not a message.
+    """
+    if len(line) > MAX_LINE_BYTES:
+        raise InvalidMessageError(f"a line of {len(line)} bytes, {MAX_LINE_BYTES} at most")
     try:
         message = _decoder.decode(line)
     except (msgspec.DecodeError, RecursionError, UnicodeError) as error:
-        raise BadMessageError(f"not a message: {error}") from None
+        raise InvalidMessageError(f"not a message: {error}") from error
     if not _CALL.fullmatch(message.call):
-        raise BadMessageError(f"call: 16 hex digits are wanted, not {message.call[:32]!r}")
+        raise InvalidMessageError(f"call: 16 hex digits are wanted, not {message.call[:MAX_QUOTED]!r}")
     return message
 
 
-def gives_up(unread: bytes, call: str) -> bool:
-    """Whether a whole line among these ends the call. What lies behind a spoilt line is never heard."""
-    name = call.encode()
-    if name not in unread:
+def contains_withdrawal(unread: bytes, request_id: str) -> bool:
+    """Return whether a complete line among these withdraws the request.
+
+    What lies behind a malformed line does not count: it is never received.
+    """
+    encoded_id = request_id.encode()
+    if encoded_id not in unread:
         return False
     try:
-        return any(name in line and decode(line).op == "end" for line in unread.split(b"\n")[:-1])
-    except BadMessageError:
+        return any(encoded_id in line and decode(line).op == "end" for line in unread.split(b"\n")[:-1])
+    except InvalidMessageError:
         return False
 
 
 def encode(
     op: str, call: str, with_: dict[str, str], why: int | None = None, desc: str | None = None
 ) -> bytes:
-    """One line with its line feed."""
+    """Return one line with its line feed; the arguments are named as on the wire."""
     message: dict[str, object] = {"op": op, "call": call, "with": with_}
     if why is not None:
         message["why"] = int(why)
@@ -150,64 +181,96 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SetUp:
-    """What an owner asks for. `at` names the machine that holds the task already; empty for a new one."""
-
-    call: str
-    cls: int
-    left_ms: float
+class PlacementRequest:
+    """What a client asks for.
+
+    Attributes:
+        timeout_ms: for how long its client waits.
+        key: the name of the task towards machines.
+        idempotency_key: empty where the class needs none.
+        running_on: name of the machine that runs the task already; empty for a new one.
+        description: goes on to the machine as it is.
+    """
+
+    request_id: str
+    class_index: int
+    timeout_ms: float
     key: str
-    idem: str
+    idempotency_key: str
     service: int
     cores: float
     memory: float
-    at: str
-    desc: str
-
-    def line(self, cls: str, left_ms: float) -> bytes:
-        """The set-up as it goes on to a machine that is waited for `left_ms`."""
-        fields = {"class": cls, "left": str(max(1, round(left_ms))), "key": self.key}
-        if self.idem:
-            fields["idem"] = self.idem
-        return encode("offer", self.call, fields, desc=self.desc)
+    running_on: str
+    description: str
+
+    def encode_offer(self, class_name: str, timeout_ms: float) -> bytes:
+        """Return the line by which it is offered to a machine that is waited for `timeout_ms`."""
+        fields = {"class": class_name, "left": str(max(1, round(timeout_ms))), "key": self.key}
+        if self.idempotency_key:
+            fields["idem"] = self.idempotency_key
+        return encode("offer", self.request_id, fields, desc=self.description)
+
+
+def parse_request(message: Message, settings: SchedulerSettings) -> PlacementRequest:
+    """Return a placement request, checked against the settings.
+
+    Raises:
+        InvalidMessageError: the message names the field and what is allowed.
+    """
+    class_index = _parse_class(message, settings)
+    task_class = settings.classes[class_index]
+    extras = _parse_pairs(message.text("extras"))
+    running_on = extras.get("at", "")
+    timeout_ms = 0.0  # nobody waits for a task that runs: its timeout means nothing
+    if not running_on:
+        longest_ms = MAX_TIMEOUT_DEADLINES * task_class.deadline_ms
+        timeout_ms = _positive_number("left", message.text("left"), longest_ms)
+    key = message.text("key")
+    if not key:
+        raise InvalidMessageError("key: the name of the task is missing", Cause.MISSING_FIELD)
+    idempotency_key = message.text("idem")
+    needs_key = task_class.idempotency is Idempotency.IDEMPOTENCY_KEY and not running_on
+    if needs_key and not idempotency_key:
+        raise InvalidMessageError(f"idem: missing in class {task_class.name}", Cause.MISSING_FIELD)
+    service = _parse_service(extras.get("service", "0"))
+    if not message.desc and not running_on:
+        raise InvalidMessageError("desc: missing", Cause.MISSING_FIELD)
+    return PlacementRequest(
+        request_id=message.call,
+        class_index=class_index,
+        timeout_ms=timeout_ms,
+        key=key,
+        idempotency_key=idempotency_key,
+        service=service,
+        cores=_positive_number("extras: cores", extras.get("cores", ""), max(settings.kind_cores)),
+        memory=_positive_number("extras: memory", extras.get("memory", ""), max(settings.kind_memory)),
+        running_on=running_on,
+        description=message.desc,
+    )
 
 
-def set_up(message: Message, settings: SchedulerSettings) -> SetUp:
-    """A set-up checked against the settings; BadMessageError names the field and what is allowed."""
-    names = [cls.name for cls in settings.classes]
+def _parse_class(message: Message, settings: SchedulerSettings) -> int:
+    names = [task_class.name for task_class in settings.classes]
     name = message.text("class")
     if name not in names:
-        raise BadMessageError(f"class: {name[:32]!r} is none of {', '.join(names)}")
-    cls = names.index(name)
-    extras = _pairs(message.text("extras"))
-    at = extras.get("at", "")
-    # Nobody waits for a task that stands: what its set-up says of patience is an upper bound of no meaning.
-    left = 0.0 if at else _number("left", message.text("left"), LEFT_MOST * settings.classes[cls].deadline_ms)
-    key, idem = message.text("key"), message.text("idem")
-    if not key:
-        raise BadMessageError("key: the name of the task is missing", Cause.MISSING_FIELD)
-    if settings.classes[cls].idempotency is Idempotency.IDEMPOTENCY_KEY and not idem and not at:
-        raise BadMessageError(f"idem: missing in class {name}", Cause.MISSING_FIELD)
-    service = extras.get("service", "0")
-    if not _SERVICE.fullmatch(service):
-        raise BadMessageError(f"extras: service: 1 to 16 hex digits are wanted, not {service[:32]!r}")
-    if not message.desc and not at:
-        raise BadMessageError("desc: missing", Cause.MISSING_FIELD)
-    return SetUp(
-        message.call,
-        cls,
-        left,
-        key,
-        idem,
-        int(service, 16),
-        _number("extras: cores", extras.get("cores", ""), max(settings.kind_cores)),
-        _number("extras: memory", extras.get("memory", ""), max(settings.kind_memory)),
-        at,
-        message.desc,
-    )
+        raise InvalidMessageError(f"class: {name[:MAX_QUOTED]!r} is none of {', '.join(names)}")
+    return names.index(name)
+
+
+def _parse_service(text: str) -> int:
+    if not _SERVICE.fullmatch(text):
+        raise InvalidMessageError(
+            f"extras: service: 1 to 16 hex digits are wanted, not {text[:MAX_QUOTED]!r}"
+        )
+    return int(text, 16)
+
 
+def names_running_machine(message: Message) -> bool:
+    """Return whether a request, also an invalid one, is about a task that runs already."""
+    return "at:" in message.text("extras")
 
-def _pairs(text: str) -> dict[str, str]:
+
+def _parse_pairs(text: str) -> dict[str, str]:
     pairs = {}
     for part in text.split(";"):
         name, _, value = part.partition(":")
@@ -215,65 +278,81 @@
     return pairs
 
 
-def _number(name: str, text: str, most: float) -> float:
+def _positive_number(name: str, text: str, limit: float) -> float:
     if not text:
-        raise BadMessageError(f"{name}: missing", Cause.MISSING_FIELD)
+        raise InvalidMessageError(f"{name}: missing", Cause.MISSING_FIELD)
     try:
         value = float(text)
-    except ValueError:
-        raise BadMessageError(f"{name}: a number is wanted, not {text[:32]!r}") from None
-    if not (math.isfinite(value) and 0 < value <= most):
-        raise BadMessageError(f"{name}: above 0 and at most {most:g} is allowed, not {text[:32]!r}")
+    except ValueError as error:
+        raise InvalidMessageError(f"{name}: a number is wanted, not {text[:MAX_QUOTED]!r}") from error
+    if not (math.isfinite(value) and 0 < value <= limit):
+        raise InvalidMessageError(
+            f"{name}: above 0 and at most {limit:g} is allowed, not {text[:MAX_QUOTED]!r}"
+        )
     return value
 
 
-def load_of(message: Message) -> LoadReport | None:
-    """The load report of a machine's message, as far as it makes sense."""
+def parse_load(message: Message) -> LoadReport | None:
+    """Return the load report of a machine's message, as far as it makes sense."""
     text = message.text("load")
     if not text:
         return None
-    told: dict[str, float] = {}
-    for part in text.split(";", LOAD_MOST)[:LOAD_MOST]:
+    reported: dict[str, float] = {}
+    for part in text.split(";", MAX_LOAD_VALUES)[:MAX_LOAD_VALUES]:
         name, _, value = part.partition(":")
         field = _LOAD_FIELDS.get(name.strip())
-        try:
-            number = float(value)
-        except ValueError:
-            continue
-        if field and math.isfinite(number):
-            told[field] = number
-    return LoadReport(**told) if told else None
-
-
-def note_of(message: Message) -> tuple[StatusTopic, float] | None:
-    """What a note on a standing task speaks of and its figure; None where it says nothing known."""
-    topic = _NOTES.get(message.text("note"))
-    if topic is None:
-        return None
+        number = _parse_finite(value)
+        if field and number is not None:
+            reported[field] = number
+    return LoadReport(**reported) if reported else None
+
+
+def _parse_finite(value: str | float) -> float | None:
     try:
-        value = float(message.with_.get("value", 0.0))
+        number = float(value)
     except ValueError:
         return None
-    return (topic, value) if math.isfinite(value) else None
+    return number if math.isfinite(number) else None
+
+
+class StatusReport(NamedTuple):
+    """What a machine reports on a running task."""
 
+    topic: StatusTopic
+    value: float
 
-def end_of(message: Message, placed: bool) -> tuple[AttemptOutcome, OutcomeReason]:
-    """What a machine's release says of the attempt: the outcome that it stands for, and why."""
+
+def parse_status(message: Message) -> StatusReport | None:
+    """Return the status report of a message; None where its topic or value is not known."""
+    topic = _STATUS_TOPICS.get(message.text("note"))
+    if topic is None:
+        return None
+    value = _parse_finite(message.with_.get("value", 0.0))
+    return None if value is None else StatusReport(topic, value)
+
+
+class ReportedOutcome(NamedTuple):
+    """What a machine's end of an attempt says of it."""
+
+    outcome: AttemptOutcome
+    reason: OutcomeReason
+
+
+def parse_outcome(message: Message, *, accepted: bool) -> ReportedOutcome:
+    """Return the outcome that a machine's `end` stands for.
+
+    Args:
+        message: the machine's message.
+        accepted: whether the machine had accepted the attempt.
+    """
     reason = _REASONS.get(message.text("note"), OutcomeReason.UNSPECIFIED)
-    if placed:
-        ends = {Cause.NORMAL: AttemptOutcome.ENDED, Cause.UNSPECIFIED: AttemptOutcome.CANCELLED}
-    elif message.why == Cause.NORMAL:
-        # A machine that is well ends in order what is over before it stood: it may have run, nothing broke.
-        return AttemptOutcome.RESET, OutcomeReason.NOT_HERE
-    else:
-        ends = {
-            Cause.NO_CIRCUIT: AttemptOutcome.REJECTED,
-            Cause.UNAVAILABLE: AttemptOutcome.ERROR,
-            Cause.MOOT: AttemptOutcome.NOT_SENT,
-        }
-    return {int(cause): end for cause, end in ends.items()}.get(message.why, AttemptOutcome.RESET), reason
-
-
-def machine_number(name: str) -> MachineId:
-    """The number of a machine's name: the same for all placers, which share out cold machines by it."""
+    if not accepted and message.why == Cause.NORMAL:
+        # A healthy machine ends in order what is over before it was running: it may have been executed.
+        return ReportedOutcome(AttemptOutcome.RESET, OutcomeReason.NOT_HERE)
+    outcomes = _RUNNING_OUTCOMES if accepted else _OFFER_OUTCOMES
+    return ReportedOutcome(outcomes.get(message.why, AttemptOutcome.RESET), reason)
+
+
+def machine_id(name: str) -> MachineId:
+    """Return the id of a machine's name: the same for all placers, which share out cold machines by it."""
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest())
--- /dev/null
+++ b/kelpfront/platform/request_lifecycle.py
@@ -0,0 +1,102 @@
+"""How a placement request ends: by its one answer, or because its client no longer waits. Pure.
+
+The scheduler decides on answers. A client's presence is looked up, right before a request is decided and
+right before each offer is sent, in all that has arrived from it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from kelpfront.platform import messages
+from kelpfront.platform.attempts import Attempts
+from kelpfront.platform.core_state import CoreState
+from kelpfront.platform.intents import ClientPresence, ConnectionId
+from kelpfront.platform.messages import Cause
+from kelpfront.platform.requests import PendingRequest
+from kelpfront.platform.scheduler_driver import SchedulerDriver
+from kelpfront.platform.sessions import Session
+from kelpfront.scheduling.events import AttemptOutcome, TaskId, TaskWithdrawn
+
+PresenceLookup = Callable[[ConnectionId, str], ClientPresence]
+"""Returns whether the client on the connection still waits for the request of that id."""
+
+
+class RequestLifecycle:
+    """Answers and withdraws requests.
+
+    Attributes:
+        find_presence: whether a client still waits.
+    """
+
+    def __init__(self, state: CoreState, driver: SchedulerDriver, attempts: Attempts) -> None:
+        self._requests = state.requests
+        self._sessions = state.sessions
+        self._counters = state.counters
+        self._driver = driver
+        self._attempts = attempts
+        self.find_presence: PresenceLookup = _always_waiting
+
+    def reject(self, now: float, task: TaskId) -> None:
+        """Send the final answer that the request was not placed and a retry is harmless."""
+        if self._answer(now, task, Cause.CONGESTION):
+            self._counters.rejected += 1
+
+    def fail(self, now: float, task: TaskId) -> None:
+        """Send the final answer that the request was not placed as far as is known."""
+        if self._answer(now, task, Cause.TEMPORARY_FAILURE):
+            self._counters.failed += 1
+
+    def _answer(self, now: float, task: TaskId, cause: Cause) -> bool:
+        request = self._requests.of_task(task)
+        if request is None or request.answered:
+            return False
+        self._finish(now, request)
+        self._sessions.reject(request, messages.encode("end", request.request_id, {}, cause))
+        return True
+
+    def _finish(self, now: float, request: PendingRequest) -> None:
+        """End a request; an attempt that is still in flight is given up."""
+        request.answered = True
+        if request.attempt is not None:
+            self._attempts.give_up(now, request.attempt, AttemptOutcome.CANCELLED)
+        else:
+            self._attempts.forget_request(request)
+
+    def withdraw(self, now: float, request: PendingRequest) -> None:
+        """End a request that its client no longer wants; no answer is due."""
+        self._counters.withdrawn += 1
+        if request.submitted:
+            self._driver.submit(now, TaskWithdrawn(request.task))
+        if not request.answered:
+            self._finish(now, request)
+
+    def on_disconnected(self, now: float, connection: ConnectionId) -> None:
+        """Withdraw the requests that are open on a connection which is closed; running tasks go on."""
+        self._withdraw_all(now, self._sessions.close(connection))
+
+    def _withdraw_all(self, now: float, session: Session | None) -> None:
+        if session is None:
+            return
+        for request in list(session.requests.values()):
+            if not request.answered:
+                self.withdraw(now, request)
+
+    def is_client_waiting(self, now: float, request: PendingRequest) -> bool:
+        """Return whether the client still waits; what it gave up, received or not yet, is withdrawn.
+
+        A connection that has closed is not taken as closed before what came ahead of that was received.
+        """
+        presence = self.find_presence(request.connection, request.request_id)
+        if presence is ClientPresence.WAITING:
+            return True
+        self._counters.clients_left_before_send += 1
+        if presence is ClientPresence.DISCONNECTED:
+            self._withdraw_all(now, self._sessions.get(request.connection))
+        if not request.answered:
+            self.withdraw(now, request)
+        return False
+
+
+def _always_waiting(_connection: ConnectionId, _request_id: str) -> ClientPresence:
+    return ClientPresence.WAITING
--- a/kelpfront/platform/sessions.py
+++ b/kelpfront/platform/sessions.py
@@ -1,80 +1,133 @@
-"""Owners' connections, and where what is said to an owner goes: there, to another of its, or later. Pure."""
+"""Clients' connections, and where a line for a client goes: there, to another of its, or later. Pure.
+
+A session is the core's view of one connection; its socket is `client_connections`' affair.
+"""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from kelpfront.platform.intents import ConnectionId, Outbox, SendToClient
+from kelpfront.platform.limits import Limit, LimitMonitor
+from kelpfront.platform.requests import PendingRequest
 
-from kelpfront.platform.calls import Call
-from kelpfront.platform.intents import Conn, Tell
+MAX_UNDELIVERED_ENDS = 1_024
+"""Ends of tasks that wait for a connection of their client."""
 
-UNSENT_MOST = 1_024  # releases that wait for a connection of their owner
-UNSENT_KEPT_MS = 8_000.0  # as long as a release is owed
+UNDELIVERED_END_TTL_MS = 8_000.0
+"""How long such an end is kept: as long as the protocol has it owed."""
 
 
 @dataclass(slots=True, eq=False)
 class Session:
-    """One connection of an owner, the address it comes from, and the calls that were made on it."""
+    """One connection of a client.
+
+    Attributes:
+        peer: the address that it comes from.
+        established: whether a machine has accepted a task of it: it sends what machines can use.
+        requests: its requests and running tasks, by request id.
+    """
 
     peer: str
-    vouched: bool = False  # a machine has taken a task of its: it sends what machines can use
-    calls: dict[str, Call] = field(default_factory=dict)
+    established: bool = False
+    requests: dict[str, PendingRequest] = field(default_factory=dict)
+
+
+class _UndeliveredEnd(NamedTuple):
+    expires_at: float
+    peer: str
+    data: bytes
 
 
 class Sessions:
-    """`put` takes what is to be sent; `reached` is told the name of a bound that is reached."""
-
-    def __init__(self, put: Callable[[Tell], None], reached: Callable[[str], None]) -> None:
-        self._put, self._reached = put, reached
-        self._sessions: dict[Conn, Session] = {}
-        self._by_peer: dict[str, dict[Conn, None]] = {}
-        self._unsent: deque[tuple[float, str, bytes]] = deque()
-
-    def get(self, conn: Conn) -> Session | None:
-        return self._sessions.get(conn)
-
-    def open(self, now: float, conn: Conn, peer: str) -> None:
-        """A new connection; what waits for one from there, and is still owed, goes out on it."""
-        self._sessions[conn] = Session(peer)
-        self._by_peer.setdefault(peer, {})[conn] = None
-        waiting, self._unsent = self._unsent, deque()
-        for until, whose, data in waiting:
-            if until > now and whose == peer:
-                self._put(Tell(conn, data, peer))
-            elif until > now:
-                self._unsent.append((until, whose, data))
-
-    def close(self, conn: Conn) -> Session | None:
-        session = self._sessions.pop(conn, None)
+    """All clients' connections of one placer, by their number and by the address they come from."""
+
+    def __init__(self, outbox: Outbox, limits: LimitMonitor) -> None:
+        self._outbox = outbox
+        self._limits = limits
+        self._sessions: dict[ConnectionId, Session] = {}
+        self._by_peer: dict[str, dict[ConnectionId, None]] = {}
+        self._undelivered: deque[_UndeliveredEnd] = deque()
+
+    @property
+    def undelivered_count(self) -> int:
+        """Ends of tasks that wait for a connection of their client."""
+        return len(self._undelivered)
+
+    def get(self, connection: ConnectionId) -> Session | None:
+        """Return the session of an open connection."""
+        return self._sessions.get(connection)
+
+    def is_in_use(self, connection: ConnectionId) -> bool:
+        """Return whether a request is open or a task runs on the connection."""
+        session = self._sessions.get(connection)
+        return session is not None and bool(session.requests)
+
+    def is_established(self, connection: ConnectionId) -> bool:
+        """Return whether a machine has accepted a task of this connection's client."""
+        session = self._sessions.get(connection)
+        return session is not None and session.established
+
+    def open(self, now: float, connection: ConnectionId, peer: str) -> None:
+        """Enter a new connection; what waits for one from that address, and is still owed, goes out on it."""
+        self._sessions[connection] = Session(peer)
+        self._by_peer.setdefault(peer, {})[connection] = None
+        waiting = self._undelivered
+        self._undelivered = deque()
+        for end in waiting:
+            if end.expires_at <= now:
+                continue
+            if end.peer == peer:
+                self._outbox.put(SendToClient(connection, end.data, peer))
+            else:
+                self._undelivered.append(end)
+
+    def close(self, connection: ConnectionId) -> Session | None:
+        """Drop a connection that is closed; return its session."""
+        session = self._sessions.pop(connection, None)
         if session is not None:
-            conns = self._by_peer[session.peer]
-            del conns[conn]
-            if not conns:
+            connections = self._by_peer[session.peer]
+            del connections[connection]
+            if not connections:
                 del self._by_peer[session.peer]
         return session
 
-    def reply(self, conn: Conn, data: bytes) -> None:
-        if conn in self._sessions:
-            self._put(Tell(conn, data))
-
-    def answer(self, call: Call, data: bytes, placed: bool = False) -> None:
-        """To the owner of a set-up, on the connection on which it waits; nowhere else is it waited for."""
-        if call.conn in self._sessions:
-            self._put(Tell(call.conn, data, call=call.call if placed else ""))
-
-    def release(self, now: float, call: Call, data: bytes) -> None:
-        """What is owed of a task that stood: on its connection, on another from there, or on the next."""
-        if call.conn in self._sessions:
-            self._put(Tell(call.conn, data, call.peer))
+    def forget_request(self, request: PendingRequest) -> None:
+        """Drop a request that is over from its connection."""
+        session = self._sessions.get(request.connection)
+        if session is not None:
+            session.requests.pop(request.request_id, None)
+
+    def reply(self, connection: ConnectionId, data: bytes) -> None:
+        """Answer a message on the connection on which it came."""
+        if connection in self._sessions:
+            self._outbox.put(SendToClient(connection, data))
+
+    def reject(self, request: PendingRequest, data: bytes) -> None:
+        """Send the final answer to a request that was not placed, on its own connection only."""
+        self.reply(request.connection, data)
+
+    def accept(self, request: PendingRequest, data: bytes) -> None:
+        """Report a request as placed, on its own connection only: nowhere else is the answer waited for."""
+        if request.connection in self._sessions:
+            self._outbox.put(SendToClient(request.connection, data, accepted_request=request.request_id))
+
+    def send_end(self, now: float, request: PendingRequest, data: bytes) -> None:
+        """Send what is owed on a running task: on its connection, another from there, or the next."""
+        if request.connection in self._sessions:
+            self._outbox.put(SendToClient(request.connection, data, request.peer))
         else:
-            self.release_to(now, call.peer, data)
+            self.send_end_to_peer(now, request.peer, data)
 
-    def release_to(self, now: float, peer: str, data: bytes) -> None:
-        if others := self._by_peer.get(peer):
-            self._put(Tell(next(reversed(others)), data, peer))
+    def send_end_to_peer(self, now: float, peer: str, data: bytes) -> None:
+        """Send it on the youngest connection from that address, or keep it for the next one."""
+        connections = self._by_peer.get(peer)
+        if connections:
+            self._outbox.put(SendToClient(next(reversed(connections)), data, peer))
             return
-        self._unsent.append((now + UNSENT_KEPT_MS, peer, data))
-        if len(self._unsent) > UNSENT_MOST:
-            self._reached("releases that wait for their owner")
-            self._unsent.popleft()
+        self._undelivered.append(_UndeliveredEnd(now + UNDELIVERED_END_TTL_MS, peer, data))
+        if len(self._undelivered) > MAX_UNDELIVERED_ENDS:
+            self._limits.reached(Limit.UNDELIVERED_TASK_ENDS)
+            self._undelivered.popleft()
--- a/tests/failure_detection/test_liveness.py
+++ b/tests/failure_detection/test_liveness.py
@@ -230,7 +230,9 @@
     for _ in range(100):
         its.run(100.0)
         for placer in its.placers:
-            placer.core.probes.others_saw(placer.clock, LivenessObserved(idents, placer.clock - 60_000.0))
+            placer.core.health_checks.on_liveness_observed(
+                placer.clock, LivenessObserved(idents, placer.clock - 60_000.0)
+            )
     assert asked(its) <= 11
 
 
@@ -328,9 +330,9 @@
     its = world(placers=1)
     placer = its.placers[0]
     asked_of: list[Worker] = []
-    placer.core.owner_says(placer.clock, 0, decode(offer(left="20000")))
-    placer.core.settle(placer.clock)
-    (sent,) = [intent for intent in placer.core.out if isinstance(intent, Offer)]
+    placer.core.on_client_message(placer.clock, 0, decode(offer(left="20000")))
+    placer.core.submit_arrivals(placer.clock)
+    (sent,) = [intent for intent in placer.core.outbox if isinstance(intent, Offer)]
 
     def cut(who: Process, worker: Worker) -> bool:
         if who is placer and worker.id == sent.machine:
@@ -342,7 +344,9 @@
     placer.flush()
     for _ in range(22):
         its.run(100.0)
-        placer.core.probes.others_saw(placer.clock, LivenessObserved((sent.machine,), placer.clock))
+        placer.core.health_checks.on_liveness_observed(
+            placer.clock, LivenessObserved((sent.machine,), placer.clock)
+        )
     assert asked_of
 
 
--- a/tests/lab/test_capacity.py
+++ b/tests/lab/test_capacity.py
@@ -17,7 +17,7 @@
 from kelpfront.lab.capacitybook import Book, CapacityError, book_of
 from kelpfront.lab.capacitypage import cell, filled, load, readings_table, tables
 from kelpfront.lab.corecost import message_bytes
-from kelpfront.platform.calls import CALLS_MOST
+from kelpfront.platform.requests import MAX_REQUESTS
 
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
@@ -142,7 +142,7 @@
 
 def test_bytes_of_messages_are_those_of_the_program(capacity: Capacity) -> None:
     assert json.loads((DOCS / "capacity/core-cost.json").read_text())["message_bytes"] == message_bytes()
-    assert capacity.size("calls_most", "peak") == CALLS_MOST
+    assert capacity.size("calls_most", "peak") == MAX_REQUESTS
 
 
 # ---- The model --------------------------------------------------------------------------------------------
--- a/tests/lab/test_control_cost.py
+++ b/tests/lab/test_control_cost.py
@@ -4,7 +4,7 @@
 
 from kelpfront.lab.controlcost import asking_at_rest, handed_over, list_events
 from kelpfront.lab.fleet.settings import config_json
-from kelpfront.platform.calls import found_most
+from kelpfront.platform.requests import max_adopted_tasks
 
 
 def test_each_machine_with_own_tasks_is_tested_every_five_seconds() -> None:
@@ -20,6 +20,6 @@
 
 
 def test_tasks_beyond_the_bound_are_counted() -> None:
-    most = found_most(config_json(0, 1, "127.0.0.1:1", "127.0.0.1:1", {})["limits"]["memory_mb"])
+    most = max_adopted_tasks(config_json(0, 1, "127.0.0.1:1", "127.0.0.1:1", {})["limits"]["memory_mb"])
     figures = handed_over(10, most + 8)
-    assert (figures["held"], figures["bound: tasks handed over"]) == (most, 8)
+    assert (figures["held"], figures["limit_adopted_tasks"]) == (most, 8)
--- a/tests/lab/test_corecost.py
+++ b/tests/lab/test_corecost.py
@@ -9,6 +9,7 @@
 
 from kelpfront.cli.lab import lab
 from kelpfront.lab.corecost import TESTED, LoneCore, measure_point, message_bytes
+from kelpfront.scheduling.events import AttemptOutcome
 
 
 def test_each_machine_that_holds_own_tasks_is_asked_every_5_s_and_no_other() -> None:
@@ -19,14 +20,19 @@
 
 def test_the_core_takes_what_the_bench_hands_it() -> None:
     lone = LoneCore(20, 2_100)
-    assert lone.core.counts["found"] == len(lone.core.calls) == 2_100
+    assert lone.core.counters.adopted_tasks == len(lone.core.requests) == 2_100
     for body in [lone.spare_changes(number) for number in range(3)]:
         lone.hear(body)
-    assert lone.core.fleet.index == 4 and not lone.core.fleet.missed
+    assert lone.core.endpoints.index == 4 and not lone.core.endpoints.has_gap
     for _ in range(5):
         lone.start(lone.next_start())
-    assert lone.accepted == lone.core.counts["accepted"] == lone.core.counts["placed ended"] == 5
-    assert len(lone.core.calls) == 2_100
+    assert (
+        lone.accepted
+        == lone.core.counters.accepted
+        == lone.core.counters.task_outcomes[AttemptOutcome.ENDED]
+        == 5
+    )
+    assert len(lone.core.requests) == 2_100
 
 
 def test_messages_are_as_long_as_the_protocol_page_has_them() -> None:
--- a/tests/lab/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -26,8 +26,8 @@
 from kelpfront.lab.fleet.settings import config_json, whole_list
 from kelpfront.lab.platform import event, member
 from kelpfront.platform.config import address_of
-from kelpfront.platform.coordinator import Follower
-from kelpfront.platform.pacing import PATIENCE_MOST_MS, PATIENCE_MS, AskPace
+from kelpfront.platform.discovery_client import DiscoveryClient
+from kelpfront.platform.poll_pacing import HEDGE_DELAY_MS, MAX_HEDGE_DELAY_MS, PollPacing
 from kelpfront.platform.timeouts import POLL_WAIT_MS
 
 PLACERS = 8
@@ -78,7 +78,7 @@
     def __init__(self, address: tuple[str, int]) -> None:
         self.index = 0
         where = address_of(f"{address[0]}:{address[1]}", "coordinator")
-        self.follower = Follower(where, lambda: self.index, self.take, random.Random(1), 500.0)
+        self.follower = DiscoveryClient(where, lambda: self.index, self.take, random.Random(1), 500.0)
 
     def take(self, raw: dict[str, int]) -> None:
         self.index = raw["index"]
@@ -145,14 +145,14 @@
 
 
 def test_patience_follows_what_was_slow_and_nothing_else() -> None:
-    pace = AskPace(random.Random(3))
-    assert pace.patience_ms == PATIENCE_MS
-    pace.answered(1_010.0)
-    assert pace.patience_ms == PATIENCE_MS  # a poll that waited its second out was not slow
-    pace.answered(1_600.0)
-    assert PATIENCE_MS < pace.patience_ms < PATIENCE_MOST_MS
-    pace.answered(3_600_000.0)
-    assert pace.patience_ms == PATIENCE_MOST_MS
+    pace = PollPacing(random.Random(3))
+    assert pace.hedge_delay_ms == HEDGE_DELAY_MS
+    pace.on_answer(1_010.0)
+    assert pace.hedge_delay_ms == HEDGE_DELAY_MS  # a poll that waited its second out was not slow
+    pace.on_answer(1_600.0)
+    assert HEDGE_DELAY_MS < pace.hedge_delay_ms < MAX_HEDGE_DELAY_MS
+    pace.on_answer(3_600_000.0)
+    assert pace.hedge_delay_ms == MAX_HEDGE_DELAY_MS
 
 
 @given(
@@ -164,25 +164,25 @@
     What a silent service would have told counts as told 2 s after the end of the wait that was asked for;
     what one tells that is back after a break counts at once, and a drain is to be kept half a second later.
     """
-    pace = AskPace(random.Random(5))
+    pace = PollPacing(random.Random(5))
     for what in history:
         if isinstance(what, float):
-            pace.answered(what)
+            pace.on_answer(what)
         elif what == "moved":
-            pace.worked()
+            pace.reset()
         elif what == "busy":
-            pace.failed(busy=True)
+            pace.on_overloaded(retry_after_s=0.0)
         else:
-            assert pace.failed() <= 200.0
-        assert PATIENCE_MS <= pace.patience_ms < POLL_WAIT_MS + 2_000.0
+            assert pace.on_failure() <= 200.0
+        assert HEDGE_DELAY_MS <= pace.hedge_delay_ms < POLL_WAIT_MS + 2_000.0
 
 
 def test_pauses_are_short_after_a_break_and_long_after_a_word_of_too_much() -> None:
-    pace = AskPace(random.Random(4))
-    assert max(pace.failed() for _ in range(20)) <= 200.0
-    assert 1_000.0 <= pace.failed(busy=True) <= 1_500.0
-    assert 3_000.0 <= pace.failed(busy=True, retry_after_s=3.0) <= 4_500.0
-    assert pace.failed(busy=True, retry_after_s=3_600.0) <= 7_500.0
+    pace = PollPacing(random.Random(4))
+    assert max(pace.on_failure() for _ in range(20)) <= 200.0
+    assert 1_000.0 <= pace.on_overloaded(retry_after_s=0.0) <= 1_500.0
+    assert 3_000.0 <= pace.on_overloaded(retry_after_s=3.0) <= 4_500.0
+    assert pace.on_overloaded(retry_after_s=3_600.0) <= 7_500.0
 
 
 async def test_a_stopped_placer_goes_on_where_it_was(tmp_path: Path) -> None:
--- a/tests/platform/test_platform_core.py
+++ b/tests/platform/test_platform_core.py
@@ -13,14 +13,31 @@
 from platforms import config
 
 from kelpfront.lab.platform import CALL, DESC, Json, event, line, member, offer
-from kelpfront.platform import admission, calls, messages, owners
+from kelpfront.platform import client_connections, idle_connections, messages, requests
 from kelpfront.platform.config import ConfigError, config_of
-from kelpfront.platform.core import Core
-from kelpfront.platform.directory import BadEventError, events_of
-from kelpfront.platform.intents import Abandon, Forget, Listen, Offer, Say, Tell, Test
-from kelpfront.platform.messages import LINE_MOST, BadMessageError, Cause, decode, machine_number
-from kelpfront.platform.sessions import UNSENT_KEPT_MS
-from kelpfront.platform.timeouts import SERVE_ON_MS, UNLISTED_MS, Ending, Reach
+from kelpfront.platform.core import PlacerCore
+from kelpfront.platform.descriptor_shares import ACCEPT_BURST, MIN_CLIENT_CONNECTIONS, DescriptorShares
+from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
+from kelpfront.platform.idle_connections import ConnectionActivity, EvictionOrder, PartialLine
+from kelpfront.platform.intents import (
+    AbandonAttempt,
+    ForgetMachine,
+    KeepConnected,
+    Offer,
+    SendHealthCheck,
+    SendToClient,
+    SendToMachine,
+)
+from kelpfront.platform.limits import Limit
+from kelpfront.platform.log_records import LimitReached, MachineEjected
+from kelpfront.platform.messages import MAX_LINE_BYTES, Cause, InvalidMessageError, decode, machine_id
+from kelpfront.platform.sessions import UNDELIVERED_END_TTL_MS
+from kelpfront.platform.timeouts import (
+    DRAIN_SERVE_MS,
+    UNLISTED_MACHINE_MS,
+    ReachabilityCheck,
+    ShutdownSchedule,
+)
 from kelpfront.scheduling.actions import Migrate
 from kelpfront.scheduling.events import AttemptOutcome, LoadReport, MachineState, OutcomeReason
 from kelpfront.scheduling.scheduler import Scheduler
@@ -33,37 +50,38 @@
 
     def __init__(self, *members: Json) -> None:
         self.config = config(*(members or (member("m-1"), member("m-2"))))
-        self.core = Core(self.config, Scheduler(self.config.settings, 7))
+        self.core = PlacerCore(self.config, Scheduler(self.config.settings, 7))
         self.now = NOW
         self.told: list[tuple[int, Json]] = []
         self.done: list[Any] = []
-        self.core.listed(self.now, *events_of(self.config.known, self.config))
+        self.core.apply_endpoint_events(self.now, *parse_events(self.config.known, self.config))
         self.take()
         self.core.sessions.open(self.now, 1, "127.0.0.5")
 
     def events(self, raw: Json) -> None:
-        self.core.listed(self.now, *events_of(raw, self.config))
-        self.core.freshness.heard(self.now)
+        self.core.apply_endpoint_events(self.now, *parse_events(raw, self.config))
+        self.core.freshness.on_answer(self.now)
         self.take()
 
     def take(self) -> None:
-        for intent in self.core.out:
-            if isinstance(intent, Tell):
-                self.told += [(intent.conn, json.loads(part)) for part in intent.data.splitlines()]
+        for intent in self.core.outbox.drain():
+            if isinstance(intent, SendToClient):
+                self.told += [(intent.connection, json.loads(part)) for part in intent.data.splitlines()]
             else:
                 self.done.append(intent)
-        self.core.out.clear()
 
     def owner(self, data: bytes, conn: int = 1) -> bool:
-        sound = self.core.owner_says(self.now, conn, decode(data))
-        self.core.settle(self.now)
+        sound = self.core.on_client_message(self.now, conn, decode(data))
+        self.core.submit_arrivals(self.now)
         self.take()
         return sound
 
     def machine(self, ident: int, op: str, call: str = CALL, **fields: Any) -> None:
-        found = self.core.calls.get(call)
-        number = fields.pop("number", None if found is None or found.out is None else found.out.number)
-        self.core.machine_says(self.now, ident, decode(line(op, call, **fields)), number)
+        found = self.core.requests.get(call)
+        number = fields.pop(
+            "number", None if found is None or found.attempt is None else found.attempt.number
+        )
+        self.core.on_machine_message(self.now, ident, decode(line(op, call, **fields)), number)
         self.take()
 
     def later(self, ms: float) -> None:
@@ -76,8 +94,8 @@
 
     def written(self, call: str = CALL) -> Offer:
         """The last offer of the call, after it has gone out."""
-        last = [i for i in self.done if isinstance(i, Offer) and i.call == call][-1]
-        assert self.core.gate(self.now, call, last.number) is not None
+        last = [i for i in self.done if isinstance(i, Offer) and i.request_id == call][-1]
+        assert self.core.encode_offer(self.now, last.key) is not None
         return last
 
     def placed(self, call: str = CALL, **changes: Any) -> int:
@@ -86,8 +104,8 @@
         self.machine(machine, "accept", call, desc="given")
         return machine
 
-    def call(self, call: str = CALL) -> calls.Call:
-        found = self.core.calls.get(call)
+    def call(self, call: str = CALL) -> requests.PendingRequest:
+        found = self.core.requests.get(call)
         assert found is not None
         return found
 
@@ -102,7 +120,7 @@
 def test_any_bytes_are_a_message_or_a_named_error(data: bytes) -> None:
     try:
         message = decode(data)
-    except BadMessageError as error:
+    except InvalidMessageError as error:
         assert str(error)
     else:
         assert len(message.call) == 16
@@ -120,11 +138,11 @@
         b'{"op":"end","call":"00000000000000a1","with":{"a":[1]}}',
         b"[" * 9000,
         b'{"op":"\xff","call":"00000000000000a1"}',
-        b" " * (LINE_MOST + 1),
+        b" " * (MAX_LINE_BYTES + 1),
     ],
 )
 def test_a_bad_line_is_an_error(data: bytes) -> None:
-    with pytest.raises(BadMessageError):
+    with pytest.raises(InvalidMessageError):
         decode(data)
 
 
@@ -151,13 +169,13 @@
 def test_a_set_up_that_cannot_be_is_an_error_that_names_the_field(
     changes: dict[str, Any], names: str
 ) -> None:
-    with pytest.raises(BadMessageError, match=names):
-        messages.set_up(decode(offer(**changes)), config(member("m-1")).settings)
+    with pytest.raises(InvalidMessageError, match=names):
+        messages.parse_request(decode(offer(**changes)), config(member("m-1")).settings)
 
 
 def test_a_set_up_goes_on_with_what_machines_are_to_see_and_no_more() -> None:
-    asked = messages.set_up(decode(offer(cls="keyed")), config(member("m-1")).settings)
-    sent = json.loads(asked.line("keyed", 812.4))
+    asked = messages.parse_request(decode(offer(cls="keyed")), config(member("m-1")).settings)
+    sent = json.loads(asked.encode_offer("keyed", 812.4))
     assert sent == {
         "op": "offer",
         "call": CALL,
@@ -170,24 +188,33 @@
     def said(**fields: Any) -> messages.Message:
         return decode(line("end", **fields))
 
-    assert messages.load_of(said(with_={"load": "x0:12;x1:40;queue:3;new:9;x1:nan"})) == LoadReport(
+    assert messages.parse_load(said(with_={"load": "x0:12;x1:40;queue:3;new:9;x1:nan"})) == LoadReport(
         12.0, 40.0, 3.0
     )
-    assert messages.load_of(said(with_={"load": ";:;x0:a"})) is None
-    assert messages.end_of(said(why=34, with_={"note": "nm"}), False) == (
+    assert messages.parse_load(said(with_={"load": ";:;x0:a"})) is None
+    assert messages.parse_outcome(said(why=34, with_={"note": "nm"}), accepted=False) == (
         AttemptOutcome.REJECTED,
         OutcomeReason.NO_MEMORY,
     )
-    assert messages.end_of(said(why=47), False) == (AttemptOutcome.ERROR, OutcomeReason.UNSPECIFIED)
-    assert messages.end_of(said(why=102), False) == (AttemptOutcome.NOT_SENT, OutcomeReason.UNSPECIFIED)
-    assert messages.end_of(said(why=41), False)[0] is AttemptOutcome.RESET
-    assert messages.end_of(said(why=16), False) == (AttemptOutcome.RESET, OutcomeReason.NOT_HERE)
-    assert messages.end_of(said(why=16), True)[0] is AttemptOutcome.ENDED
-    assert messages.end_of(said(why=41, with_={"note": "ev"}), True) == (
+    assert messages.parse_outcome(said(why=47), accepted=False) == (
+        AttemptOutcome.ERROR,
+        OutcomeReason.UNSPECIFIED,
+    )
+    assert messages.parse_outcome(said(why=102), accepted=False) == (
+        AttemptOutcome.NOT_SENT,
+        OutcomeReason.UNSPECIFIED,
+    )
+    assert messages.parse_outcome(said(why=41), accepted=False)[0] is AttemptOutcome.RESET
+    assert messages.parse_outcome(said(why=16), accepted=False) == (
+        AttemptOutcome.RESET,
+        OutcomeReason.NOT_HERE,
+    )
+    assert messages.parse_outcome(said(why=16), accepted=True)[0] is AttemptOutcome.ENDED
+    assert messages.parse_outcome(said(why=41, with_={"note": "ev"}), accepted=True) == (
         AttemptOutcome.RESET,
         OutcomeReason.EVICTED,
     )
-    assert messages.end_of(said(why=31), True)[0] is AttemptOutcome.CANCELLED
+    assert messages.parse_outcome(said(why=31), accepted=True)[0] is AttemptOutcome.CANCELLED
 
 
 # ---- Configuration and events -----------------------------------------------------------------------------
@@ -212,9 +239,9 @@
 
 def test_events_become_lists_and_bad_ones_are_refused_whole() -> None:
     its = config(member("m-1"))
-    index, (first,) = events_of(its.known, its)
-    assert (index, first.whole, first.entries[0].name) == (1, True, "m-1")
-    view = first.entries[0].machine
+    index, (first,) = parse_events(its.known, its)
+    assert (index, first.complete, first.entries[0].name) == (1, True, "m-1")
+    view = first.entries[0].endpoint
     assert (view.state, view.free_cores, view.free_memory) == (MachineState.READY, 20.0, 40.0)
     for broken in (
         {"phase": "Lost"},
@@ -223,12 +250,12 @@
         {"cell": -1},
         {"up_since_ms": "now"},
     ):
-        with pytest.raises(BadEventError):
-            events_of({"index": 2, "updates": [event(2, member("m-1", **broken))]}, its)
+        with pytest.raises(InvalidEventError):
+            parse_events({"index": 2, "updates": [event(2, member("m-1", **broken))]}, its)
     shapes: list[Any] = [[], {"updates": 1}, {"updates": [1]}, {"updates": [{"index": "a"}]}]
     for bad in shapes:
-        with pytest.raises(BadEventError):
-            events_of(bad, its)
+        with pytest.raises(InvalidEventError):
+            parse_events(bad, its)
 
 
 def test_events_that_were_taken_are_not_taken_again() -> None:
@@ -236,7 +263,7 @@
     drained = event(2, member("m-1", phase="Terminating"))
     stage.events({"index": 2, "updates": [drained]})
     stage.events({"index": 2, "updates": [event(1, member("m-1"), whole=True)]})
-    assert stage.core.machines[machine_number("m-1")].state is MachineState.DRAINING
+    assert stage.core.endpoints.machines[machine_id("m-1")].state is MachineState.DRAINING
 
 
 # ---- One answer -------------------------------------------------------------------------------------------
@@ -246,12 +273,12 @@
     stage = Stage()
     machine = stage.placed()
     assert stage.told == [(1, {"op": "accept", "call": CALL, "with": {}, "desc": "given"})]
-    assert stage.of(Listen)
+    assert stage.of(KeepConnected)
     stage.machine(machine, "accept", desc="twice")
     stage.machine(machine, "end", why=16)
     stage.machine(machine, "end", why=16)
     assert [message["op"] for _, message in stage.told] == ["accept", "end"]
-    assert not stage.core.carries(1) and not stage.core.calls
+    assert not stage.core.sessions.is_in_use(1) and not stage.core.requests
 
 
 def test_an_answer_from_another_machine_or_before_the_set_up_was_written_is_not_taken() -> None:
@@ -259,7 +286,7 @@
     stage.owner(offer())
     sent = stage.of(Offer)[-1]
     stage.machine(sent.machine, "accept", desc="early")
-    other = ({machine_number("m-1"), machine_number("m-2")} - {sent.machine}).pop()
+    other = ({machine_id("m-1"), machine_id("m-2")} - {sent.machine}).pop()
     stage.written()
     stage.machine(other, "accept", desc="foreign")
     assert stage.told == []
@@ -271,18 +298,18 @@
     stage.written()
     stage.later(1400)
     kinds = [type(intent) for intent in stage.done]
-    assert kinds[:3] == [Offer, Abandon, Offer]
-    assert stage.done[1].number == 0 and stage.done[2].number == 1
+    assert kinds[:3] == [Offer, AbandonAttempt, Offer]
+    assert stage.done[1].key.attempt_number == 0 and stage.done[2].key.attempt_number == 1
 
 
 def test_an_unsafe_task_whose_connection_broke_is_failed_at_once_not_refused() -> None:
     stage = Stage()
     stage.owner(offer(cls="once"))
     sent = stage.written()
-    stage.core.unanswered(stage.now, CALL, sent.number, AttemptOutcome.RESET)
+    stage.core.on_attempt_failed(stage.now, sent.key, AttemptOutcome.RESET)
     stage.take()
     ((_, answer),) = stage.told
-    assert answer["op"] == "end" and answer["why"] not in messages.HARMLESS
+    assert answer["op"] == "end" and answer["why"] not in messages.RETRYABLE_CAUSES
     assert len(stage.of(Offer)) == 1
 
 
@@ -290,7 +317,7 @@
     stage = Stage()
     stage.owner(offer(cls="once"))
     sent = stage.of(Offer)[-1]
-    stage.core.unanswered(stage.now, CALL, sent.number, AttemptOutcome.UNREACHABLE)
+    stage.core.on_attempt_failed(stage.now, sent.key, AttemptOutcome.UNREACHABLE)
     stage.take()
     assert len(stage.of(Offer)) == 2 and not stage.told
 
@@ -308,9 +335,9 @@
     stage = Stage()
     stage.owner(offer(cls="once"))
     sent = stage.of(Offer)[-1]
-    name = next(m.name for m in stage.core.machines.values() if m.id == sent.machine)
+    name = next(m.name for m in stage.core.endpoints.machines.values() if m.id == sent.machine)
     stage.events({"index": 2, "updates": [event(2, member(name, phase="Terminating"))]})
-    assert stage.core.gate(stage.now, CALL, sent.number) is None
+    assert stage.core.encode_offer(stage.now, sent.key) is None
     stage.take()
     assert stage.of(Offer)[-1].machine != sent.machine
 
@@ -320,7 +347,7 @@
     stage.owner(offer())
     sent = stage.written()
     stage.owner(line("end", why=16))
-    assert stage.of(Abandon)[0].machine == sent.machine
+    assert stage.of(AbandonAttempt)[0].machine == sent.machine
     stage.machine(sent.machine, "accept", desc="late")
     stage.owner(line("end", why=16))
     assert [message["op"] for _, message in stage.told] == ["ended"]
@@ -334,7 +361,7 @@
     machine = stage.placed()
     stage.core.sessions.open(stage.now, 2, "127.0.0.5")
     stage.owner(line("end", why=16), conn=2)
-    assert stage.of(Say)[0].machine == machine
+    assert stage.of(SendToMachine)[0].machine == machine
     stage.machine(machine, "end", why=31)
     assert [message["op"] for _, message in stage.told] == ["accept", "ended"]
 
@@ -342,9 +369,9 @@
 def test_a_move_is_told_to_owner_and_machine_and_no_release_follows() -> None:
     stage = Stage()
     machine = stage.placed()
-    stage.core._carry_out(stage.now, Migrate(stage.call().task))
+    stage.core.carry_out(stage.now, Migrate(stage.call().task))
     stage.take()
-    assert stage.of(Say)[0].machine == machine
+    assert stage.of(SendToMachine)[0].machine == machine
     stage.machine(machine, "end", why=31)
     stage.owner(line("end", why=16))
     assert [message["op"] for _, message in stage.told] == ["accept", "redirect", "ended"]
@@ -355,7 +382,7 @@
     stage.owner(offer(extras="cores:1;memory:2;service:b4;at:m-9"))
     stage.owner(line("end", why=16))
     stage.events({"index": 2, "updates": [event(2, member("m-9"))]})
-    assert [intent.machine for intent in stage.of(Say)] == [machine_number("m-9")]
+    assert [intent.machine for intent in stage.of(SendToMachine)] == [machine_id("m-9")]
 
 
 def test_ends_of_owner_and_machine_that_cross_are_each_heard_and_told_once() -> None:
@@ -372,18 +399,18 @@
     stage.placed()
     gone, fresh = member("m-1", "127.0.0.1:7", "Gone"), member("m-2", "127.0.0.1:7")
     stage.events({"index": 2, "updates": [event(2, gone, fresh)]})
-    stage.machine(machine_number("m-2"), "end", why=16)
+    stage.machine(machine_id("m-2"), "end", why=16)
     assert [message["why"] for _, message in stage.told if message["op"] == "end"] == [41]
-    assert stage.of(Forget)[0].machine == machine_number("m-1")
+    assert stage.of(ForgetMachine)[0].machine == machine_id("m-1")
     stage.owner(offer("00000000000000a2"))
-    assert stage.of(Offer)[-1].machine == machine_number("m-2")
+    assert stage.of(Offer)[-1].machine == machine_id("m-2")
 
 
 def test_four_attempts_are_made_and_no_more() -> None:
     stage = Stage(*(member(f"m-{n}") for n in range(1, 8)))
     stage.owner(offer(left="3000"))
     for _ in range(8):
-        open_offers = [i for i in stage.of(Offer) if stage.core.gate(stage.now, CALL, i.number) is not None]
+        open_offers = [i for i in stage.of(Offer) if stage.core.encode_offer(stage.now, i.key) is not None]
         for sent in open_offers:
             stage.machine(sent.machine, "end", why=47)
     assert len(stage.of(Offer)) == stage.config.settings.max_attempts
@@ -395,24 +422,26 @@
     machine = stage.placed()
     stage.core.sessions.open(stage.now, 2, "127.0.0.5")
     stage.core.sessions.open(stage.now, 3, "127.0.0.6")
-    stage.core.owner_closed(stage.now, 1)
+    stage.core.on_client_disconnected(stage.now, 1)
     stage.machine(machine, "end", why=16)
     assert stage.told[-1][0] == 2 and stage.told[-1][1]["op"] == "end"
 
 
 def test_a_release_with_no_connection_waits_for_the_next_while_it_is_owed() -> None:
     stage = Stage()
-    for call, wait in ((CALL, 100.0), ("00000000000000a2", UNSENT_KEPT_MS + 1)):
+    for call, wait in ((CALL, 100.0), ("00000000000000a2", UNDELIVERED_END_TTL_MS + 1)):
         stage.core.sessions.open(stage.now, 2, "127.0.0.7")
         machine = stage.placed(call)
-        stage.core.owner_closed(stage.now, 1)
-        stage.core.owner_closed(stage.now, 2)
+        stage.core.on_client_disconnected(stage.now, 1)
+        stage.core.on_client_disconnected(stage.now, 2)
         stage.machine(machine, "end", call, why=16)
         stage.later(wait)
         stage.told.clear()
         stage.core.sessions.open(stage.now, 1, "127.0.0.5")
         stage.take()
-        assert [message["op"] for _, message in stage.told] == (["end"] if wait < UNSENT_KEPT_MS else [])
+        assert [message["op"] for _, message in stage.told] == (
+            ["end"] if wait < UNDELIVERED_END_TTL_MS else []
+        )
 
 
 def test_a_task_that_is_handed_over_is_not_answered_and_its_end_is_told() -> None:
@@ -420,18 +449,18 @@
     extras = "cores:1;memory:2;service:b4;at:m-1"
     stage.owner(offer(left="4294967", extras=extras))
     stage.owner(offer(left="4294967", extras=extras))
-    assert stage.told == [] and stage.of(Listen)[0].machine == machine_number("m-1")
-    stage.machine(machine_number("m-1"), "end", why=16)
+    assert stage.told == [] and stage.of(KeepConnected)[0].machine == machine_id("m-1")
+    stage.machine(machine_id("m-1"), "end", why=16)
     assert [message["op"] for _, message in stage.told] == ["end"]
 
 
 def test_a_release_that_comes_before_its_task_is_handed_over_is_told_when_it_is() -> None:
     """Guards against tasks of a former life that would be held for good: machines tell of an end once."""
     stage = Stage()
-    stage.machine(machine_number("m-1"), "end", why=16)
+    stage.machine(machine_id("m-1"), "end", why=16)
     stage.owner(offer(extras="cores:1;memory:2;service:b4;at:m-1"))
     assert [message["why"] for _, message in stage.told] == [16]
-    assert not stage.core.calls
+    assert not stage.core.requests
 
 
 def test_a_task_handed_over_on_a_machine_that_is_never_listed_is_over() -> None:
@@ -442,19 +471,19 @@
     assert stage.told == []
     stage.later(2000)
     assert [message["op"] for _, message in stage.told] == ["end"]
-    assert not stage.core.handovers and not stage.core.calls
+    assert not stage.core.adopted_tasks and not stage.core.requests
 
 
 def test_a_task_handed_over_in_an_outage_of_the_list_is_not_given_up_for_it() -> None:
     """Guards against a task told over that runs on: its owner would have it started anew."""
     stage = Stage()
     stage.owner(offer(cls="once", extras="cores:1;memory:2;service:1;at:m-9"))
-    stage.later(UNLISTED_MS + 1.0)
+    stage.later(UNLISTED_MACHINE_MS + 1.0)
     assert stage.told == []
-    stage.later(UNLISTED_MS)
+    stage.later(UNLISTED_MACHINE_MS)
     stage.events({"index": 2, "updates": [event(2, member("m-9"))]})
-    stage.later(UNLISTED_MS)
-    assert stage.told == [] and stage.core.holds(machine_number("m-9"))
+    stage.later(UNLISTED_MACHINE_MS)
+    assert stage.told == [] and stage.core.has_running_tasks(machine_id("m-9"))
 
 
 def test_the_end_of_a_task_handed_over_is_told_while_it_is_owed_though_the_list_is_silent() -> None:
@@ -469,23 +498,23 @@
     stage.owner(offer(extras="cores:1;memory:2;service:b4;at:m-9"))
     stage.events({"index": 2, "updates": [event(2, member("m-9"))]})
     stage.later(3000)
-    assert stage.told == [] and stage.core.holds(machine_number("m-9"))
+    assert stage.told == [] and stage.core.has_running_tasks(machine_id("m-9"))
 
 
 @pytest.mark.parametrize("how", ["refused", "restarted", "gone"])
 def test_tasks_end_with_their_machine(how: str) -> None:
     stage = Stage()
     ident = stage.placed()
-    name = stage.core.machines[ident].name
+    name = stage.core.endpoints.machines[ident].name
     if how == "refused":
-        stage.core.process_gone(stage.now, ident)
+        stage.core.on_machine_process_dead(stage.now, ident)
     else:
         now = member(name, up_since_ms=NOW) if how == "restarted" else member(name, address="", phase="Gone")
         stage.events({"index": 2, "updates": [event(2, now)]})
     stage.take()
     assert [message["op"] for _, message in stage.told] == ["accept", "end"]
-    assert (len(stage.of(Forget)) == 1) is (how == "gone")
-    assert not stage.core.calls
+    assert (len(stage.of(ForgetMachine)) == 1) is (how == "gone")
+    assert not stage.core.requests
 
 
 def test_a_machine_that_falls_silent_is_asked_and_its_tasks_are_released_while_that_is_owed() -> None:
@@ -496,7 +525,7 @@
     assert [message["op"] for _, message in stage.told] == ["accept"]  # one cut off for some seconds runs on
     stage.later(1000)  # within 8 s of its end
     assert [message["op"] for _, message in stage.told] == ["accept", "end"]
-    assert len(stage.of(Test)) >= 3
+    assert len(stage.of(SendHealthCheck)) >= 3
 
 
 def test_a_machine_on_which_tasks_only_stand_is_asked_as_rarely_as_their_owners_allow() -> None:
@@ -504,12 +533,12 @@
     stage = Stage(member("m-1"))
     machine = stage.placed()
     stage.later(4000)
-    assert not stage.of(Test)
+    assert not stage.of(SendHealthCheck)
     stage.machine(machine, "info", with_={"note": "c", "value": "0.5"})  # any word counts
     stage.later(4000)
-    assert not stage.of(Test)
+    assert not stage.of(SendHealthCheck)
     stage.later(1000)
-    assert len(stage.of(Test)) == 1
+    assert len(stage.of(SendHealthCheck)) == 1
 
 
 def test_a_machine_that_owes_an_answer_is_asked_soon() -> None:
@@ -518,9 +547,9 @@
     stage.owner(offer(left="20000"))
     stage.written()
     stage.later(900)
-    assert not stage.of(Test)
+    assert not stage.of(SendHealthCheck)
     stage.later(600)
-    assert len(stage.of(Test)) == 1
+    assert len(stage.of(SendHealthCheck)) == 1
 
 
 def test_a_quiet_machine_that_answers_keeps_its_tasks() -> None:
@@ -529,8 +558,8 @@
     answered = 0
     for _ in range(200):
         stage.later(100)
-        for test in stage.of(Test)[answered:]:
-            stage.machine(machine, "tested", test.call, why=1)
+        for test in stage.of(SendHealthCheck)[answered:]:
+            stage.machine(machine, "tested", test.check_id, why=1)
             answered += 1
     assert [message["op"] for _, message in stage.told] == ["accept"] and answered >= 4
 
@@ -545,7 +574,7 @@
     stage.later(3500)
     offers = stage.of(Offer)
     assert (len(offers) == 2 and offers[1].machine != silent) is again
-    assert any(intent.call == CALL for intent in stage.of(Abandon)) is again
+    assert any(intent.key.request_id == CALL for intent in stage.of(AbandonAttempt)) is again
 
 
 def test_a_machine_that_fails_its_probes_is_there_and_keeps_what_waits() -> None:
@@ -555,9 +584,9 @@
     machine = stage.written().machine
     for _ in range(20):
         stage.later(300)
-        for test in stage.of(Test):
-            stage.machine(machine, "tested", test.call, why=0)
-    assert len(stage.of(Test)) > 2 and not stage.of(Abandon)
+        for test in stage.of(SendHealthCheck):
+            stage.machine(machine, "tested", test.check_id, why=0)
+    assert len(stage.of(SendHealthCheck)) > 2 and not stage.of(AbandonAttempt)
     stage.machine(machine, "accept", desc="slow")
     assert [message["op"] for _, message in stage.told] == ["accept"]
 
@@ -617,17 +646,17 @@
     assert not stage.owner(offer(desc="other"))
     stage.machine(sent.machine, "accept", desc="late")
     assert [message["op"] for _, message in stage.told] == ["end"]
-    assert stage.of(Abandon) and not stage.core.calls
+    assert stage.of(AbandonAttempt) and not stage.core.requests
 
 
 def test_set_ups_withdrawn_in_the_same_breath_are_never_sent() -> None:
     stage = Stage()
     for number in range(100):
         call = f"{number:016x}"
-        stage.core.owner_says(stage.now, 1, decode(offer(call)))
-        stage.core.owner_says(stage.now, 1, decode(line("end", call, why=16)))
+        stage.core.on_client_message(stage.now, 1, decode(offer(call)))
+        stage.core.on_client_message(stage.now, 1, decode(line("end", call, why=16)))
     stage.owner(offer())
-    assert [intent.call for intent in stage.of(Offer)] == [CALL] and not stage.told
+    assert [intent.request_id for intent in stage.of(Offer)] == [CALL] and not stage.told
 
 
 def test_errors_on_what_an_unknown_owner_sends_set_no_machine_aside() -> None:
@@ -637,14 +666,18 @@
     for conn, call in ((2, "00000000000000b1"), (2, "00000000000000b2"), (2, "00000000000000b3")):
         stage.owner(offer(call, cls="once"), conn=conn)
         stage.machine(stage.written(call).machine, "end", call, why=47)
-    assert not stage.core.logs
+    assert not stage.core.log
     stage.placed()
     for number in range(0xC1, 0xC5):
         call = f"{number:016x}"
         stage.owner(offer(call, cls="once"))
-        if any(intent.call == call for intent in stage.of(Offer)):  # none is sent once both are set aside
+        if any(
+            intent.request_id == call for intent in stage.of(Offer)
+        ):  # none is sent once both are set aside
             stage.machine(stage.written(call).machine, "end", call, why=47)
-    assert any("machine ejected" in text and "scope=once" in text for text in stage.core.logs)
+    assert any(
+        isinstance(record, MachineEjected) and record.scope == "once" for record in stage.core.log.drain()
+    )
 
 
 def test_machines_that_end_in_order_what_never_stood_are_not_set_aside() -> None:
@@ -655,15 +688,15 @@
         stage.owner(offer(call, cls="once"))
         stage.machine(stage.written(call).machine, "end", call, why=16)
     assert [message["why"] for _, message in stage.told] == [Cause.TEMPORARY_FAILURE] * 5
-    assert not stage.core.logs
+    assert not stage.core.log
 
 
 def test_lines_are_cut_wherever_they_are_split() -> None:
-    cutter = messages.Lines()
-    assert cutter.feed(b"a\nbc") == [b"a"] and cutter.partial
-    assert cutter.feed(b"d\n\n") == [b"bcd", b""] and not cutter.partial
-    assert cutter.feed(b"x" * (LINE_MOST - 1)) == []
-    with pytest.raises(BadMessageError):
+    cutter = messages.LineSplitter()
+    assert cutter.feed(b"a\nbc") == [b"a"] and cutter.has_partial_line
+    assert cutter.feed(b"d\n\n") == [b"bcd", b""] and not cutter.has_partial_line
+    assert cutter.feed(b"x" * (MAX_LINE_BYTES - 1)) == []
+    with pytest.raises(InvalidMessageError):
         cutter.feed(b"x")
 
 
@@ -682,62 +715,62 @@
         stage.machine(machine, "end", call, why=16)
     stage.later(10_000)
     core = stage.core
-    assert not core.calls and not core.sessions._unsent and core.timers.next() == math.inf
-    assert sum(core.calls.has_been(f"{number:016x}") for number in range(300)) == 300
-    assert not core.machines[machine_number("m-1")].standing
+    assert not core.requests and not core.sessions.undelivered_count and core.timers.next() == math.inf
+    assert sum(core.requests.has_ended(f"{number:016x}") for number in range(300)) == 300
+    assert not core.endpoints.machines[machine_id("m-1")].running
 
 
 def test_room_is_made_by_who_never_spoke_then_by_who_is_idle_longest_never_by_who_waits() -> None:
-    eviction: admission.EvictionOrder[str] = admission.EvictionOrder()
+    eviction: EvictionOrder[str] = EvictionOrder()
     opened = {"waits": 1.0, "idle": 2.0, "idle longer": 3.0, "silent longer": 5.0, "silent": 6.0, "new": 9.8}
     for name, at in (opened | {"just heard": 9.0}).items():
-        eviction.opened(name, at)
+        eviction.on_opened(name, at)
         if name != "new":
-            eviction.looked_at(name)
+            eviction.on_first_read(name)
     for name, at in (("waits", 1.5), ("idle", 2.5), ("idle longer", 3.5), ("idle", 4.0), ("just heard", 9.9)):
-        eviction.heard(name, at)
+        eviction.on_active(name, at)
     order = []
     while (found := eviction.next_evicted(10.0, lambda name: name == "waits")) is not None:
         order.append(found)
-        eviction.gone(found)
+        eviction.remove(found)
     assert order == ["silent longer", "silent", "idle longer", "idle"]
-    eviction.looked_at("new")
+    eviction.on_first_read("new")
     assert eviction.next_evicted(10.0, lambda name: name == "waits") == "new"
 
 
 def test_owners_and_machines_together_stay_within_the_descriptors() -> None:
     for sockets in (256, 784, 986):
-        shares = admission.Shares.of(sockets)
-        assert shares.owners_beside(0) == shares.owners
-        held = range(sockets - 64 - admission.OWNERS_LEAST)
-        assert all(shares.owners_beside(n) + n + 2 * admission.ACCEPT_BURST < sockets for n in held)
-        assert shares.owners_beside(2 * sockets) == admission.OWNERS_LEAST
+        shares = DescriptorShares.of(sockets)
+        assert shares.clients_beside(0) == shares.clients
+        held = range(sockets - 64 - MIN_CLIENT_CONNECTIONS)
+        assert all(shares.clients_beside(n) + n + 2 * ACCEPT_BURST < sockets for n in held)
+        assert shares.clients_beside(2 * sockets) == MIN_CLIENT_CONNECTIONS
 
 
 def test_a_crowd_that_comes_at_once_does_not_shut_out_what_it_brought() -> None:
     """Guards against connections closed in the turn in which they were opened, their set-ups unread."""
-    order: admission.EvictionOrder[int] = admission.EvictionOrder()
+    order: EvictionOrder[int] = EvictionOrder()
     for number in range(100):
-        order.opened(number, 1.0)
+        order.on_opened(number, 1.0)
         assert order.next_evicted(9.0, lambda _: False) is None
     for number in range(100):
-        order.looked_at(number)
+        order.on_first_read(number)
     assert (
         order.next_evicted(1.1, lambda _: False) == 0
     )  # they said nothing: silent ones do not shut out others
 
 
 def test_calls_are_bounded_for_all_and_for_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(calls, "CALLS_MOST", 3)
-    monkeypatch.setattr(calls, "CALLS_OF_ONE", 2)
+    monkeypatch.setattr(requests, "MAX_REQUESTS", 3)
+    monkeypatch.setattr(requests, "MAX_REQUESTS_PER_CONNECTION", 2)
     stage = Stage()
     stage.core.sessions.open(stage.now, 2, "127.0.0.6")
     for number, conn in ((1, 1), (2, 1), (3, 1), (4, 2), (5, 2)):
         stage.owner(offer(f"{number:016x}"), conn=conn)
     refused = {message["call"][-1]: message["why"] for _, message in stage.told}
     assert refused == {"3": Cause.CONGESTION, "5": Cause.CONGESTION}
-    told = [text for text in stage.core.logs if "bound" in text]
-    assert told == ["bound reached: calls of one connection", "bound reached: calls"]
+    reached = [record for record in stage.core.log.drain() if isinstance(record, LimitReached)]
+    assert reached == [LimitReached("requests_per_connection"), LimitReached("requests")]
 
 
 def test_22_000_tasks_may_be_handed_over_on_one_connection_and_asks_have_room_beside_them() -> None:
@@ -745,84 +778,92 @@
     stage = Stage()
     for number in range(22_000):
         extras = f"cores:0.01;memory:0.01;service:1;at:m-{1 + number % 2}"
-        stage.core.owner_says(stage.now, 1, decode(offer(f"{0xF0000 + number:016x}", extras=extras)))
-    assert len(stage.core.calls) == stage.core.counts["found"] == 22_000
-    assert not [name for name in stage.core.counts if name.startswith("bound")]
-    held = sum(len(machine.standing) for machine in stage.core.machines.values())
+        stage.core.on_client_message(stage.now, 1, decode(offer(f"{0xF0000 + number:016x}", extras=extras)))
+    assert len(stage.core.requests) == stage.core.counters.adopted_tasks == 22_000
+    assert not stage.core.limits.counts
+    held = sum(len(machine.running) for machine in stage.core.endpoints.machines.values())
     assert held == 22_000
     stage.owner(offer())
-    assert stage.core.counts["bound: calls"] == stage.core.counts["bound: calls of one connection"] == 0
-    assert stage.core.calls.get(CALL) is not None
+    assert (
+        stage.core.limits.counts[Limit.REQUESTS]
+        == stage.core.limits.counts[Limit.REQUESTS_PER_CONNECTION]
+        == 0
+    )
+    assert stage.core.requests.get(CALL) is not None
 
 
 def test_tasks_handed_over_are_bounded_by_the_memory_of_the_settings_and_one_that_ends_makes_room() -> None:
     stage = Stage()
-    most = calls.found_most(3.0)
-    assert calls.found_most(192.0) > 22_000 and calls.found_most(1e-6) == 1 and most == 384
+    most = requests.max_adopted_tasks(3.0)
+    assert (
+        requests.max_adopted_tasks(192.0) > 22_000 and requests.max_adopted_tasks(1e-6) == 1 and most == 384
+    )
     limits = platforms.raw_config(member("m-1"))["limits"] | {"memory_mb": 3.0}
     its = config(member("m-1"), limits=limits)
-    stage.core = core = Core(its, Scheduler(its.settings, 7))
-    core.listed(NOW, *events_of(its.known, its))
+    stage.core = core = PlacerCore(its, Scheduler(its.settings, 7))
+    core.apply_endpoint_events(NOW, *parse_events(its.known, its))
     core.sessions.open(NOW, 1, "127.0.0.5")
     at = "cores:0.01;memory:0.01;service:1;at:m-1"
     for number in range(most + 5):
         stage.owner(offer(f"{0xF0000 + number:016x}", extras=at))
-    assert len(core.calls) == most and core.counts["bound: tasks handed over"] == 5
-    assert core.logs == ["bound reached: tasks handed over"]
-    stage.machine(machine_number("m-1"), "end", f"{0xF0000:016x}", why=16)
+    assert len(core.requests) == most and core.limits.counts[Limit.ADOPTED_TASKS] == 5
+    assert core.log.drain() == [LimitReached("adopted_tasks")]
+    stage.machine(machine_id("m-1"), "end", f"{0xF0000:016x}", why=16)
     stage.owner(offer(f"{0xF0000 + most:016x}", extras=at))
-    assert len(core.calls) == most and core.counts["bound: tasks handed over"] == 5
+    assert len(core.requests) == most and core.limits.counts[Limit.ADOPTED_TASKS] == 5
 
 
 def test_nothing_is_kept_of_a_task_handed_over_that_only_its_machine_was_told() -> None:
     """Guards against 22,000 descriptions of 16 KiB each."""
     stage = Stage()
     stage.owner(offer(extras="cores:1;memory:2;service:b4;at:m-1", desc="x" * 15_000))
-    found = stage.core.calls.get(CALL)
-    assert found is not None and found.set_up.desc == found.set_up.key == found.set_up.idem == ""
+    found = stage.core.requests.get(CALL)
+    assert found is not None and found.spec.description == found.spec.key == found.spec.idempotency_key == ""
 
 
 def test_a_process_is_dead_after_refusals_in_a_row() -> None:
-    reach = Reach()
-    assert not reach.refused()
-    reach.unanswered()
-    assert [reach.refused(), reach.refused()] == [False, True]
+    reach = ReachabilityCheck()
+    assert not reach.on_refused()
+    reach.on_no_response()
+    assert [reach.on_refused(), reach.on_refused()] == [False, True]
 
 
 def test_a_placer_told_to_end_answers_all_and_looks_after_what_stands_for_a_while() -> None:
-    ending = Ending(told_at=1000.0, longest_ms=4000.0)
-    first, last = 1000.0 + SERVE_ON_MS, 5000.0 + SERVE_ON_MS
-    assert not ending.over(first - 1, 0, 0) and ending.over(first, 0, 0)
-    assert not ending.over(last - 1, 0, 5) and ending.over(last, 0, 5)
-    assert not ending.over(last, 1, 1)
+    ending = ShutdownSchedule(begun_at=1000.0, longest_deadline_ms=4000.0)
+    first, last = 1000.0 + DRAIN_SERVE_MS, 5000.0 + DRAIN_SERVE_MS
+    assert not ending.is_over(first - 1, 0, 0) and ending.is_over(first, 0, 0)
+    assert not ending.is_over(last - 1, 0, 5) and ending.is_over(last, 0, 5)
+    assert not ending.is_over(last, 1, 1)
 
 
 def test_a_connection_that_says_nothing_sound_is_closed_within_the_time() -> None:
     def closed(
-        opened: float, heard: float, now: float, carries: bool = False, line: admission.Line | None = None
+        opened: float, heard: float, now: float, carries: bool = False, line: PartialLine | None = None
     ) -> bool:
-        return admission.closed_for_silence(opened, heard, carries, line, now)
+        return ConnectionActivity(opened, heard, carries, line).is_closed_at(now)
 
     assert not closed(10.0, -1.0, 11.0)
-    assert closed(10.0, -1.0, 10.0 + admission.SILENT_S)
+    assert closed(10.0, -1.0, 10.0 + idle_connections.NO_VALID_MESSAGE_S)
     assert not closed(10.0, -1.0, 99.0, carries=True)
     assert not closed(10.0, 11.0, 99.0)
-    begun = admission.Line.after(None, False, True, 20.0)
-    assert begun == admission.Line(20.0, 20.0)
-    assert not closed(10.0, 11.0, 20.0 + admission.PIECE_S - 0.1, line=begun)
-    assert closed(10.0, 11.0, 20.0 + admission.PIECE_S, line=begun)
+    begun = PartialLine.after_read(None, 20.0, has_ended=False, has_partial=True)
+    assert begun == PartialLine(20.0, 20.0)
+    assert not closed(10.0, 11.0, 20.0 + idle_connections.FRAGMENT_S - 0.1, line=begun)
+    assert closed(10.0, 11.0, 20.0 + idle_connections.FRAGMENT_S, line=begun)
     assert not closed(10.0, 11.0, 99.0, carries=True, line=begun)
-    grown = admission.Line.after(begun, False, True, 20.0 + admission.LINE_S - 0.1)
-    assert not closed(10.0, 11.0, 20.0 + admission.LINE_S - 0.1, line=grown)
-    assert closed(10.0, 11.0, 20.0 + admission.LINE_S, line=grown)  # however it trickles in
-    assert admission.Line.after(grown, True, True, 50.0) == admission.Line(50.0, 50.0)
-    assert admission.Line.after(grown, True, False, 50.0) is None
+    grown = PartialLine.after_read(
+        begun, 20.0 + idle_connections.LINE_S - 0.1, has_ended=False, has_partial=True
+    )
+    assert not closed(10.0, 11.0, 20.0 + idle_connections.LINE_S - 0.1, line=grown)
+    assert closed(10.0, 11.0, 20.0 + idle_connections.LINE_S, line=grown)  # however it trickles in
+    assert PartialLine.after_read(grown, 50.0, has_ended=True, has_partial=True) == PartialLine(50.0, 50.0)
+    assert PartialLine.after_read(grown, 50.0, has_ended=True, has_partial=False) is None
     # Half a request and no more, on a new connection: 3 s from its opening, a sweep included.
-    assert not closed(19.0, -1.0, 19.0 + admission.FIRST_S - 0.1, line=begun)
-    assert closed(19.0, -1.0, 19.0 + admission.FIRST_S, line=begun)
-    assert closed(19.0, -1.0, 19.0 + admission.FIRST_S, line=admission.Line(20.0, 21.4))
+    assert not closed(19.0, -1.0, 19.0 + idle_connections.FIRST_LINE_S - 0.1, line=begun)
+    assert closed(19.0, -1.0, 19.0 + idle_connections.FIRST_LINE_S, line=begun)
+    assert closed(19.0, -1.0, 19.0 + idle_connections.FIRST_LINE_S, line=PartialLine(20.0, 21.4))
     assert not closed(19.0, -1.0, 99.0, carries=True, line=begun)
-    assert admission.FIRST_S + owners.SWEEP_S < 3.0
+    assert idle_connections.FIRST_LINE_S + client_connections.SWEEP_S < 3.0
 
 
 def test_an_offer_that_was_decided_for_a_machines_former_life_is_not_sent_to_the_next() -> None:
@@ -832,12 +873,12 @@
     (out,) = [intent for intent in stage.done if isinstance(intent, Offer)]
     stage.now += 10.0
     stage.events({"index": 2, "updates": [event(2, member("m-1", up_since_ms=stage.now - 1.0))]})
-    assert stage.core.gate(stage.now, CALL, out.number) is None
-    assert stage.core.counts["not sent"] == 1
+    assert stage.core.encode_offer(stage.now, out.key) is None
+    assert stage.core.counters.attempt_outcomes[AttemptOutcome.NOT_SENT] == 1
     stage.take()
     stage.owner(offer("00000000000000a2"))  # what is decided from now on knows of it
     assert all(
-        i.call != "00000000000000a2" or stage.core.gate(stage.now, i.call, i.number)
+        i.request_id != "00000000000000a2" or stage.core.encode_offer(stage.now, i.key)
         for i in stage.done
         if isinstance(i, Offer)
     )
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -20,7 +20,8 @@
 from waiting import until
 
 from kelpfront.lab.platform import CALL, Json, Machine, Peer, accepts, event, line, member, offer
-from kelpfront.platform.messages import decode, machine_number
+from kelpfront.platform.messages import decode, machine_id
+from kelpfront.scheduling.events import AttemptOutcome
 
 SECOND = "00000000000000a2"
 LATER_S = 0.5  # for what must not come: over the 0.1 s after which a user counts it
@@ -37,9 +38,9 @@
     """What an owner says, heard in this turn of the loop and not in the next."""
     placer = stage.running
     for data in lines:
-        placer.core.owner_says(placer.now(), conn, decode(data))
-    placer.core.settle(placer.now())
-    placer.service.flush()
+        placer.core.on_client_message(placer.now(), conn, decode(data))
+    placer.core.submit_arrivals(placer.now())
+    placer.service._runner.flush()
 
 
 def end_of(writer: asyncio.StreamWriter) -> socket.socket:
@@ -48,7 +49,7 @@
 
 
 def wires(stage: Stage, name: str) -> list[Any]:
-    return list(stage.running.service._pools[machine_number(name)]._wires)
+    return list(stage.running.service.machines.pools[machine_id(name)].connections)
 
 
 def once_first() -> Json:
@@ -107,7 +108,7 @@
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
     (wire,) = wires(stage, "m-1")
     wire.writer.write(b"\n" * (16 << 20))
-    assert wire.stuck
+    assert wire.unsent_bytes
     owner.say(offer(SECOND, cls="once"))
     (accepted,) = await ops(owner, "accept")
     assert accepted["call"] == SECOND and machine.opened == 2
@@ -132,11 +133,11 @@
                 sock.send(b"\n")
             except BlockingIOError:
                 break
-        assert not wire.stuck
+        assert not wire.unsent_bytes
         tell_now(stage, offer(SECOND, cls="once"))
     (accepted,) = await ops(owner, "accept")
     assert accepted["call"] == SECOND
-    assert machine.opened > 1 and placer.core.counts["unreachable"] == 1
+    assert machine.opened > 1 and placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE] == 1
 
 
 @pytest.mark.parametrize("how", ["closes", "withdraws"])
@@ -167,13 +168,13 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 131_072)  # room for more, on this side alone
         sock.send(filler[sent % len(filler) :])
         other.say(offer(SECOND, cls="once"))
-        await until(lambda: placer.core.counts["attempts"] == 2)
-        assert not wire.stuck and wire.unsent
+        await until(lambda: placer.core.counters.attempts == 2)
+        assert not wire.unsent_bytes and wire.has_unacknowledged_bytes
     if how == "closes":
         other.cut()
     else:
         other.say(line("end", SECOND, why=16))
-    await until(lambda: placer.core.counts["withdrawn"])
+    await until(lambda: placer.core.counters.withdrawn)
     taken.resume_reading()
     await until(lambda: machine.opened > 1)  # the task that stands there is listened to anew
     third = await placer.owner()
@@ -194,7 +195,9 @@
     (accepted,) = await ops(owner, "accept")
     assert accepted["desc"] == "good"
     assert len(machine.offers()) == 2 and machine.opened == 2
-    assert placer.core.counts["refused"] == 1 and placer.core.counts["stray end"] == 1
+    counters = placer.core.counters
+    assert counters.attempt_outcomes[AttemptOutcome.REJECTED] == 1 and counters.rejected == 0
+    assert counters.unexpected_ends == 1
 
 
 @pytest.mark.parametrize("after_s", [0.005, 0.05])
@@ -209,7 +212,7 @@
     owner = await placer.owner()
     owner.say(offer())
     await ops(owner, "accept")
-    await until(lambda: placer.core.counts["stray accept"] == 2)  # of nobody, and the copy
+    await until(lambda: placer.core.counters.unexpected_accepts == 2)  # of nobody, and the copy
     owner.say(line("test", "00000000000000f0", why=0))
     await ops(owner, "tested")  # and nothing before it
 
@@ -259,7 +262,7 @@
     await until(lambda: dials.begun == 1)
     dials.prompt = 10
     await ops(owner, "accept")
-    assert placer.core.counts["unreachable"] == 1
+    assert placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE] == 1
     assert sum(len(machine.offers()) for machine in stage.machines.values()) == 1
 
 
@@ -284,7 +287,7 @@
     owner.say(offer(cls="keyed", left="20000"))
     (failed,) = await ops(owner, "end")  # at once when the window is over, and long before its deadline
     assert failed["why"] == 41
-    assert dials.begun >= 2 and placer.core.counts["not sent"] == 1
+    assert dials.begun >= 2 and placer.core.counters.attempt_outcomes[AttemptOutcome.NOT_SENT] == 1
     if comes_up:
         dials.up.set()
         await until(lambda: sum(machine.opened for machine in stage.machines.values()) >= 2)
@@ -308,7 +311,7 @@
     machine.script = breaks
     owner.say(line("end", CALL, why=31))
     await ops(owner, "ended")
-    await until(lambda: not placer.core.calls)
+    await until(lambda: not placer.core.requests)
     assert machine.opened > 1
 
 
@@ -336,8 +339,8 @@
     await other.start()
     stage.machines["m-2"] = other
     owner.say(offer(cls="once", left="20000"))
-    await until(lambda: placer.core.counts["unreachable"])
-    stage.coordinator.events.append(event(placer.core.fleet.index + 1, member("m-2", other.address)))
+    await until(lambda: placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE])
+    stage.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-2", other.address)))
     (accepted,) = await ops(owner, "accept")
     assert accepted["desc"] == "at m-2" and stage.machines["m-1"].offers() == []
 
@@ -379,7 +382,7 @@
     await leave(owner)
     dials.up.set()  # at once, and not when it has been heard
     await until(lambda: machine.opened)
-    await until(lambda: placer.core.counts["withdrawn"])
+    await until(lambda: placer.core.counters.withdrawn)
     await asyncio.sleep(LATER_S)
     assert machine.offers() == []
 
@@ -390,16 +393,16 @@
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    index = placer.core.fleet.index
+    index = placer.core.endpoints.index
     stage.coordinator.events.append(event(index + 1, member("m-1", machine.address, "Terminating")))
-    await until(lambda: placer.core.fleet.index == index + 1)
+    await until(lambda: placer.core.endpoints.index == index + 1)
     owner = await placer.owner()
     owner.say(offer())
-    await until(lambda: placer.core.calls.waiting)
+    await until(lambda: placer.core.requests.unanswered_count)
     await leave(owner)
     stage.coordinator.events.append(event(index + 2, member("m-1", machine.address)))
-    await until(lambda: placer.core.fleet.index == index + 2)
-    await until(lambda: placer.core.counts["withdrawn"])
+    await until(lambda: placer.core.endpoints.index == index + 2)
+    await until(lambda: placer.core.counters.withdrawn)
     await asyncio.sleep(LATER_S)
     assert machine.offers() == []
 
@@ -418,14 +421,14 @@
     placer = await stage.start(machine)
     owner = await placer.owner()
     owner.say(offer())
-    await until(lambda: placer.core.counts["refused"])
+    await until(lambda: placer.core.counters.attempt_outcomes[AttemptOutcome.REJECTED])
     await other.start()
     stage.machines["m-2"] = other
     await leave(owner)
-    index = placer.core.fleet.index
+    index = placer.core.endpoints.index
     stage.coordinator.events.append(event(index + 1, member("m-2", other.address)))
-    await until(lambda: placer.core.fleet.index == index + 1)
-    await until(lambda: placer.core.counts["withdrawn"])
+    await until(lambda: placer.core.endpoints.index == index + 1)
+    await until(lambda: placer.core.counters.withdrawn)
     await asyncio.sleep(LATER_S)
     assert other.offers() == [] and len(machine.offers()) == 1
 
@@ -434,15 +437,15 @@
     """More than is read in one go, while nothing can be offered: the end lies behind a paused reader."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    index = placer.core.fleet.index
+    index = placer.core.endpoints.index
     stage.coordinator.events.append(event(index + 1, member("m-1", machine.address, "Terminating")))
-    await until(lambda: placer.core.fleet.index == index + 1)
+    await until(lambda: placer.core.endpoints.index == index + 1)
     owner = await placer.owner()
     owner.say(b"".join(offer(f"{number:016x}") for number in range(1, 1_001)))
     owner.writer.write_eof()
-    await until(lambda: placer.core.counts["set-ups"] == 1_000 and not placer.core.calls.waiting)
+    await until(lambda: placer.core.counters.requests == 1_000 and not placer.core.requests.unanswered_count)
     stage.coordinator.events.append(event(index + 2, member("m-1", machine.address)))
-    await until(lambda: placer.core.fleet.index == index + 2)
+    await until(lambda: placer.core.endpoints.index == index + 2)
     await asyncio.sleep(LATER_S)
     assert machine.offers() == []
 
@@ -451,15 +454,15 @@
 
 
 def front_end(stage: Stage, conn: int) -> asyncio.StreamWriter:
-    writer: asyncio.StreamWriter = stage.running.service._front._owners[conn].writer
+    writer: asyncio.StreamWriter = stage.running.service.clients.connections[conn].writer
     return writer
 
 
 def machine_tells_now(stage: Stage, data: bytes) -> None:
     """What the machine says, heard in this turn of the loop and not in the next."""
-    pool = stage.running.service._pools[machine_number("m-1")]
-    pool._hear(next(iter(pool._wires)), decode(data))
-    stage.running.service.flush()
+    pool = stage.running.service.machines.pools[machine_id("m-1")]
+    pool._on_message(next(iter(pool.connections)), decode(data))
+    stage.running.service._runner.flush()
 
 
 async def test_a_release_goes_by_another_connection_where_its_own_is_closing(stage: Stage) -> None:
@@ -502,8 +505,8 @@
     front_end(stage, 1).close()
     machine_tells_now(stage, line("accept", CALL, desc="late"))
     await until(lambda: any(m["op"] == "end" and m["call"] == CALL for m in machine.seen))
-    await until(lambda: not placer.core.calls)
-    assert placer.core.counts["placed for nobody"] == 1
+    await until(lambda: not placer.core.requests)
+    assert placer.core.counters.placed_without_client == 1
 
 
 # ---- The end of a life ------------------------------------------------------------------------------------
@@ -516,10 +519,10 @@
     owner = await placer.owner()
     owner.say(offer())
     await ops(owner, "accept")
-    placer.service._ending.set()
+    placer.service._shutdown.set()
     owner.say(offer(SECOND))
     await ops(owner, "accept")
-    await until(lambda: placer.core.closing)
+    await until(lambda: placer.core.client_messages.is_closing)
     for number, peer in enumerate((owner, await placer.owner())):
         peer.say(offer(f"{number:016x}"))
         (refused,) = await ops(peer, "end")
@@ -554,9 +557,9 @@
     owner.say(offer(SECOND, left="20000"))
     await until(lambda: dials.begun == 2)
     owner.say(offer("00000000000000a3", left="1500", extras="cores:22;memory:40;service:1"))  # no room for it
-    await until(lambda: placer.core.calls.waiting == 3)
-    placer.service._ending.set()
-    await until(lambda: placer.core.closing)
+    await until(lambda: placer.core.requests.unanswered_count == 3)
+    placer.service._shutdown.set()
+    await until(lambda: placer.core.client_messages.is_closing)
     dials.up.set()
     held[0].say(line("accept", CALL, desc="late"))
     answers = {m["call"]: m["op"] for m in [await owner.read(), await owner.read(), await owner.read()] if m}
@@ -577,10 +580,8 @@
         while writer.transport.get_write_buffer_size() < 100_000:
             writer.write(filler)
     front_end(stage, 1).write(line("end", CALL, why=42))
-    placer.service._ending.set()
-    await until(
-        lambda: placer.service._front._server is None or not placer.service._front._server.is_serving()
-    )
+    placer.service._shutdown.set()
+    await until(lambda: not placer.service.clients.is_serving)
     slow.reader._transport.resume_reading()  # type: ignore[attr-defined]
     while (message := await slow.read()) is not None and message["op"] == "ringing":
         pass
--- a/tests/platform/test_platform_crossings_late.py
+++ b/tests/platform/test_platform_crossings_late.py
@@ -31,15 +31,15 @@
 from kelpfront.lab.fleet.processes import PlacerProcess
 from kelpfront.lab.fleet.settings import config_json
 from kelpfront.lab.platform import CALL, Coordinator, Json, Machine, Peer, accepts, event, line, member, offer
-from kelpfront.platform import fleet
-from kelpfront.platform.intents import Listen, Offer, Test
-from kelpfront.platform.messages import machine_number
+from kelpfront.platform import endpoint_table
+from kelpfront.platform.intents import KeepConnected, Offer, SendHealthCheck
+from kelpfront.platform.messages import machine_id
 from kelpfront.scheduling.events import MachineState
 
 SECOND, THIRD = "00000000000000a2", "00000000000000a3"
 LATER_S = 0.5  # for what must not come
 HOUR_MS = 3_600_000.0
-M1, M2, M3 = (machine_number(f"m-{number}") for number in (1, 2, 3))
+M1, M2, M3 = (machine_id(f"m-{number}") for number in (1, 2, 3))
 
 
 @pytest.fixture
@@ -86,8 +86,8 @@
         while (message := await owner.read()) is not None and message["call"] != call:
             pass
         assert message is not None and (message["op"], message["why"]) == ("end", 41)
-    assert placer.core.fleet.index == 2 and set(placer.core.machines) == {
-        machine_number(name) for name in ("m-1", "m-2", "m-3", "m-5")
+    assert placer.core.endpoints.index == 2 and set(placer.core.endpoints.machines) == {
+        machine_id(name) for name in ("m-1", "m-2", "m-3", "m-5")
     }
     for name in ("m-1", "m-3"):  # these run on, and their ends are told
         owner, call = stands[name]
@@ -109,10 +109,10 @@
     opened = [machine.opened for machine in machines]
     members = [member(m.name, m.address) for m in machines]
     stage.coordinator.events += [event(index, *members, whole=True) for index in (2, 3)]
-    await until(lambda: stage.running.core.fleet.index == 3)
+    await until(lambda: stage.running.core.endpoints.index == 3)
     await asyncio.sleep(LATER_S)
     assert [machine.opened for machine in machines] == opened
-    assert stage.running.core.counts["tasks lost"] == 0
+    assert stage.running.core.counters.tasks_lost == 0
     for machine in machines:
         owner, call = stands[machine.name]
         machine.peers[0].say(line("end", call, why=16))
@@ -152,10 +152,10 @@
     fleet = started()
     take(fleet, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone")))
     take(fleet, 1)
-    assert fleet.follow == 0  # numbers went back: the whole list is asked for
+    assert fleet.poll_index == 0  # numbers went back: the whole list is asked for
     take(fleet, 1, event(1, member("m-1"), member("m-2"), whole=True))
     assert {ident: m.state for ident, m in fleet.machines.items()} == {M1: MachineState.DRAINING}
-    assert fleet.follow == 1  # what comes later is asked for from there on
+    assert fleet.poll_index == 1  # what comes later is asked for from there on
     take(fleet, 2, event(2, member("m-1"), member("m-2"), member("m-3")))  # still behind
     assert {ident: m.state for ident, m in fleet.machines.items()} == {
         M1: MachineState.DRAINING,
@@ -210,7 +210,7 @@
     elif told == "more at once":
         speaks.events += [whole, drain, event(3, member("m-3", phase="Terminating"))]
     reload_with(stage, speaks.address, drain)
-    await until(lambda: placer.core.fleet.index >= 2)
+    await until(lambda: placer.core.endpoints.index >= 2)
     asked = len(speaks.asked)
     await until(lambda: len(speaks.asked) >= asked + 3)
     for number in range(0xB1, 0xC1):
@@ -232,8 +232,8 @@
     known = {"index": 2, "updates": [*raw["known"]["updates"], drain]}
     (stage.path / "config.json").write_text(json.dumps(raw | {"known": known}))
     placer.task = asyncio.create_task(placer.service.run())
-    await until(lambda: placer.core.fleet.index == 2)
-    assert placer.core.machines[M1].state is MachineState.DRAINING
+    await until(lambda: placer.core.endpoints.index == 2)
+    assert placer.core.endpoints.machines[M1].state is MachineState.DRAINING
 
 
 async def test_reloads_with_a_drain_of_many_under_load_and_a_service_that_is_behind(tmp_path: Path) -> None:
@@ -306,12 +306,12 @@
         until = self.now + ms
         while self.now < until:
             self.later(min(step, until - self.now))
-            for test in self.of(Test)[self._answered :]:
+            for test in self.of(SendHealthCheck)[self._answered :]:
                 self._answered += 1
                 if test.machine not in self.silent:
-                    self.machine(test.machine, "tested", test.call, why=1)
+                    self.machine(test.machine, "tested", test.check_id, why=1)
             if list_speaks and int(self.now / step) % 10 == 0:
-                self.events({"index": self.core.fleet.index, "updates": []})
+                self.events({"index": self.core.endpoints.index, "updates": []})
 
     @property
     def ops(self) -> list[str]:
@@ -328,7 +328,7 @@
     stage.goes_on(1_900.0)  # its last word may be 5 s old
     assert stage.ops == ["accept"]
     stage.goes_on(6_000.0)
-    assert stage.ops == ["accept", "end"] and not stage.core.calls
+    assert stage.ops == ["accept", "end"] and not stage.core.requests
     stage.silent.clear()  # and what it says when it is back is no second end
     stage.machine(ident, "end", why=16)
     stage.goes_on(60_000.0)
@@ -346,10 +346,10 @@
     stage.goes_on(1_500.0, list_speaks=False)
     stage.owner(offer(THIRD, left="20000"))
     stage.goes_on(1_000.0, list_speaks=False)
-    assert not [intent for intent in stage.of(Offer) if intent.call == THIRD]
+    assert not [intent for intent in stage.of(Offer) if intent.request_id == THIRD]
     stage.events({"index": 2, "updates": [event(2, member("m-1", phase="Terminating"))]})
     stage.goes_on(60_000.0)
-    assert not [intent for intent in stage.of(Offer) if intent.call == THIRD]
+    assert not [intent for intent in stage.of(Offer) if intent.request_id == THIRD]
     assert stage.ops == ["accept", "accept", "end"]  # the third was refused; what stands runs on
     stage.machine(machine, "end", why=16)
     assert stage.ops[-1] == "end" and stage.told[-1][1]["call"] == CALL
@@ -359,13 +359,13 @@
     """Idle: no request, no news but that there is none. Then one comes, and one whose machine is long up."""
     stage = Day(*(member(f"m-{number}") for number in range(40)))
     stage.goes_on(60_000.0, step=1_000.0)
-    timers, logs = len(stage.core.timers._heap), len(stage.core.logs)
+    timers, logs = len(stage.core.timers._heap), len(stage.core.log)
     stage.goes_on(12 * HOUR_MS, step=1_000.0)
     core = stage.core
     assert stage.now >= NOW + 12 * HOUR_MS
-    assert len(core.timers._heap) <= timers and len(core.logs) == logs and not core.out
-    assert not core.calls and not core.probes._out and not core.freshness.silent
-    assert not stage.of(Offer) and not stage.of(Listen)
+    assert len(core.timers._heap) <= timers and len(core.log) == logs and not core.outbox
+    assert not core.requests and not core.health_checks and not core.freshness.is_stale
+    assert not stage.of(Offer) and not stage.of(KeepConnected)
     stage.placed()
     stage.owner(line("test", "00000000000000f0", why=0))
     assert stage.ops == ["accept", "tested"] and stage.told[-1][1]["why"] == 1
@@ -397,12 +397,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Machines go and others come, each under a name of its own, thirty times over."""
-    monkeypatch.setattr(fleet, "GONE_KEPT", 10)
+    monkeypatch.setattr(endpoint_table, "MAX_REMEMBERED_REMOVALS", 10)
     stage = Day(*(member(f"m-{number}") for number in range(20)))
 
     def replaced(times: int) -> int:
         for _ in range(times):
-            index = stage.core.fleet.index + 1
+            index = stage.core.endpoints.index + 1
             gone, fresh = f"m-{index - 2}", f"m-{index + 18}"
             update = event(index, member(gone, phase="Gone"), member(fresh, up_since_ms=stage.now))
             stage.events({"index": index, "updates": [update]})
@@ -410,7 +410,7 @@
         return held(stage.core)
 
     before = replaced(100)
-    assert replaced(500) <= before * 1.05 and len(stage.core.machines) == 20
+    assert replaced(500) <= before * 1.05 and len(stage.core.endpoints.machines) == 20
     stage.placed()
     assert stage.ops == ["accept"]
 
--- a/tests/platform/test_platform_kills.py
+++ b/tests/platform/test_platform_kills.py
@@ -77,9 +77,9 @@
     await other.start()
     stage.machines["m-2"] = other
     stage.coordinator.events.append(event(2, member("m-2", other.address)))
-    await until(lambda: placer.core.fleet.index == 2)
+    await until(lambda: placer.core.endpoints.index == 2)
     await asyncio.sleep(LATER_S)
-    assert other.offers() == [] and not placer.core.calls and placer.core.counts["tasks lost"] == 1
+    assert other.offers() == [] and not placer.core.requests and placer.core.counters.tasks_lost == 1
 
 
 @CLASSES
