--- a/tests/platform/test_platform_leavers.py
+++ b/tests/platform/test_platform_leavers.py
@@ -23,9 +23,10 @@
 from kelpfront.lab.fleet.ports import free_port
 from kelpfront.lab.fleet.processes import PlacerProcess
 from kelpfront.lab.platform import CALL, Json, Machine, Peer, accepts, event, line, member, offer
-from kelpfront.platform import owners
-from kelpfront.platform.intents import Presence
-from kelpfront.platform.messages import gives_up
+from kelpfront.platform import client_connections
+from kelpfront.platform.intents import AttemptKey, ClientPresence
+from kelpfront.platform.messages import contains_withdrawal
+from kelpfront.scheduling.events import AttemptOutcome
 
 MARK = "00000000000000e1"  # of a set-up that comes after all that must not go out
 WARM = [f"{number:016x}" for number in range(0xD1, 0xD3)]  # tasks that leave idle connections behind
@@ -78,21 +79,21 @@
         return self.plain[-1]
 
     def leaves_before(self, owner: Owner, how: str, number: int = 0) -> None:
-        gate = self.running.core.gate
+        encode_offer = self.running.core.encode_offer
 
-        def late(now: float, call: str, attempt: int) -> bytes | None:
-            if call == CALL and attempt == number:
+        def late(now: float, key: AttemptKey) -> bytes | None:
+            if key == (CALL, number):
                 owner.leaves(how)
-            data: bytes | None = gate(now, call, attempt)
-            if call == CALL:
-                self.out.append((attempt, data is not None))
+            data: bytes | None = encode_offer(now, key)
+            if key.request_id == CALL:
+                self.out.append((key.attempt_number, data is not None))
             return data
 
-        self.running.core.gate = late
+        self.running.core.encode_offer = late
 
     async def nothing_goes_out(self, machine: Machine, but: int = 0) -> None:
         """Waits until CALL is over, and then for a set-up that comes later."""
-        await until(lambda: self.running.core.calls.get(CALL) is None)
+        await until(lambda: self.running.core.requests.get(CALL) is None)
         marker = await self.running.owner()
         marker.say(offer(MARK))
         assert (await ops(marker, "accept"))[0]["call"] == MARK
@@ -228,16 +229,16 @@
     owner = scene.owner()
     scene.leaves_before(owner, how)
     owner.say(offer())
-    await until(lambda: placer.core.calls.waiting)
-    scene.coordinator.events.append(event(placer.core.fleet.index + 1, member("m-1", machine.address)))
+    await until(lambda: placer.core.requests.unanswered_count)
+    scene.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-1", machine.address)))
     await scene.nothing_goes_out(machine)
     assert scene.out == [(0, False)]
 
 
 async def no_machine_ready(scene: Scene, machine: Machine) -> None:
-    index = scene.running.core.fleet.index + 1
+    index = scene.running.core.endpoints.index + 1
     scene.coordinator.events.append(event(index, member("m-1", machine.address, "Terminating")))
-    await until(lambda: scene.running.core.fleet.index == index)
+    await until(lambda: scene.running.core.endpoints.index == index)
 
 
 # ---- What a placer finds at once --------------------------------------------------------------------------
@@ -249,18 +250,18 @@
     placer = await scene.start(machine)
     await scene.warm(machine)
     owner = scene.owner()
-    await until(lambda: len(placer.service._front._owners) == 2)
-    attempts = placer.core.counts["attempts"]
+    await until(lambda: len(placer.service.clients.connections) == 2)
+    attempts = placer.core.counters.attempts
     owner.say(offer())
     owner.leaves(how)
-    await until(lambda: placer.core.counts["withdrawn"] or (how == "resets" and owner_unheard(scene)))
-    assert placer.core.counts["attempts"] == attempts
+    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and owner_unheard(scene)))
+    assert placer.core.counters.attempts == attempts
     await scene.nothing_goes_out(machine)
 
 
 def owner_unheard(scene: Scene) -> bool:
     """A reset takes back what was not read: nothing was ever asked for."""
-    return len(scene.running.service._front._owners) == 1
+    return len(scene.running.service.clients.connections) == 1
 
 
 @LEAVES
@@ -282,7 +283,8 @@
     owner.say(offer(cls="once"))
     await until(lambda: owner.gone)
     await scene.nothing_goes_out(machine, but=1)
-    assert placer.core.counts["refused"] == 1
+    assert placer.core.counters.attempt_outcomes[AttemptOutcome.REJECTED] == 1
+    assert placer.core.counters.rejected == 0
 
 
 @LEAVES
@@ -294,32 +296,32 @@
     await no_machine_ready(scene, machine)
     owner = scene.owner()
     owner.say(offer())
-    await until(lambda: placer.core.calls.waiting)
-    conn = placer.core.calls.get(CALL).conn
-    transport: Any = placer.service._front._owners[conn].writer.transport
+    await until(lambda: placer.core.requests.unanswered_count)
+    conn = placer.core.requests.get(CALL).connection
+    transport: Any = placer.service.clients.connections[conn].writer.transport
     transport.pause_reading()
     owner.say(line("test", PEER + "1", why=0))  # the FIN lies behind unread bytes
     owner.leaves(how)
-    scene.coordinator.events.append(event(placer.core.fleet.index + 1, member("m-1", machine.address)))
+    scene.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-1", machine.address)))
     await scene.nothing_goes_out(machine)
     transport.resume_reading()
 
 
-@pytest.mark.parametrize("read_size", [4_096, owners.READ_SIZE])
+@pytest.mark.parametrize("read_size", [4_096, client_connections.READ_BYTES])
 @LEAVES
 async def test_who_left_behind_many_lines_gets_no_attempt(
     scene: Scene, monkeypatch: pytest.MonkeyPatch, how: str, read_size: int
 ) -> None:
     """The word lies among lines that wait for their turn, or in what was taken from the kernel unread."""
-    monkeypatch.setattr(owners, "READ_SIZE", read_size)
+    monkeypatch.setattr(client_connections, "READ_BYTES", read_size)
     machine = Machine("m-1")
     placer = await scene.start(machine)
     await scene.warm(machine)
     owner = scene.owner()
-    await until(lambda: len(placer.service._front._owners) == 2)
+    await until(lambda: len(placer.service.clients.connections) == 2)
     owner.say(offer() + line("test", PEER + "1", why=0) * 600)
     owner.leaves(how)
-    await until(lambda: placer.core.counts["withdrawn"] or (how == "resets" and owner_unheard(scene)))
+    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and owner_unheard(scene)))
     await scene.nothing_goes_out(machine)
 
 
@@ -328,13 +330,13 @@
     machine = Machine("m-1")
     placer = await scene.start(machine)
     owner = scene.owner()
-    await until(lambda: placer.service._front._owners)
+    await until(lambda: placer.service.clients.connections)
     held = [f"{number:016x}" for number in range(0x1000, 0x1000 + 400)]
     extras = "cores:1;memory:2;service:00000000b4d65521;at:m-1"
     owner.say(offer() + b"".join(offer(call, extras=extras) for call in held))
     owner.half_closes()
-    await until(lambda: placer.core.counts["found"] == len(held))
-    assert placer.core.counts["left unread"] == 1 and not placer.core.calls.waiting
+    await until(lambda: placer.core.counters.adopted_tasks == len(held))
+    assert placer.core.counters.clients_left_before_send == 1 and not placer.core.requests.unanswered_count
 
 
 # ---- A process that stood still ---------------------------------------------------------------------------
@@ -411,7 +413,7 @@
     ],
 )
 def test_a_whole_line_gives_a_set_up_up(unread: bytes, wanted: bool) -> None:
-    assert gives_up(unread, CALL) is wanted
+    assert contains_withdrawal(unread, CALL) is wanted
 
 
 async def test_who_waits_is_seen_to_wait(scene: Scene) -> None:
@@ -421,15 +423,15 @@
     await scene.warm(machine)
     owner = scene.owner()
     seen: list[Any] = []
-    presence: Callable[[int, str], Presence] = placer.core._presence
+    presence: Callable[[int, str], ClientPresence] = placer.core.lifecycle.find_presence
 
-    def looks(conn: int, call: str) -> Presence:
+    def looks(conn: int, call: str) -> ClientPresence:
         if call == CALL and not seen:
             owner.say(line("test", PEER + "1", why=0) + line("end", PEER + "2", why=16))
         seen.append(presence(conn, call))
-        return Presence(seen[-1])
+        return ClientPresence(seen[-1])
 
-    placer.core._presence = looks
+    placer.core.lifecycle.find_presence = looks
     owner.say(offer())
     await until(lambda: any(message["call"] == CALL for message in machine.offers()))
-    assert set(seen) == {Presence.HERE} and len(seen) == 2
+    assert set(seen) == {ClientPresence.WAITING} and len(seen) == 2
--- a/tests/platform/test_platform_limits.py
+++ b/tests/platform/test_platform_limits.py
@@ -24,11 +24,19 @@
 from kelpfront.lab.fleet.settings import config_json
 from kelpfront.lab.platform import Json, Machine, Peer, Script, accepts, event, line, member, offer
 from kelpfront.lab.process import raise_file_limit
-from kelpfront.platform import admission
-from kelpfront.platform.admission import ASKS, FILES, FILES_LATER, Shares
+from kelpfront.platform.background_tasks import BackgroundTasks
 from kelpfront.platform.config import Address
-from kelpfront.platform.intents import Test
-from kelpfront.platform.machines import Budget, ConnectionPool
+from kelpfront.platform.connection_pool import ConnectionPool, PoolContext
+from kelpfront.platform.core_access import CoreAccess
+from kelpfront.platform.descriptor_budget import DescriptorBudget
+from kelpfront.platform.descriptor_shares import (
+    MIN_CLIENT_CONNECTIONS,
+    OPENED_LATER,
+    RESERVED_FOR_FILES,
+    RESERVED_FOR_POLLS,
+    DescriptorShares,
+)
+from kelpfront.platform.intents import SendHealthCheck
 
 IDLE_CLIENTS = 300
 HALF_A_LINE = b'{"op":"offer","ca'
@@ -188,19 +196,19 @@
     sockets: int, at_start: int, steps: list[str], crowd: int
 ) -> None:
     """Guards against shares that come to more than there is. Whoever holds on idles; others are in use."""
-    shares = Shares.of(sockets, at_start)
-    own = max(FILES, at_start + FILES_LATER) + ASKS
-    assert shares.both + 2 * shares.burst + own <= sockets or shares.both == 4
-    assert shares.owners_least >= 2 and shares.machines >= 2
-    idle, used, machines = min(crowd, shares.owners_beside(0)), 0, 0
+    shares = DescriptorShares.of(sockets, at_start)
+    own = max(RESERVED_FOR_FILES, at_start + OPENED_LATER) + RESERVED_FOR_POLLS
+    assert shares.total + 2 * shares.burst + own <= sockets or shares.total == 4
+    assert shares.min_clients >= 2 and shares.machines >= 2
+    idle, used, machines = min(crowd, shares.clients_beside(0)), 0, 0
     for step in [*["machine"] * min(crowd, 60), *steps]:
         match step:
             case "owner":  # one that comes, and is in use from then on
-                while idle and idle + used >= shares.owners_beside(machines):
+                while idle and idle + used >= shares.clients_beside(machines):
                     idle -= 1
-                used += idle + used < shares.owners_beside(machines)
+                used += idle + used < shares.clients_beside(machines)
             case "machine":
-                while idle and machines < shares.machines_most and idle + used + machines >= shares.both:
+                while idle and machines < shares.max_machines and idle + used + machines >= shares.total:
                     idle -= 1
                 machines += machines < shares.machines or shares.machine_may_open(machines, idle + used)
             case "owner idles" if used:
@@ -209,15 +217,15 @@
                 idle -= 1
             case "machine closed" if machines:
                 machines -= 1
-        assert idle + used + machines <= shares.both
-    assert shares.owners_beside(machines) >= min(admission.OWNERS_LEAST, shares.both // 2)
+        assert idle + used + machines <= shares.total
+    assert shares.clients_beside(machines) >= min(MIN_CLIENT_CONNECTIONS, shares.total // 2)
 
 
 def test_machines_past_their_most_or_beside_owners_in_use_get_no_descriptor() -> None:
-    shares = Shares.of(64)
-    assert shares.machine_may_open(shares.machines_most - 1, shares.owners_least)
-    assert not shares.machine_may_open(shares.machines_most, 0)
-    assert not shares.machine_may_open(shares.machines_most - 1, shares.owners_least + 1)
+    shares = DescriptorShares.of(64)
+    assert shares.machine_may_open(shares.max_machines - 1, shares.min_clients)
+    assert not shares.machine_may_open(shares.max_machines, 0)
+    assert not shares.machine_may_open(shares.max_machines - 1, shares.min_clients + 1)
 
 
 async def test_who_has_to_send_has_the_next_descriptor_before_all_who_only_listen() -> None:
@@ -231,36 +239,38 @@
         def try_again(self) -> None:
             order.append(self.name)
             if self.name != "listens":
-                budget.waits_no_more(cast(ConnectionPool, self))
+                budget.stop_waiting(cast(ConnectionPool, self))
 
-    budget = Budget(0, lambda: False)
+    budget = DescriptorBudget(0, lambda: False)
     pools = [cast(ConnectionPool, Pool(name)) for name in ("listens", "listens too", "sends", "sends later")]
     for pool, to_send in zip(pools, (False, False, False, True), strict=True):
-        budget.wait(pool, to_send)
+        budget.wait(pool, to_send=to_send)
     budget.wait(pools[2], to_send=True)
     budget.wait(pools[2], to_send=False)  # it stays where it is
-    budget.held = 2
-    budget.back()
-    budget.back()
+    budget.in_use = 2
+    budget.release()
+    budget.release()
     await until(lambda: order)
-    assert order == ["sends later", "sends", "listens"] and budget.held == 0
+    assert order == ["sends later", "sends", "listens"] and budget.in_use == 0
 
 
 async def test_a_machine_whose_word_was_given_up_holds_up_nobody_who_has_to_send() -> None:
-    core: Any = SimpleNamespace(holds=lambda ident: True, reached=lambda bound: None)
-    budget = Budget(0, lambda: False)
-    args = Address("127.0.0.1", 9), core, lambda: 0.0, lambda: None, budget, 1.0, 1.0
-    given_up, sends = ConnectionPool(1, *args), ConnectionPool(2, *args)
-    test = Test(2, "00000000000000a1", b"")
+    limits = SimpleNamespace(reached=lambda limit: None)
+    core: Any = SimpleNamespace(has_running_tasks=lambda machine: True, limits=limits)
+    budget = DescriptorBudget(0, lambda: False)
+    context = PoolContext(CoreAccess(core, lambda: 0.0, lambda: None), budget, BackgroundTasks(), 1.0, 1.0)
+    address = Address("127.0.0.1", 9)
+    given_up, sends = ConnectionPool(1, address, context), ConnectionPool(2, address, context)
+    test = SendHealthCheck(2, "00000000000000a1", b"")
     budget.wait(given_up, to_send=True)
     sends.send(test)
     tried: list[ConnectionPool] = []
     for pool in (given_up, sends):
         pool.try_again = partial(_tried, tried, pool, pool.try_again)  # type: ignore[method-assign]
-    budget.look()
+    budget.serve_waiting()
     assert tried[:2] == [given_up, sends]
     tried.clear()
-    budget.look()
+    budget.serve_waiting()
     assert tried == [sends, given_up]
 
 
--- a/tests/platform/test_platform_list.py
+++ b/tests/platform/test_platform_list.py
@@ -17,11 +17,11 @@
 from waiting import until
 
 from kelpfront.lab.platform import Coordinator, Json, Machine, event, line, member, offer
-from kelpfront.platform import freshness, service
-from kelpfront.platform.directory import Event, events_of
-from kelpfront.platform.fleet import Fleet, net
-from kelpfront.platform.messages import decode, machine_number
-from kelpfront.platform.timeouts import LIST_SILENT_MS
+from kelpfront.platform import discovery_freshness, service
+from kelpfront.platform.endpoint_events import EndpointEvent, parse_events
+from kelpfront.platform.endpoint_table import EndpointTable, merge_events
+from kelpfront.platform.messages import decode, machine_id
+from kelpfront.platform.timeouts import DISCOVERY_STALE_MS
 from kelpfront.scheduling.events import MachineState
 from kelpfront.timers import Timers
 
@@ -36,20 +36,20 @@
     await made.stop()
 
 
-def take(fleet: Fleet, index: int, *updates: Json) -> list[int]:
+def take(fleet: EndpointTable, index: int, *updates: Json) -> list[int]:
     """An answer; the numbers of the events that changed something."""
     changes = []
-    for change in fleet.take(*events_of({"index": index, "updates": list(updates)}, CONFIG)):
+    for change in fleet.apply(*parse_events({"index": index, "updates": list(updates)}, CONFIG)):
         changes.append(change.event.index)
-        for machine in change.gone:
+        for machine in change.removed:
             fleet.machines.pop(machine.id, None)
     return changes
 
 
-def started() -> Fleet:
-    fleet = Fleet()
+def started() -> EndpointTable:
+    fleet = EndpointTable()
     assert take(fleet, 1, event(1, member("m-1"), member("m-2"), whole=True)) == [1]
-    assert fleet.follow == 1
+    assert fleet.poll_index == 1
     return fleet
 
 
@@ -59,7 +59,7 @@
 def test_events_that_say_nothing_of_machines_are_no_gap() -> None:
     fleet = started()
     assert take(fleet, 4, {"index": 2}, event(3, member("m-3")), {"index": 4}) == [3]
-    assert fleet.follow == 4 and not fleet.missed
+    assert fleet.poll_index == 4 and not fleet.has_gap
 
 
 @pytest.mark.parametrize(
@@ -77,20 +77,20 @@
     """Guards against a drain that was skipped and never asked for again, as the number had gone on."""
     fleet = started()
     take(fleet, index, *updates)
-    assert fleet.follow == 0
+    assert fleet.poll_index == 0
     whole = event(1, member("m-1"), member("m-2"), whole=True)
     assert take(fleet, 2, whole, event(2, member("m-1", phase="Terminating"))) == [2]
-    assert fleet.machines[machine_number("m-1")].state is MachineState.DRAINING
-    assert set(fleet.machines) == {machine_number("m-1"), machine_number("m-2")}
-    assert not fleet.missed
+    assert fleet.machines[machine_id("m-1")].state is MachineState.DRAINING
+    assert set(fleet.machines) == {machine_id("m-1"), machine_id("m-2")}
+    assert not fleet.has_gap
 
 
 def test_a_service_that_has_no_whole_list_to_give_is_asked_for_it_again() -> None:
     fleet = started()
     take(fleet, 4, event(4, member("m-4")))
     take(fleet, 5, event(4, member("m-4")), event(5, member("m-5")))
-    assert fleet.follow == 0
-    assert machine_number("m-5") in fleet.machines
+    assert fleet.poll_index == 0
+    assert machine_id("m-5") in fleet.machines
 
 
 NAMES = [f"m-{number}" for number in range(5)]
@@ -104,22 +104,22 @@
     """Answers that leave events out or end early; each is followed by the ask that the fleet wants."""
     history = [event(1, member("m-0"), member("m-1"), whole=True)]
     history += [event(2 + n, member(name, phase=phase)) for n, (name, phase) in enumerate(changes)]
-    fleet = Fleet()
+    fleet = EndpointTable()
     take(fleet, 1, history[0])
     told = 1
     while told < len(history):
         told = data.draw(st.integers(told, len(history)))
-        later = history[fleet.follow : told]
-        kept = [update for update in later if fleet.follow == 0 or data.draw(st.integers(0, 3))]
+        later = history[fleet.poll_index : told]
+        kept = [update for update in later if fleet.poll_index == 0 or data.draw(st.integers(0, 3))]
         take(fleet, told, *kept)
-        assert fleet.follow == 0 or fleet.follow <= told
+        assert fleet.poll_index == 0 or fleet.poll_index <= told
         if told == len(history):
             break
-    while fleet.follow < len(history):
-        take(fleet, len(history), *history[fleet.follow :])
-    truth = net(events_of({"index": len(history), "updates": history}, CONFIG)[1])
+    while fleet.poll_index < len(history):
+        take(fleet, len(history), *history[fleet.poll_index :])
+    truth = merge_events(parse_events({"index": len(history), "updates": history}, CONFIG)[1])
     assert {m.id: m.state for m in fleet.machines.values()} == {
-        entry.machine.id: entry.machine.state for entry in truth.entries
+        entry.endpoint.id: entry.endpoint.state for entry in truth.entries
     }
 
 
@@ -130,8 +130,8 @@
         event(3, member("m-3"), member("m-4"), whole=True),
         event(4, member("m-3", phase="Gone"), member("m-5")),
     ]
-    found = net(events_of({"index": 4, "updates": raw}, CONFIG)[1])
-    assert isinstance(found, Event) and (found.index, found.whole) == (4, True)
+    found = merge_events(parse_events({"index": 4, "updates": raw}, CONFIG)[1])
+    assert isinstance(found, EndpointEvent) and (found.index, found.complete) == (4, True)
     assert [entry.name for entry in found.entries] == ["m-4", "m-5"]
 
 
@@ -144,9 +144,9 @@
         event(3, member("m-9")),
     ]
     stage.coordinator.noise = [json.dumps({"index": 3, "updates": [event(3, member("m-9"))]}).encode()]
-    await until(lambda: placer.core.fleet.index == 3)
-    await until(lambda: placer.core.machines[machine_number("m-1")].state is MachineState.DRAINING)
-    assert placer.core.counts["gaps in the list"] == 1 and 0 in stage.coordinator.asked
+    await until(lambda: placer.core.endpoints.index == 3)
+    await until(lambda: placer.core.endpoints.machines[machine_id("m-1")].state is MachineState.DRAINING)
+    assert placer.core.counters.endpoint_list_gaps == 1 and 0 in stage.coordinator.asked
 
 
 # ---- Before there is news ---------------------------------------------------------------------------------
@@ -163,7 +163,7 @@
     raw = platforms.raw_config(member("m-1", machine.address), coordinator=f"127.0.0.1:{port}")
     placer = stage.placer = Placer(stage.path / "config.json", raw)
     placer.task = asyncio.create_task(placer.service.run())
-    await until(lambda: placer.service._follower._failing)
+    await until(lambda: placer.service.discovery.is_failing)
     assert not placer.service.port
     stage.coordinator.stopped = False
     stage.coordinator.events.append(event(2, member("m-1", machine.address, "Terminating")))
@@ -198,7 +198,7 @@
     )
     placer = stage.placer = Placer(stage.path / "config.json", raw)
     placer.task = asyncio.create_task(placer.service.run())
-    await until(lambda: placer.service._follower._heard_once.is_set())
+    await until(lambda: placer.service.discovery.has_answer)
     await asyncio.sleep(0.1)
     assert not placer.service.port and not placer.task.done()
     former.close()
@@ -219,7 +219,7 @@
     placer = stage.placer = Placer(stage.path / "config.json", raw)
     (stage.path / "config.json").write_text(json.dumps(raw | {"coordinator": new.address}))
     await placer.start()
-    await until(lambda: placer.core.fleet.index == 2)
+    await until(lambda: placer.core.endpoints.index == 2)
     await old.stop()
 
 
@@ -235,18 +235,18 @@
     raw["known"]["updates"].append(event(2, member("m-1", machine.address, "Terminating")))
     (stage.path / "config.json").write_text(json.dumps(raw))
     os.kill(os.getpid(), signal.SIGHUP)
-    await until(lambda: placer.core.machines[machine_number("m-1")].state is MachineState.DRAINING)
+    await until(lambda: placer.core.endpoints.machines[machine_id("m-1")].state is MachineState.DRAINING)
     raw["known"] = {"index": 1, "updates": raw["known"]["updates"][:1]}  # an older one takes nothing back
     (stage.path / "config.json").write_text(json.dumps(raw))
     os.kill(os.getpid(), signal.SIGHUP)
     await asyncio.sleep(0.1)
-    assert placer.core.machines[machine_number("m-1")].state is MachineState.DRAINING
-    assert placer.core.fleet.follow == 2
+    assert placer.core.endpoints.machines[machine_id("m-1")].state is MachineState.DRAINING
+    assert placer.core.endpoints.poll_index == 2
     await silent.stop()
 
 
 async def test_a_placer_without_news_serves_in_the_end(stage: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(service, "news_wait_ms", lambda alive_ms: 200.0)
+    monkeypatch.setattr(service, "first_answer_wait_ms", lambda alive_ms: 200.0)
     machine = Machine("m-1")
     await machine.start()
     stage.machines["m-1"] = machine
@@ -265,10 +265,10 @@
 def drain_now(stage: Stage, *machines: Machine, phase: str = "Terminating") -> None:
     """The list's word, heard in this turn of the loop."""
     placer = stage.running
-    number = placer.core.fleet.index + 1
+    number = placer.core.endpoints.index + 1
     update = event(number, *(member(m.name, m.address, phase) for m in machines))
-    placer.core.listed(
-        placer.now(), *events_of({"index": number, "updates": [update]}, placer.service._config)
+    placer.core.apply_endpoint_events(
+        placer.now(), *parse_events({"index": number, "updates": [update]}, placer.service._config)
     )
     stage.coordinator.events.append(update)
 
@@ -285,11 +285,11 @@
     await ops(owner, "tested")
     if order == "word first":
         drain_now(stage, machine, phase=phase)
-    placer.core.owner_says(placer.now(), 1, decode(offer(left="300", cls="once")))
-    placer.core.settle(placer.now())
+    placer.core.on_client_message(placer.now(), 1, decode(offer(left="300", cls="once")))
+    placer.core.submit_arrivals(placer.now())
     if order == "set-up first":
         drain_now(stage, machine, phase=phase)
-    placer.service.flush()
+    placer.service._runner.flush()
     (refused,) = await ops(owner, "end")
     assert refused["why"] == 42 and machine.offers() == []
 
@@ -311,7 +311,7 @@
     stage.machines["m-2"] = other
     drain_now(stage, machine, phase=phase)
     drain_now(stage, other, phase="Ready")
-    placer.service.flush()
+    placer.service._runner.flush()
     dials.up.set()
     (accepted,) = await ops(owner, "accept")
     assert accepted["desc"] == "at m-2" and machine.offers() == []
@@ -323,7 +323,7 @@
     await until(lambda: len(stage.coordinator.asked) > 1)
     stage.coordinator.garble = 1
     stage.coordinator.events.append(event(2, member("m-1", machine.address, "Terminating")))
-    await until(lambda: placer.core.fleet.index == 2)
+    await until(lambda: placer.core.endpoints.index == 2)
     owner = await placer.owner()
     owner.say(offer(left="300"))
     await ops(owner, "end")
@@ -342,10 +342,10 @@
     stage.coordinator.events += told
     os.kill(os.getpid(), signal.SIGHUP)
     new.events += [*told, event(3, member("m-2", second.address, "Terminating"))]
-    await until(lambda: placer.core.fleet.index == 3)
+    await until(lambda: placer.core.endpoints.index == 3)
     stage.coordinator.mute = True
     new.events.append(event(4, member("m-2", second.address)))
-    await until(lambda: placer.core.fleet.index == 4)
+    await until(lambda: placer.core.endpoints.index == 4)
     owner = await placer.owner()
     owner.say(offer(cls="once"))
     (accepted,) = await ops(owner, "accept")
@@ -360,37 +360,39 @@
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a drain that counts as told 7 s after an outage began, though none could hear of it."""
-    monkeypatch.setattr(freshness, "LIST_SILENT_MS", 1_500.0)
+    monkeypatch.setattr(discovery_freshness, "DISCOVERY_STALE_MS", 1_500.0)
     machine = Machine("m-1")
     placer = await stage.start(machine)
     await until(lambda: len(stage.coordinator.asked) > 1)
     stage.coordinator.mute = True
-    await until(lambda: placer.core.freshness.silent)
+    await until(lambda: placer.core.freshness.is_stale)
     owner = await placer.owner()
     owner.say(offer(left="20000", cls="once"))
-    await until(lambda: placer.core.calls.waiting)
+    await until(lambda: placer.core.requests.unanswered_count)
     await asyncio.sleep(LATER_S)
     assert machine.offers() == []
     stage.coordinator.mute = False  # nothing new: no machine drains
     await ops(owner, "accept")
-    assert not placer.core.freshness.silent
+    assert not placer.core.freshness.is_stale
 
 
 @given(st.lists(st.floats(1.0, 30_000.0), max_size=30))
 def test_each_long_silence_is_told_once_and_no_other(gaps: list[float]) -> None:
     told: list[tuple[float, str]] = []
     timers = Timers()
-    watch = freshness.Freshness(timers, lambda now, what: told.append((now, type(what).__name__)))
+    watch = discovery_freshness.DiscoveryFreshness(
+        timers, lambda now, what: told.append((now, type(what).__name__))
+    )
     now = 0.0
     wanted: list[tuple[float, str]] = []
     for gap in [0.0, *gaps]:
-        if gap >= LIST_SILENT_MS:
-            wanted += [(now + LIST_SILENT_MS, "EndpointListStale"), (now + gap, "EndpointList")]
+        if gap >= DISCOVERY_STALE_MS:
+            wanted += [(now + DISCOVERY_STALE_MS, "EndpointListStale"), (now + gap, "EndpointList")]
         end = now + gap
         while timers.next() <= end:
             now = timers.next()
             timers.run(now)
         now = end
-        watch.heard(now)
+        watch.on_answer(now)
     assert [what for _, what in told] == [what for _, what in wanted]
     assert [at for at, _ in told] == pytest.approx([at for at, _ in wanted])
--- a/tests/platform/test_platform_pieces.py
+++ b/tests/platform/test_platform_pieces.py
@@ -21,9 +21,9 @@
 from kelpfront.lab.fleet.processes import PlacerProcess
 from kelpfront.lab.fleet.settings import config_json
 from kelpfront.lab.platform import CALL, Json, Machine, Peer, event, line, member, offer
-from kelpfront.platform import admission
+from kelpfront.platform import idle_connections
 from kelpfront.platform.intents import Offer
-from kelpfront.platform.messages import HARMLESS
+from kelpfront.platform.messages import RETRYABLE_CAUSES
 
 SECOND = "00000000000000a2"
 LATER_S = 0.5  # for what must not come
@@ -97,14 +97,16 @@
     if spoke:
         owner.say(line("test", "00000000000000f0", why=0))
         await ops(owner, "tested")
-    await until(lambda: placer.service._front._owners)
-    (held,) = placer.service._front._owners.values()
-    held.opened_at -= 10.0 if spoke else admission.SILENT_S + 0.1  # as far as sweeps let it come
-    held.heard_at -= 5.0
+    await until(lambda: placer.service.clients.connections)
+    (held,) = placer.service.clients.connections.values()
+    held.opened_at -= (
+        10.0 if spoke else idle_connections.NO_VALID_MESSAGE_S + 0.1
+    )  # as far as sweeps let it come
+    held.last_valid_at -= 5.0
     data = raw_offer()
     owner.say(data[:100])
-    await until(lambda: held.line is not None)
-    placer.service._front.sweep()
+    await until(lambda: held.partial_line is not None)
+    placer.service.clients.sweep()
     owner.say(data[100:])
     await ops(owner, "accept")
 
@@ -146,7 +148,7 @@
     placer = await stage.start(machine)
     owner, other = await placer.owner(), await placer.owner()
     owner.say(raw_offer()[:-1])  # all but the line feed
-    await until(lambda: any(held.line for held in placer.service._front._owners.values()))
+    await until(lambda: any(held.partial_line for held in placer.service.clients.connections.values()))
     if how == "resets":
         sock = owner.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -154,17 +156,17 @@
     else:
         owner.writer.write_eof()
         assert await owner.read() is None  # closed, with no answer to what never was a set-up
-    await until(lambda: len(placer.service._front._owners) == 1)
+    await until(lambda: len(placer.service.clients.connections) == 1)
     other.say(offer(SECOND))
     await ops(other, "accept")
-    assert [m["call"] for m in machine.offers()] == [SECOND] and placer.core.counts["set-ups"] == 1
+    assert [m["call"] for m in machine.offers()] == [SECOND] and placer.core.counters.requests == 1
 
 
 @pytest.mark.parametrize("spoke", [True, False])
 async def test_a_line_that_stopped_is_closed_and_its_connection_not_held_for_good(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, spoke: bool
 ) -> None:
-    monkeypatch.setattr(admission, "PIECE_S" if spoke else "FIRST_S", 0.3)
+    monkeypatch.setattr(idle_connections, "FRAGMENT_S" if spoke else "FIRST_LINE_S", 0.3)
     placer = await stage.start(Machine("m-1"))
     owner = await placer.owner()
     if spoke:
@@ -192,15 +194,15 @@
     written = 0
     while stage.now < NOW + 1_500.0 and not stage.told:
         for intent in stage.of(Offer):
-            written += machines == "silent" and stage.core.gate(stage.now, CALL, intent.number) is not None
+            written += machines == "silent" and stage.core.encode_offer(stage.now, intent.key) is not None
         stage.later(1.0)
     assert stage.told and stage.now < NOW + 1_500.0
     (answer,) = (message for _, message in stage.told)
     assert answer["op"] == "end" and (machines == "silent") is (written > 0)
     if machines != "never reached":
-        assert (answer["why"] in HARMLESS) is (cls == "easy" or not written)
+        assert (answer["why"] in RETRYABLE_CAUSES) is (cls == "easy" or not written)
     stage.later(20_000.0)
-    assert len(stage.told) == 1 and not stage.core.calls
+    assert len(stage.told) == 1 and not stage.core.requests
 
 
 async def test_a_placer_whose_machines_are_all_silent_answers_each_request_once(stage: Stage) -> None:
@@ -221,6 +223,6 @@
             for call in calls:
                 peer.say(line("accept", call, desc="late"))
     await quiet_on(owner)
-    assert not placer.core.calls
+    assert not placer.core.requests
     offers = [(m.name, o["call"]) for m in stage.machines.values() for o in m.offers()]
     assert sum(calls[call] == "once" for _, call in offers) <= 5
--- a/tests/platform/test_platform_ready.py
+++ b/tests/platform/test_platform_ready.py
@@ -21,39 +21,47 @@
 from kelpfront.lab.fleet.restart import Restart, Start, marks, restart
 from kelpfront.lab.fleet.settings import config_json, whole_list
 from kelpfront.lab.platform import Machine, member, offer
-from kelpfront.platform import __main__, machines
+from kelpfront.platform import __main__, descriptor_budget
 from kelpfront.platform.config import Config, config_of
-from kelpfront.platform.coordinator import Follower
-from kelpfront.platform.pacing import ASKS_OUT, NEWS_LEAST_MS, NEWS_WAIT_MS, news_wait_ms
+from kelpfront.platform.discovery_client import DiscoveryClient
+from kelpfront.platform.poll_pacing import (
+    MAX_FIRST_ANSWER_WAIT_MS,
+    MAX_POLLS_IN_FLIGHT,
+    MIN_FIRST_ANSWER_WAIT_MS,
+    first_answer_wait_ms,
+)
+from kelpfront.platform.read_timing import TimedSelector
 from kelpfront.platform.service import Service
-from kelpfront.platform.turns import Turns
 
 
 @given(st.floats(0.0, 1e7))
 def test_the_wait_for_news_ends_by_its_time_since_the_start_but_leaves_some_to_be_answered(
     alive_ms: float,
 ) -> None:
-    wait = news_wait_ms(alive_ms)
-    assert NEWS_LEAST_MS <= wait <= NEWS_WAIT_MS
-    assert alive_ms + wait == pytest.approx(NEWS_WAIT_MS) or wait == NEWS_LEAST_MS
+    wait = first_answer_wait_ms(alive_ms)
+    assert MIN_FIRST_ANSWER_WAIT_MS <= wait <= MAX_FIRST_ANSWER_WAIT_MS
+    assert alive_ms + wait == pytest.approx(MAX_FIRST_ANSWER_WAIT_MS) or wait == MIN_FIRST_ANSWER_WAIT_MS
 
 
-@pytest.mark.parametrize(("alive_s", "most_ms"), [(0.0, NEWS_WAIT_MS), (3.0, 4_000.0), (60.0, NEWS_LEAST_MS)])
+@pytest.mark.parametrize(
+    ("alive_s", "most_ms"),
+    [(0.0, MAX_FIRST_ANSWER_WAIT_MS), (3.0, 4_000.0), (60.0, MIN_FIRST_ANSWER_WAIT_MS)],
+)
 async def test_what_the_start_took_is_no_more_waited_for(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, alive_s: float, most_ms: float
 ) -> None:
     """Guards against 7 s on top of a start that took seconds, with a small share of a core."""
     waits: list[float] = []
 
-    async def news(self: Follower, within_ms: float) -> bool:
+    async def news(self: DiscoveryClient, within_ms: float) -> bool:
         waits.append(within_ms)
         return True
 
-    monkeypatch.setattr(Follower, "news", news)
+    monkeypatch.setattr(DiscoveryClient, "wait_for_first_answer", news)
     raw = raw_config(member("m-1"))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
-    service = Service(path, config_of(raw), began=asyncio.get_running_loop().time() - alive_s)
+    service = Service(path, config_of(raw), began_at=asyncio.get_running_loop().time() - alive_s)
     running = asyncio.create_task(service.run())
     try:
         await until(lambda: service.port)
@@ -61,7 +69,7 @@
         running.cancel()
         await asyncio.gather(running, return_exceptions=True)
         await service.close()
-    assert len(waits) == 1 and NEWS_LEAST_MS <= waits[0] <= most_ms
+    assert len(waits) == 1 and MIN_FIRST_ANSWER_WAIT_MS <= waits[0] <= most_ms
 
 
 def test_the_program_tells_its_service_when_the_process_began(
@@ -70,7 +78,7 @@
     began: list[float] = []
 
     class Recorded:
-        def __init__(self, path: Path, config: Config, turns: Turns, when: float) -> None:
+        def __init__(self, path: Path, config: Config, turns: TimedSelector, when: float) -> None:
             began.append(when)
 
         async def run(self) -> None:
@@ -85,7 +93,7 @@
         assert __main__.serve(path) == 0
     finally:
         signal.signal(signal.SIGHUP, before)
-    assert began == [__main__.BEGAN] and time.monotonic() > __main__.BEGAN
+    assert began == [__main__.BEGAN_AT] and time.monotonic() > __main__.BEGAN_AT
 
 
 async def test_a_process_started_in_an_outage_counts_its_wait_from_its_beginning(tmp_path: Path) -> None:
@@ -101,8 +109,8 @@
         lines = [json.loads(text) for text in placer.log_path.read_text().splitlines()]
     finally:
         await placer.kill()
-    (served,) = [text for text in lines if text["event"].startswith("no news of the list")]
-    assert NEWS_LEAST_MS <= served["waited_ms"] < NEWS_WAIT_MS
+    (served,) = [text for text in lines if text["event"] == "no answer of the coordinator at start"]
+    assert MIN_FIRST_ANSWER_WAIT_MS <= served["waited_ms"] < MAX_FIRST_ANSWER_WAIT_MS
     (serving,) = [text for text in lines if text["event"] == "serving"]
     assert serving["machines"] == 1_100
 
@@ -119,7 +127,7 @@
     """Guards against a loop that opens a thousand in one turn: owners that ask meanwhile wait for seconds."""
     stage = Stage(tmp_path)
     try:
-        many = [Machine(f"m-{number}") for number in range(3 * machines.LISTENS)]
+        many = [Machine(f"m-{number}") for number in range(3 * descriptor_budget.MAX_RECONNECTING)]
         placer = await stage.start(*many, limits={"sockets": 1_024})
         opened, under_way = asyncio.open_connection, [0, 0]
 
@@ -139,7 +147,9 @@
         await until(lambda: all(machine.peers for machine in stage.machines.values()))
     finally:
         await stage.stop()
-    assert 1 < under_way[1] <= machines.LISTENS + ASKS_OUT + 1  # probes to those that wait may join
+    assert (
+        1 < under_way[1] <= descriptor_budget.MAX_RECONNECTING + MAX_POLLS_IN_FLIGHT + 1
+    )  # probes to those that wait may join
 
 
 async def test_restarted_placers_take_all_that_is_handed_over_anew() -> None:
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -19,8 +19,8 @@
 from kelpfront.lab.platform import Json, Machine, event, member, offer
 from kelpfront.platform.__main__ import serve
 from kelpfront.platform.config import ConfigError, config_of
-from kelpfront.platform.core import Core
-from kelpfront.platform.directory import BadEventError, events_of
+from kelpfront.platform.core import PlacerCore
+from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 from kelpfront.platform.messages import decode
 from kelpfront.scheduling.scheduler import Scheduler
 
@@ -80,18 +80,18 @@
     """What a start says of it; where it says nothing, a task under it is answered."""
     try:
         its = config_of(raw)
-        index, events = events_of(its.known, its)
-    except (ConfigError, BadEventError) as error:
+        index, events = parse_events(its.known, its)
+    except (ConfigError, InvalidEventError) as error:
         return str(error)
-    core, now = Core(its, Scheduler(its.settings, its.seed)), NOW
-    core.listed(now, index, events)
+    core, now = PlacerCore(its, Scheduler(its.settings, its.seed)), NOW
+    core.apply_endpoint_events(now, index, events)
     core.sessions.open(now, 1, "127.0.0.5")
-    core.owner_says(now, 1, decode(offer()))
-    core.settle(now)
+    core.on_client_message(now, 1, decode(offer()))
+    core.submit_arrivals(now)
     while (due := core.timers.next()) <= NOW + 60_000.0:
         now = max(now, due)
         core.timers.run(now)
-    assert not core.calls.waiting
+    assert not core.requests.unanswered_count
     return ""
 
 
@@ -142,7 +142,7 @@
     placer = await stage.start(machine)
     path = stage.path / "config.json"
     raw = json.loads(path.read_text())
-    index = placer.core.fleet.index
+    index = placer.core.endpoints.index
     drained = event(index + 1, member("m-1", machine.address, "Terminating"))
     known = {"index": index + 1, "updates": [*raw["known"]["updates"], drained]}
     spoilt: list[Json] = [
@@ -163,4 +163,4 @@
         await ops(owner, "accept")
     path.write_text(json.dumps(raw | {"known": known}))
     os.kill(os.getpid(), signal.SIGHUP)
-    await until(lambda: placer.core.fleet.index == index + 1)
+    await until(lambda: placer.core.endpoints.index == index + 1)
--- a/tests/platform/test_platform_sockets.py
+++ b/tests/platform/test_platform_sockets.py
@@ -19,8 +19,9 @@
 from waiting import until
 
 from kelpfront.lab.platform import CALL, DESC, Coordinator, Json, Machine, Peer, event, line, member, offer
-from kelpfront.platform import admission, machines, owners, service
-from kelpfront.platform.messages import LINE_MOST, decode
+from kelpfront.platform import client_connections, connection_pool, idle_connections, service
+from kelpfront.platform.descriptor_shares import DescriptorShares
+from kelpfront.platform.messages import MAX_LINE_BYTES, decode
 
 SECOND = "00000000000000a2"
 
@@ -51,7 +52,7 @@
     [
         b"\x00\xff\xfe noise\n",
         b'{"op":"accept","call":"00000000000000a1","with":{}}\n',
-        b"x" * (3 * LINE_MOST),
+        b"x" * (3 * MAX_LINE_BYTES),
         b'{"op":"accept","call":"00000000000000a1","desc":"half',
     ],
     ids=["noise", "no description", "unending", "stops short"],
@@ -82,7 +83,7 @@
     owner = await placer.owner()
     owner.say(offer())
     await ops(owner, "accept")
-    (held,) = placer.service._front._owners.values()
+    (held,) = placer.service.clients.connections.values()
     assert held.writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
@@ -138,13 +139,15 @@
     owner = await placer.owner()
     owner.say(offer(left="20000"))
     await until(lambda: machine.offers())
-    placer.service._flushing = True  # the decision is made, and an answer is read before it is carried out
-    (conn,) = placer.service._front._owners
-    placer.core.owner_says(placer.service._clock.now(), conn, decode(line("end", CALL, why=16)))
+    placer.service._runner._flushing = (
+        True  # the decision is made, and an answer is read before it is carried out
+    )
+    (conn,) = placer.service.clients.connections
+    placer.core.on_client_message(placer.service.clock.now(), conn, decode(line("end", CALL, why=16)))
     machine.peers[0].say(line("accept", CALL, desc="given"))
-    await until(lambda: placer.core.counts["stray accept"])
-    placer.service._flushing = False
-    placer.service.flush()
+    await until(lambda: placer.core.counters.unexpected_accepts)
+    placer.service._runner._flushing = False
+    placer.service._runner.flush()
     await until(lambda: [message for message in machine.seen if message["op"] == "end"])
 
 
@@ -184,7 +187,7 @@
     calls = [f"{number:016x}" for number in range(1, 41)]
     owner.say(b"".join(offer(call, cls="once", left="900") for call in calls))
     ended = await ops(owner, *["end"] * 40)
-    assert {message["why"] for message in ended} == {42} and 1 < most <= machines.CONNECTIONS
+    assert {message["why"] for message in ended} == {42} and 1 < most <= connection_pool.MAX_CONNECTIONS
 
 
 async def test_a_second_copy_and_an_unknown_answer_in_front_harm_nothing(stage: Stage) -> None:
@@ -233,7 +236,7 @@
     stage.coordinator.garble = 2
     stage.coordinator.noise = [b"[" * 100_000, b'{"index":-1}', b"[]", b"\xff"]
     stage.coordinator.events.append(event(2, member("m-1", first.address, "Terminating")))
-    await until(lambda: placer.core.fleet.index == 2)
+    await until(lambda: placer.core.endpoints.index == 2)
     other = Coordinator()
     await other.start()
     other.events.append(event(3, member("m-2", second.address, "Terminating")))
@@ -243,7 +246,7 @@
     await asyncio.sleep(0)
     (stage.path / "config.json").write_text(json.dumps(raw | {"coordinator": other.address}))
     os.kill(os.getpid(), signal.SIGHUP)
-    await until(lambda: placer.core.fleet.index == 3)
+    await until(lambda: placer.core.endpoints.index == 3)
     assert other.asked[0] == 2
     await other.stop()
 
@@ -251,7 +254,7 @@
 async def test_placing_goes_on_without_a_coordinator(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     await stage.coordinator.stop()
-    await until(lambda: placer.service._follower._failing)
+    await until(lambda: placer.service.discovery.is_failing)
     owner = await placer.owner()
     owner.say(offer())
     await ops(owner, "accept")
@@ -267,8 +270,8 @@
         os.kill(os.getpid(), signal.SIGHUP)
         owner.say(offer(f"{number:016x}"))
         await ops(owner, "accept")
-    assert placer.service._follower._address.port == 8
-    assert len(placer.core.machines) == 1
+    assert placer.service.discovery.address.port == 8
+    assert len(placer.core.endpoints.machines) == 1
 
 
 async def test_a_message_of_60_megabytes_is_closed_and_costs_no_memory(stage: Stage) -> None:
@@ -280,8 +283,8 @@
             bad.say(piece)
             await bad.writer.drain()
     await closed(bad)
-    await until(lambda: not placer.service._front._owners)
-    assert placer.core.counts["unreadable lines"] == 1
+    await until(lambda: not placer.service.clients.connections)
+    assert placer.core.counters.unreadable_lines == 1
 
 
 async def test_a_slow_coordinator_is_heard(stage: Stage) -> None:
@@ -289,8 +292,8 @@
     stage.coordinator.slow_s = 0.2
     for index in (2, 3, 4):
         stage.coordinator.events.append(event(index, member(f"m-{index}")))
-        await until(lambda index=index: placer.core.fleet.index == index)  # type: ignore[misc]
-    assert len(placer.core.machines) == 4
+        await until(lambda index=index: placer.core.endpoints.index == index)  # type: ignore[misc]
+    assert len(placer.core.endpoints.machines) == 4
 
 
 async def test_a_placer_that_starts_hears_what_its_file_lacks_before_owners_come(stage: Stage) -> None:
@@ -311,7 +314,7 @@
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Not at once, but when what was withheld from it counts as told whatever it does."""
-    monkeypatch.setattr(service, "news_wait_ms", lambda alive_ms: 300.0)
+    monkeypatch.setattr(service, "first_answer_wait_ms", lambda alive_ms: 300.0)
     stage.coordinator.mute = True
     placer = await stage.start(Machine("m-1"))
     owner = await placer.owner()
@@ -326,9 +329,9 @@
     stage.coordinator.events.append(event(2, member("m-9")))
     asked = len(stage.coordinator.asked)
     await until(lambda: len(stage.coordinator.asked) > asked)
-    assert placer.service._follower._failing
+    assert placer.service.discovery.is_failing
     stage.coordinator.mute = False
-    await until(lambda: placer.core.fleet.index == 2)
+    await until(lambda: placer.core.endpoints.index == 2)
 
 
 @pytest.mark.parametrize(
@@ -359,7 +362,7 @@
 async def test_silent_connections_by_the_hundred_leave_room_for_owners(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    most = admission.Shares.of(256).owners
+    most = DescriptorShares.of(256).clients
     silent = [await placer.owner() for _ in range(most + 20)]
     owner = await placer.owner()
     owner.say(offer())
@@ -370,33 +373,33 @@
 
 async def test_owners_that_asked_once_and_hold_on_do_not_shut_out_the_next(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    most = admission.Shares.of(256).owners
+    most = DescriptorShares.of(256).clients
     for number in range(most + 20):
         owner = await placer.owner()
         owner.say(line("test", f"{number:016x}", why=0))
         await ops(owner, "tested")
         if number % 50 == 0:
-            await asyncio.sleep(admission.IDLE_S)
-    assert len(placer.service._front._owners) <= most
+            await asyncio.sleep(idle_connections.RECENTLY_ACTIVE_S)
+    assert len(placer.service.clients.connections) <= most
 
 
 async def test_owners_make_room_for_connections_to_machines(stage: Stage) -> None:
     """Guards against a placer without descriptors: it could let nobody in for a second at a time."""
     placer = await stage.start(Machine("m-1"))
-    placer.service._budget.held += 150
-    most = admission.Shares.of(256).owners_beside(150)
-    assert most < admission.Shares.of(256).owners
+    placer.service.budget.in_use += 150
+    most = DescriptorShares.of(256).clients_beside(150)
+    assert most < DescriptorShares.of(256).clients
     idle = [await placer.owner() for _ in range(most + 20)]
     last = await placer.owner()
     last.say(offer())
     await ops(last, "accept")
-    assert len(placer.service._front._owners) <= most
+    assert len(placer.service.clients.connections) <= most
     for peer in idle[:20]:
         await closed(peer)
 
 
 async def test_an_owner_that_reads_nothing_is_cut_off(stage: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(owners, "UNREAD_MOST", 4096)
+    monkeypatch.setattr(client_connections, "MAX_UNSENT_BYTES", 4096)
     placer = await stage.start(Machine("m-1"))
     with socket.socket() as deaf:
         deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
--- a/tests/platform/test_turns.py
+++ b/tests/platform/test_turns.py
@@ -17,7 +17,7 @@
 import pytest
 
 from kelpfront.lab.platform import Json, Machine, Peer, line, member, offer
-from kelpfront.platform.turns import OVERSLEPT_S, Turns, Unread
+from kelpfront.platform.read_timing import OVERSLEEP_S, TimedSelector, UnreadTime
 
 LEFT_MS = 1500.0
 STILL_S = 1.2
@@ -33,8 +33,8 @@
         return self.now
 
 
-class Poll(Turns):
-    """Turns over a poll that takes as long as the test says."""
+class Poll(TimedSelector):
+    """TimedSelector over a poll that takes as long as the test says."""
 
     def __init__(self, clock: Clock) -> None:
         super().__init__(clock)
@@ -79,7 +79,7 @@
 
 def test_a_wait_that_is_longer_than_it_was_to_be_was_a_standstill() -> None:
     poll = Poll(Clock())
-    poll.turn(0.25, took=0.25 + OVERSLEPT_S + 3.0)
+    poll.turn(0.25, took=0.25 + OVERSLEEP_S + 3.0)
     assert poll.unread_since == 100.0
     poll.turn(0, took=0.0)  # broken off by the signal to go on, the one before reported nothing
     assert poll.unread_since == 100.0
@@ -91,18 +91,18 @@
     poll = Poll(clock)
     poll.turn(None, took=1.0, then_busy=0.5)  # returns at 101
     poll.turn(0, took=0.0)  # accepted in this turn: since 101
-    unread = Unread(poll)
+    unread = UnreadTime(poll)
     poll.turn(0, took=0.0)
-    unread.read()
-    assert unread.for_ms() == pytest.approx(500.0)  # it may be as old as the request to connect
+    unread.on_read()
+    assert unread.unread_ms() == pytest.approx(500.0)  # it may be as old as the request to connect
     for _ in range(3):
         poll.turn(10.0, took=4.0)
     poll.turn(0, took=0.0)
-    unread.read()
-    assert unread.for_ms() == pytest.approx(0.0)
+    unread.on_read()
+    assert unread.unread_ms() == pytest.approx(0.0)
     clock.now += 0.3
-    unread.read()  # the rest of the same read
-    assert unread.for_ms() == pytest.approx(300.0)
+    unread.on_read()  # the rest of the same read
+    assert unread.unread_ms() == pytest.approx(300.0)
     poll.close()
 
 
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -69,7 +69,7 @@
         await until(lambda: self.service.port)
 
     def now(self) -> float:
-        return self.service._clock.now()
+        return self.service.clock.now()
 
     async def owner(self) -> Peer:
         peer = Peer(*await asyncio.open_connection("127.0.0.1", self.service.port))
--- a/tests/surfaces/surface_platform.py
+++ b/tests/surfaces/surface_platform.py
@@ -10,10 +10,9 @@
 from surface_golden import SEED, as_json, golden
 
 from kelpfront.platform import config as platform_config
-from kelpfront.platform import coordinator as platform_coordinator
-from kelpfront.platform import directory as platform_directory
-from kelpfront.platform import intents, messages
-from kelpfront.platform.core import Core
+from kelpfront.platform import discovery_client, intents, messages
+from kelpfront.platform import endpoint_events as platform_events
+from kelpfront.platform.core import PlacerCore
 from kelpfront.scheduling.actions import Migrate
 from kelpfront.scheduling.scheduler import Scheduler
 
@@ -26,26 +25,26 @@
 
     def __init__(self) -> None:
         config = platform_config.config_of(json.loads(golden("platform-config-full.json")))
-        self._core = Core(config, Scheduler(config.settings, SEED))
+        self._core = PlacerCore(config, Scheduler(config.settings, SEED))
         self._now, self.lines = NOW, list[str]()
-        self._core.listed(NOW, *platform_directory.events_of(config.known, config))
-        self._core.freshness.heard(NOW)
+        self._core.apply_endpoint_events(NOW, *platform_events.parse_events(config.known, config))
+        self._core.freshness.on_answer(NOW)
         self._core.sessions.open(NOW, OWNER, "127.0.0.5")
-        self._machine = messages.machine_number("m-1")
+        self._machine = messages.machine_id("m-1")
         self._take()
 
     def owner(self, call: str, op: str, **fields: Any) -> None:
         line = self._heard("owner", call, op, fields)
-        if not self._core.owner_says(self._now, OWNER, messages.decode(line)):
+        if not self._core.on_client_message(self._now, OWNER, messages.decode(line)):
             self.lines.append("the owner's connection is closed")
-        self._core.settle(self._now)
+        self._core.submit_arrivals(self._now)
         self._take()
 
     def machine(self, call: str, op: str, **fields: Any) -> None:
         line = self._heard("machine", call, op, fields)
-        found = self._core.calls.get(call)
-        number = None if found is None or found.out is None else found.out.number
-        self._core.machine_says(self._now, self._machine, messages.decode(line), number)
+        found = self._core.requests.get(call)
+        number = None if found is None or found.attempt is None else found.attempt.number
+        self._core.on_machine_message(self._now, self._machine, messages.decode(line), number)
         self._take()
 
     def offer(self, call: str, extras: str = "cores:1;memory:2;service:b4d65521", **changes: Any) -> None:
@@ -66,7 +65,7 @@
         self._now = until
 
     def probe(self, call: str) -> None:
-        self._core.probes.ask(self._now, self._machine, call, 500.0)
+        self._core.health_checks.send(self._now, self._machine, call, 500.0)
         self._take()
 
     def drain(self) -> None:
@@ -74,25 +73,25 @@
         config = platform_config.config_of(json.loads(golden("platform-config-full.json")))
         members = json.loads(golden("drain.json"))
         self.lines.append("the machine drains, another is listed")
-        self._core.listed(self._now, *platform_directory.events_of(members, config))
-        self._core.freshness.heard(self._now)
+        self._core.apply_endpoint_events(self._now, *platform_events.parse_events(members, config))
+        self._core.freshness.on_answer(self._now)
         self._take()
 
     def move(self, call: str) -> None:
         """The scheduler wants a task that stands to be asked for again."""
-        found = self._core.calls.get(call)
+        found = self._core.requests.get(call)
         assert found is not None
         self.lines.append("the task is to move")
-        self._core._carry_out(self._now, Migrate(found.task))
+        self._core.carry_out(self._now, Migrate(found.task))
         self._take()
 
     def close(self) -> None:
         self.lines.append("the placer takes no more")
-        self._core.closing = True
+        self._core.client_messages.is_closing = True
 
     def machine_process_gone(self) -> None:
         self.lines.append("the machine's process is gone")
-        self._core.process_gone(self._now, self._machine)
+        self._core.on_machine_process_dead(self._now, self._machine)
         self._take()
 
     def _heard(self, who: str, call: str, op: str, fields: dict[str, Any]) -> bytes:
@@ -101,13 +100,12 @@
         return line
 
     def _take(self) -> None:
-        out, self._core.out[:] = list(self._core.out), []
-        for item in out:
-            if isinstance(item, intents.Tell):
+        for item in self._core.outbox.drain():
+            if isinstance(item, intents.SendToClient):
                 self._said("owner", item.data)
             elif isinstance(item, intents.Offer):
-                self._said("machine", self._core.gate(self._now, item.call, item.number) or b"")
-            elif isinstance(item, intents.Say | intents.Abandon | intents.Test):
+                self._said("machine", self._core.encode_offer(self._now, item.key) or b"")
+            elif isinstance(item, intents.SendToMachine | intents.AbandonAttempt | intents.SendHealthCheck):
                 self._said("machine", item.data)
 
     def _said(self, whom: str, data: bytes) -> None:
@@ -165,20 +163,21 @@
     told = [(note, why) for note in ("nc", "nm", "nq", "nh", "ev", "pre", "dr", "new") for why in (34, 47)]
     told += [("", why) for why in (0, 16, 31, 34, 41, 42, 47, 81, 96, 100, 102)]
     ends = {
-        f"{note} {why} {'placed' if placed else 'offered'}": messages.end_of(
-            _from_machine(why, note=note), placed
+        f"{note} {why} {'placed' if placed else 'offered'}": messages.parse_outcome(
+            _from_machine(why, note=note), accepted=placed
         )
         for note, why in told
         for placed in (False, True)
     }
     notes = {
-        n: messages.note_of(_from_machine(0, note=n, value=0.5)) for n in ("live", "c", "m", "s", "p", "new")
+        n: messages.parse_status(_from_machine(0, note=n, value=0.5))
+        for n in ("live", "c", "m", "s", "p", "new")
     }
     loads = {
-        name: messages.load_of(_from_machine(0, load=f"{name}:1.5"))
+        name: messages.parse_load(_from_machine(0, load=f"{name}:1.5"))
         for name in ("x0", "x1", "queue", "q", "busy")
     }
-    return as_json([ends, notes, loads, messages.machine_number("m-1")])
+    return as_json([ends, notes, loads, messages.machine_id("m-1")])
 
 
 def _from_machine(why: int, **fields: Any) -> messages.Message:
@@ -196,7 +195,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = platform_config.Address("127.0.0.1", server.sockets[0].getsockname()[1])
-    follower = platform_coordinator.Follower(address, lambda: 41, print, random.Random(SEED), 1_000.0)
+    follower = discovery_client.DiscoveryClient(address, lambda: 41, print, random.Random(SEED), 1_000.0)
     follower.start()
     async with asyncio.timeout(20):
         line = await heard
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -18,7 +18,7 @@
 from kelpfront.failure_detector import config as watch_config
 from kelpfront.fronts.rest import discovery
 from kelpfront.platform import config as platform_config
-from kelpfront.platform import directory as platform_directory
+from kelpfront.platform import endpoint_events as platform_events
 from kelpfront.service.app import PlacerService
 from kelpfront.v1 import api_pb2, node_pb2, resources_pb2
 
@@ -92,7 +92,7 @@
 def directory_read() -> bytes:
     """The coordinator's answer, as `known` in the configuration has it too."""
     raw = json.loads(golden("platform-config-full.json"))
-    return as_json(platform_directory.events_of(raw["known"], platform_config.config_of(raw)))
+    return as_json(platform_events.parse_events(raw["known"], platform_config.config_of(raw)))
 
 
 def commands() -> bytes:
