--- a/kelpfront/platform/adopted_tasks.py
+++ b/kelpfront/platform/adopted_tasks.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass
+
+import msgspec
 
 from kelpfront.platform.discovery_freshness import DiscoveryFreshness
 from kelpfront.platform.limits import Limit, LimitMonitor
@@ -21,14 +22,12 @@
 """Ends of tasks that are still to be handed over."""
 
 
-@dataclass(frozen=True, slots=True)
-class _EarlyEnd:
+class _EarlyEnd(msgspec.Struct, frozen=True):
     machine: MachineId
     message: Message
 
 
-@dataclass(frozen=True, slots=True)
-class _UnlistedTask:
+class _UnlistedTask(msgspec.Struct, frozen=True):
     machine: MachineId
     request: PendingRequest
     adopted_at: float
--- a/kelpfront/platform/attempts.py
+++ b/kelpfront/platform/attempts.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 from kelpfront.platform import messages
 from kelpfront.platform.core_state import CoreState
@@ -26,8 +26,7 @@
 from kelpfront.scheduling.settings import SchedulerSettings
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptEnd:
+class AttemptEnd(msgspec.Struct, frozen=True):
     """How an attempt ended, with what its machine reported on that."""
 
     outcome: AttemptOutcome
--- a/kelpfront/platform/client_connections.py
+++ b/kelpfront/platform/client_connections.py
@@ -10,8 +10,8 @@
 import itertools
 import socket
 from collections.abc import Callable
-from dataclasses import dataclass
 
+import msgspec
 import structlog
 
 from kelpfront.platform.client_connection import ClientConnection, PeekableReader
@@ -49,8 +49,7 @@
 """For what is still to be sent on a connection that is being closed."""
 
 
-@dataclass(frozen=True, slots=True)
-class ServerContext:
+class ServerContext(msgspec.Struct, frozen=True):
     """What the server for clients is given.
 
     Attributes:
--- a/kelpfront/platform/connection_pool.py
+++ b/kelpfront/platform/connection_pool.py
@@ -10,9 +10,9 @@
 import asyncio
 from collections import deque
 from collections.abc import Coroutine
-from dataclasses import dataclass
 from typing import Any
 
+import msgspec
 import structlog
 
 from kelpfront.platform.background_tasks import BackgroundTasks
@@ -53,8 +53,7 @@
 """Messages that answer an offer or a health check."""
 
 
-@dataclass(frozen=True, slots=True)
-class PoolContext:
+class PoolContext(msgspec.Struct, frozen=True):
     """What all pools of one placer share.
 
     Attributes:
--- a/kelpfront/platform/core_access.py
+++ b/kelpfront/platform/core_access.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from kelpfront.platform.core import PlacerCore
 
 
-@dataclass(frozen=True, slots=True)
-class CoreAccess:
+class CoreAccess(msgspec.Struct, frozen=True):
     """The way of one placer's connections to its core.
 
     Attributes:
--- a/kelpfront/platform/core_state.py
+++ b/kelpfront/platform/core_state.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from dataclasses import dataclass
+
+import msgspec
 
 from kelpfront.platform.counters import Counters
 from kelpfront.platform.endpoint_table import EndpointTable
@@ -15,8 +16,7 @@
 from kelpfront.timers import Timers
 
 
-@dataclass(frozen=True, slots=True)
-class CoreState:
+class CoreState(msgspec.Struct, frozen=True):
     """The state of one placer.
 
     Attributes:
--- a/kelpfront/platform/descriptor_shares.py
+++ b/kelpfront/platform/descriptor_shares.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 ACCEPT_BURST = 24
 """Connections that are accepted before their limits are checked, where there are many descriptors."""
@@ -38,8 +38,7 @@
 """Of the descriptors, one in so many is for connections to machines."""
 
 
-@dataclass(frozen=True, slots=True)
-class DescriptorShares:
+class DescriptorShares(msgspec.Struct, frozen=True):
     """How many descriptors each side may hold.
 
     The rest is for files, for polls of the endpoint list, and for `burst` connections that were just accepted
--- a/kelpfront/platform/health_checks.py
+++ b/kelpfront/platform/health_checks.py
@@ -6,7 +6,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+
+import msgspec
 
 from kelpfront.platform import messages
 from kelpfront.platform.intents import (
@@ -29,8 +30,7 @@
 """Called with the time, the machine of a health check, and whether it gave no answer."""
 
 
-@dataclass(frozen=True, slots=True)
-class HealthCheckResult:
+class HealthCheckResult(msgspec.Struct, frozen=True):
     """A machine's answer to a health check, or that there was none."""
 
     ok: bool
@@ -38,8 +38,7 @@
     no_response: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class _InFlight:
+class _InFlight(msgspec.Struct, frozen=True):
     machine: MachineId
     sent_at: float
 
--- a/kelpfront/platform/idle_connections.py
+++ b/kelpfront/platform/idle_connections.py
@@ -9,6 +9,8 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
+import msgspec
+
 K = TypeVar("K")
 
 NO_VALID_MESSAGE_S = 2.0
@@ -105,8 +107,7 @@
         return None if oldest is None else oldest[0]
 
 
-@dataclass(frozen=True, slots=True)
-class ConnectionActivity:
+class ConnectionActivity(msgspec.Struct, frozen=True):
     """What a client's connection has sent; `last_valid_at` is NEVER before its first valid message."""
 
     opened_at: float
--- a/kelpfront/platform/intents.py
+++ b/kelpfront/platform/intents.py
@@ -6,10 +6,11 @@
 from __future__ import annotations
 
 from collections.abc import Iterator
-from dataclasses import dataclass
 from enum import Enum
 from typing import NamedTuple
 
+import msgspec
+
 from kelpfront.scheduling.events import MachineId
 
 ConnectionId = int
@@ -34,8 +35,7 @@
     DISCONNECTED = "disconnected"  # its connection is closed or reset, or sends no more
 
 
-@dataclass(frozen=True, slots=True)
-class SendToClient:
+class SendToClient(msgspec.Struct, frozen=True):
     """Send a line to a client.
 
     Attributes:
@@ -51,8 +51,7 @@
     accepted_request: str = ""
 
 
-@dataclass(frozen=True, slots=True)
-class Offer:
+class Offer(msgspec.Struct, frozen=True):
     """Offer a request to a machine; `PlacerCore.encode_offer` gives its bytes right before the write."""
 
     machine: MachineId
@@ -65,8 +64,7 @@
         return AttemptKey(self.request_id, self.attempt_number)
 
 
-@dataclass(frozen=True, slots=True)
-class AbandonAttempt:
+class AbandonAttempt(msgspec.Struct, frozen=True):
     """Give an attempt up; the machine is notified where the offer has been written.
 
     Attributes:
@@ -80,16 +78,14 @@
     no_response: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class SendToMachine:
+class SendToMachine(msgspec.Struct, frozen=True):
     """Send a line on a running task, on any connection to its machine."""
 
     machine: MachineId
     data: bytes
 
 
-@dataclass(frozen=True, slots=True)
-class SendHealthCheck:
+class SendHealthCheck(msgspec.Struct, frozen=True):
     """Send a health check to a machine."""
 
     machine: MachineId
@@ -102,15 +98,13 @@
         return AttemptKey(self.check_id, HEALTH_CHECK_ATTEMPT)
 
 
-@dataclass(frozen=True, slots=True)
-class KeepConnected:
+class KeepConnected(msgspec.Struct, frozen=True):
     """Keep a connection open: tasks run on the machine, and it has to be able to report on them."""
 
     machine: MachineId
 
 
-@dataclass(frozen=True, slots=True)
-class ForgetMachine:
+class ForgetMachine(msgspec.Struct, frozen=True):
     """Close all connections: nothing runs there any more and the machine was removed."""
 
     machine: MachineId
--- a/kelpfront/platform/listener.py
+++ b/kelpfront/platform/listener.py
@@ -10,8 +10,8 @@
 import asyncio
 import socket
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
 
+import msgspec
 import structlog
 
 from kelpfront.platform.background_tasks import BackgroundTasks
@@ -41,8 +41,7 @@
         asyncio.get_running_loop().call_soon(self._on_closed)  # its transport closes the socket after this
 
 
-@dataclass(frozen=True, slots=True)
-class ListenerLimits:
+class ListenerLimits(msgspec.Struct, frozen=True):
     """How many connections a listener accepts.
 
     Attributes:
--- a/kelpfront/platform/log_records.py
+++ b/kelpfront/platform/log_records.py
@@ -5,23 +5,22 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, fields
 from typing import ClassVar
 
+import msgspec
 
-@dataclass(frozen=True, slots=True)
-class LogRecord:
-    """One log line at level info; `event` is its name, the dataclass's fields are the line's."""
+
+class LogRecord(msgspec.Struct, frozen=True):
+    """One log line at level info; `event` is its name, the record's fields are the line's."""
 
     event: ClassVar[str]
 
     def fields(self) -> dict[str, str | float]:
         """Return the fields of the line."""
-        return {item.name: getattr(self, item.name) for item in fields(self)}
+        return msgspec.structs.asdict(self)
 
 
-@dataclass(frozen=True, slots=True)
-class MachineEjected(LogRecord):
+class MachineEjected(LogRecord, frozen=True):
     """The scheduler ejected a machine.
 
     Attributes:
@@ -37,24 +36,21 @@
     ejection_ms: float
 
 
-@dataclass(frozen=True, slots=True)
-class LimitReached(LogRecord):
+class LimitReached(LogRecord, frozen=True):
     """A bound was reached for the first time; the periodic counters go on counting."""
 
     event: ClassVar[str] = "limit reached"
     limit: str
 
 
-@dataclass(frozen=True, slots=True)
-class InvalidRequest(LogRecord):
+class InvalidRequest(LogRecord, frozen=True):
     """A client sent a placement request that the protocol does not allow; the error names the field."""
 
     event: ClassVar[str] = "invalid placement request"
     error: str
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointEventsMissing(LogRecord):
+class EndpointEventsMissing(LogRecord, frozen=True):
     """Events before `index` were left out, or the numbers went back; the complete list is requested."""
 
     event: ClassVar[str] = "endpoint events missing"
--- a/kelpfront/platform/messages.py
+++ b/kelpfront/platform/messages.py
@@ -9,7 +9,6 @@
 
 import math
 import re
-from dataclasses import dataclass
 from enum import IntEnum
 from hashlib import blake2b
 from typing import NamedTuple
@@ -180,8 +179,7 @@
     return _encoder.encode(message) + b"\n"
 
 
-@dataclass(frozen=True, slots=True)
-class PlacementRequest:
+class PlacementRequest(msgspec.Struct, frozen=True):
     """What a client asks for.
 
     Attributes:
--- a/kelpfront/platform/running_tasks.py
+++ b/kelpfront/platform/running_tasks.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
+import msgspec
 
 from kelpfront.platform import messages
 from kelpfront.platform.adopted_tasks import AdoptedTasks
@@ -90,12 +90,14 @@
     def _adopted_request(
         self, now: float, connection: ConnectionId, session: Session, spec: PlacementRequest
     ) -> PendingRequest:
+        # Only its machine needs the rest, which may be 16 KiB for each of some ten thousand tasks.
+        kept = msgspec.structs.replace(spec, key="", idempotency_key="", description="")
         return PendingRequest(
             spec.request_id,
             next(self._numbers),
             connection,
             session.peer,
-            spec=replace(spec, key="", idempotency_key="", description=""),  # only its machine needs these
+            spec=kept,
             deadline=now,
             attempt_count=1,
             answered=True,
--- a/kelpfront/platform/timeouts.py
+++ b/kelpfront/platform/timeouts.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+import msgspec
 
 RECONNECT_MS = 250.0
 """Between attempts to reach a machine on which tasks run."""
@@ -45,8 +45,7 @@
 """For so long in all: a former incarnation may still hold the address, and look after its tasks."""
 
 
-@dataclass(slots=True)
-class ReachabilityCheck:
+class ReachabilityCheck(msgspec.Struct):
     """Whether the process of a machine on which tasks run is alive, by attempts to connect in a row."""
 
     refusals: int = 0
@@ -61,8 +60,7 @@
         self.refusals = 0
 
 
-@dataclass(frozen=True, slots=True)
-class ShutdownSchedule:
+class ShutdownSchedule(msgspec.Struct, frozen=True):
     """When a placer that was told to end may do so. Times are Unix milliseconds.
 
     Attributes:
