--- a/tests/failure_detector/test_watch.py
+++ b/tests/failure_detector/test_watch.py
@@ -88,7 +88,7 @@
         "from kelpfront.platform.config import config_of\n"
         "from kelpfront.platform.service import Service\n"
         "Service(Path(''), config_of(json.loads(sys.argv[1])))\n"
-        "print(sorted(m for m in sys.modules if 'liveness' in m or 'watch' in m.split('.')[-1]))"
+        "print(sorted(m for m in sys.modules if 'liveness' in m or 'failure_detect' in m))"
     )
     raw = raw_config() | ({"liveness": {"watchers": ["127.0.0.1:7"]}} if named else {})
     result = subprocess.run(
--- /dev/null
+++ b/tests/platform/test_platform_config_and_events.py
@@ -0,0 +1,62 @@
+"""The configuration file and the coordinator's events, without sockets."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import platforms
+import pytest
+from core_stage import Stage
+from platforms import config
+
+from kelpfront.lab.platform import event, member
+from kelpfront.platform.config import ConfigError, config_of
+from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
+from kelpfront.platform.messages import machine_id
+from kelpfront.scheduling.events import MachineState
+
+
+@pytest.mark.parametrize(
+    ("changes", "names"),
+    [
+        ({"listen": "nowhere"}, "listen"),
+        ({"coordinator": 5}, "coordinator"),
+        ({"limits": {"sockets": 3}}, "sockets"),
+        ({"seed": "xyz"}, "seed"),
+        ({"known": []}, "known"),
+        ({"settings": {}}, "settings"),
+        ({"settings": platforms.info(Zones=None)}, "Zones"),
+    ],
+)
+def test_an_invalid_configuration_names_the_key(changes: dict[str, Any], names: str) -> None:
+    with pytest.raises(ConfigError, match=names):
+        config_of(platforms.raw_config() | changes)
+
+
+def test_events_become_lists_and_invalid_ones_are_rejected_completely() -> None:
+    its = config(member("m-1"))
+    index, (first,) = parse_events(its.known, its)
+    assert (index, first.complete, first.entries[0].name) == (1, True, "m-1")
+    view = first.entries[0].endpoint
+    assert (view.state, view.free_cores, view.free_memory) == (MachineState.READY, 20.0, 40.0)
+    for broken in (
+        {"phase": "Lost"},
+        {"spare": [1]},
+        {"host_port": "x"},
+        {"cell": -1},
+        {"up_since_ms": "now"},
+    ):
+        with pytest.raises(InvalidEventError):
+            parse_events({"index": 2, "updates": [event(2, member("m-1", **broken))]}, its)
+    shapes: list[Any] = [[], {"updates": 1}, {"updates": [1]}, {"updates": [{"index": "a"}]}]
+    for bad in shapes:
+        with pytest.raises(InvalidEventError):
+            parse_events(bad, its)
+
+
+def test_events_that_were_applied_are_not_applied_again() -> None:
+    stage = Stage()
+    drained = event(2, member("m-1", phase="Terminating"))
+    stage.events({"index": 2, "updates": [drained]})
+    stage.events({"index": 2, "updates": [event(1, member("m-1"), whole=True)]})
+    assert stage.core.endpoints.machines[machine_id("m-1")].state is MachineState.DRAINING
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -36,7 +36,7 @@
 
 
 def tell_now(stage: Stage, *lines: bytes, conn: int = 1) -> None:
-    """What an owner says, heard in this turn of the loop and not in the next."""
+    """What an client says, heard in this turn of the loop and not in the next."""
     placer = stage.running
     for data in lines:
         placer.core.on_client_message(placer.now(), conn, decode(data))
@@ -88,49 +88,49 @@
 
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
-async def test_a_set_up_is_not_written_on_a_connection_whose_end_lies_unread(stage: Stage, how: str) -> None:
+async def test_an_offer_is_not_written_to_a_connection_whose_end_is_unread(stage: Stage, how: str) -> None:
     """Guards against an unsafe task lost on an idle connection that its machine has just closed."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     with end_of(machine.peers[0].writer) as sock:
         if how == "resets":
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             machine.peers[0].writer.get_extra_info("socket").shutdown(socket.SHUT_RD)
         sock.shutdown(socket.SHUT_WR)
     tell_now(stage, offer(SECOND, cls="once"))
-    (accepted,) = await ops(owner, "accept")
+    (accepted,) = await ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened > 1
     assert len(machine.offers()) == 2
 
 
-async def test_nothing_is_written_behind_what_a_machine_does_not_take(stage: Stage) -> None:
-    """Guards against a set-up that leaves a buffer when its machine drains and its owner is gone."""
+async def test_nothing_is_written_behind_bytes_that_a_machine_does_not_read(stage: Stage) -> None:
+    """Guards against a set-up that leaves a buffer when its machine drains and its client is gone."""
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     machine = stage.machines["m-1"]
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
     (wire,) = wires(stage, "m-1")
     wire.writer.write(b"\n" * (16 << 20))
     assert wire.unsent_bytes
-    owner.say(offer(SECOND, cls="once"))
-    (accepted,) = await ops(owner, "accept")
+    client.say(offer(SECOND, cls="once"))
+    (accepted,) = await ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened == 2
 
 
-async def test_a_set_up_that_a_full_socket_does_not_take_has_not_run(stage: Stage) -> None:
+async def test_an_offer_that_a_full_socket_does_not_take_was_not_executed(stage: Stage) -> None:
     """Guards against an unsafe task given up for lost, or sent late, of which not a byte has come."""
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=once_first())
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
     (wire,) = wires(stage, "m-1")
     with end_of(wire.writer) as sock:
@@ -139,22 +139,22 @@
         fill(sock, b"\n")  # to the last byte: a request must not fit any more
         assert not wire.unsent_bytes
         tell_now(stage, offer(SECOND, cls="once"))
-    (accepted,) = await ops(owner, "accept")
+    (accepted,) = await ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened > 1
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE] == 1
 
 
 @pytest.mark.parametrize("how", ["closes", "withdraws"])
-async def test_a_set_up_that_still_lies_in_our_kernel_does_not_come_after_its_owner_has_left(
+async def test_an_offer_still_in_our_kernel_does_not_arrive_after_its_client_has_left(
     stage: Stage, how: str
 ) -> None:
     """As behind a connection that only seemed up, or was cut off: guards against an attempt seconds later."""
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=once_first())
-    owner, other = await placer.owner(), await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client, other = await placer.client(), await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     taken = machine.peers[0].reader._transport  # type: ignore[attr-defined]
     taken.pause_reading()
     (wire,) = wires(stage, "m-1")
@@ -183,22 +183,22 @@
     await until(lambda: placer.core.counters.withdrawn)
     taken.resume_reading()
     await until(lambda: machine.opened > 1)  # the task that stands there is listened to anew
-    third = await placer.owner()
+    third = await placer.client()
     third.say(offer("00000000000000a3"))
     await ops(third, "accept")
     assert SECOND not in {message["call"] for message in machine.offers()}
 
 
 @pytest.mark.parametrize("after_s", [0.005, 0.05])
-async def test_a_second_refusal_of_one_attempt_does_not_end_the_next_on_the_same_machine(
+async def test_a_second_rejection_of_one_attempt_does_not_end_the_next_on_the_same_machine(
     stage: Stage, after_s: float
 ) -> None:
     """Guards against attempts of one call being mixed up: all bear its id."""
     machine = Machine("m-1", refuses_first(after_s))
     placer = await stage.start(machine, settings=once_first())
-    owner = await placer.owner()
-    owner.say(offer(cls="once"))
-    (accepted,) = await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer(cls="once"))
+    (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "good"
     assert len(machine.offers()) == 2
     assert machine.opened == 2
@@ -217,16 +217,16 @@
             asyncio.get_running_loop().call_later(after_s, peer.say, copy)
 
     placer = await stage.start(Machine("m-1", script))
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     await until(lambda: placer.core.counters.unexpected_accepts == 2)  # of nobody, and the copy
-    owner.say(line("test", "00000000000000f0", why=0))
-    await ops(owner, "tested")  # and nothing before it
+    client.say(line("test", "00000000000000f0", why=0))
+    await ops(client, "tested")  # and nothing before it
 
 
 def slow_info(connect_ms: float = 10_000.0) -> Json:
-    """Settings under which a connection may take long to come up, and owners wait for longer."""
+    """Settings under which a connection may take long to come up, and clients wait for longer."""
     info = platforms.info()
     info["Permissions"]["ConnectTimeoutMs"] = connect_ms
     for category in info["Categories"]:
@@ -234,7 +234,7 @@
     return info
 
 
-async def test_a_set_up_that_waits_for_its_connection_takes_one_that_is_free(
+async def test_a_request_that_waits_for_its_connection_takes_one_that_is_free(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a connection that never comes up holding a set-up beside one that is idle."""
@@ -247,35 +247,35 @@
             await accepts(machine, peer, message)
 
     placer = await stage.start(Machine("m-1", script), settings=slow_info())
-    owner = await placer.owner()
+    client = await placer.client()
     dials = Dials(stage, monkeypatch, prompt=1)
-    owner.say(offer(left="20000"))
+    client.say(offer(left="20000"))
     await until(lambda: answers)
-    owner.say(offer(SECOND, left="20000"))
+    client.say(offer(SECOND, left="20000"))
     await until(lambda: dials.begun == 2)
     answers[0].say(line("accept", CALL, desc="late"))
-    first, second = await ops(owner, "accept", "accept")
+    first, second = await ops(client, "accept", "accept")
     assert (first["call"], second["call"]) == (CALL, SECOND)
     assert stage.machines["m-1"].opened == 1
     dials.up.set()
 
 
-async def test_a_connection_that_never_comes_up_costs_its_time_out_and_proves_that_nothing_ran(
+async def test_a_connection_that_never_comes_up_costs_its_timeout_and_proves_that_nothing_was_executed(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     placer = await stage.start(Machine("m-1"), Machine("m-2"), settings=slow_info(50.0))
     dials = Dials(stage, monkeypatch, prompt=0)
-    owner = await placer.owner()
-    owner.say(offer(cls="once", left="20000"))
+    client = await placer.client()
+    client.say(offer(cls="once", left="20000"))
     await until(lambda: dials.begun == 1)
     dials.prompt = 10
-    await ops(owner, "accept")
+    await ops(client, "accept")
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE] == 1
     assert sum(len(machine.offers()) for machine in stage.machines.values()) == 1
 
 
 @pytest.mark.parametrize("comes_up", [True, False])
-async def test_a_keyed_repeat_does_not_go_out_after_its_window(
+async def test_a_retry_with_an_idempotency_key_is_not_sent_after_its_window(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, *, comes_up: bool
 ) -> None:
     """The first attempt broke and may have run; the connection for the second takes longer than the window.
@@ -291,9 +291,9 @@
     info["Categories"][1] |= {"WindowMs": 400.0, "Group": "all"}
     placer = await stage.start(Machine("m-1", script), Machine("m-2", script), settings=info)
     dials = Dials(stage, monkeypatch, prompt=1)
-    owner = await placer.owner()
-    owner.say(offer(cls="keyed", left="20000"))
-    (failed,) = await ops(owner, "end")  # at once when the window is over, and long before its deadline
+    client = await placer.client()
+    client.say(offer(cls="keyed", left="20000"))
+    (failed,) = await ops(client, "end")  # at once when the window is over, and long before its deadline
     assert failed["why"] == 41
     assert dials.begun >= 2
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.NOT_SENT] == 1
@@ -304,13 +304,15 @@
     assert sum(len(machine.offers()) for machine in stage.machines.values()) == 1
 
 
-async def test_a_task_ends_at_its_machine_though_the_connection_breaks_under_the_word(stage: Stage) -> None:
-    """Guards against a task that stands for nobody: its owner has ended it and will not ask again."""
+async def test_a_task_ends_at_its_machine_though_the_connection_breaks_under_the_message(
+    stage: Stage,
+) -> None:
+    """Guards against a task that stands for nobody: its client has ended it and will not ask again."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
 
     async def breaks(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "end":
@@ -318,13 +320,13 @@
             peer.cut()
 
     machine.script = breaks
-    owner.say(line("end", CALL, why=31))
-    await ops(owner, "ended")
+    client.say(line("end", CALL, why=31))
+    await ops(client, "ended")
     await until(lambda: not placer.core.requests)
     assert machine.opened > 1
 
 
-async def test_a_connection_that_ends_as_it_comes_up_holds_no_set_up(
+async def test_a_connection_that_ends_as_it_comes_up_keeps_no_request(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a set-up that waits for a connection when none is under way: it goes elsewhere.
@@ -342,54 +344,54 @@
         return reader, writer
 
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
+    client = await placer.client()
     monkeypatch.setattr(asyncio, "open_connection", open_and_see_it_end)
     other = Machine("m-2")
     await other.start()
     stage.machines["m-2"] = other
-    owner.say(offer(cls="once", left="20000"))
+    client.say(offer(cls="once", left="20000"))
     await until(lambda: placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE])
     stage.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-2", other.address)))
-    (accepted,) = await ops(owner, "accept")
+    (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "at m-2"
     assert stage.machines["m-1"].offers() == []
 
 
-# ---- An owner that has left -------------------------------------------------------------------------------
+# ---- An client that has left -------------------------------------------------------------------------------
 
 
-async def withdraws(owner: Peer) -> None:
-    owner.say(line("end", CALL, why=16))
+async def withdraws(client: Peer) -> None:
+    client.say(line("end", CALL, why=16))
 
 
-async def half_closes(owner: Peer) -> None:
-    owner.writer.write_eof()
+async def half_closes(client: Peer) -> None:
+    client.writer.write_eof()
 
 
-async def closes(owner: Peer) -> None:
-    owner.writer.close()
+async def closes(client: Peer) -> None:
+    client.writer.close()
 
 
-async def resets(owner: Peer) -> None:
-    sock = owner.writer.get_extra_info("socket")
+async def resets(client: Peer) -> None:
+    sock = client.writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    owner.cut()
+    client.cut()
 
 
 LEAVES = pytest.mark.parametrize("leave", [withdraws, half_closes, closes, resets])
 
 
 @LEAVES
-async def test_nothing_goes_out_for_who_left_before_the_connection_came_up(
+async def test_nothing_is_sent_for_a_client_that_left_before_the_connection_came_up(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, leave: Callable[[Peer], Any]
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=slow_info())
     dials = Dials(stage, monkeypatch, prompt=0)
-    owner = await placer.owner()
-    owner.say(offer(left="20000"))
+    client = await placer.client()
+    client.say(offer(left="20000"))
     await until(lambda: dials.begun)
-    await leave(owner)
+    await leave(client)
     dials.up.set()  # at once, and not when it has been heard
     await until(lambda: machine.opened)
     await until(lambda: placer.core.counters.withdrawn)
@@ -398,7 +400,7 @@
 
 
 @LEAVES
-async def test_nothing_goes_out_for_who_left_while_no_machine_was_ready(
+async def test_nothing_is_sent_for_a_client_that_left_while_no_machine_was_ready(
     stage: Stage, leave: Callable[[Peer], Any]
 ) -> None:
     machine = Machine("m-1")
@@ -406,10 +408,10 @@
     index = placer.core.endpoints.index
     stage.coordinator.events.append(event(index + 1, member("m-1", machine.address, "Terminating")))
     await until(lambda: placer.core.endpoints.index == index + 1)
-    owner = await placer.owner()
-    owner.say(offer())
+    client = await placer.client()
+    client.say(offer())
     await until(lambda: placer.core.requests.unanswered_count)
-    await leave(owner)
+    await leave(client)
     stage.coordinator.events.append(event(index + 2, member("m-1", machine.address)))
     await until(lambda: placer.core.endpoints.index == index + 2)
     await until(lambda: placer.core.counters.withdrawn)
@@ -418,7 +420,7 @@
 
 
 @LEAVES
-async def test_nothing_goes_out_for_who_left_between_two_attempts(
+async def test_nothing_is_sent_for_a_client_that_left_between_two_attempts(
     stage: Stage, leave: Callable[[Peer], Any]
 ) -> None:
     """The first machine has refused, and no other has room yet."""
@@ -429,12 +431,12 @@
 
     machine, other = Machine("m-1", script), Machine("m-2")
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer())
+    client = await placer.client()
+    client.say(offer())
     await until(lambda: placer.core.counters.attempt_outcomes[AttemptOutcome.REJECTED])
     await other.start()
     stage.machines["m-2"] = other
-    await leave(owner)
+    await leave(client)
     index = placer.core.endpoints.index
     stage.coordinator.events.append(event(index + 1, member("m-2", other.address)))
     await until(lambda: placer.core.endpoints.index == index + 1)
@@ -444,16 +446,16 @@
     assert len(machine.offers()) == 1
 
 
-async def test_the_end_of_a_connection_is_seen_behind_what_its_owner_sent_in_one_go(stage: Stage) -> None:
+async def test_the_end_of_a_connection_is_noticed_behind_many_lines_of_one_read(stage: Stage) -> None:
     """More than is read in one go, while nothing can be offered: the end lies behind a paused reader."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     index = placer.core.endpoints.index
     stage.coordinator.events.append(event(index + 1, member("m-1", machine.address, "Terminating")))
     await until(lambda: placer.core.endpoints.index == index + 1)
-    owner = await placer.owner()
-    owner.say(b"".join(offer(f"{number:016x}") for number in range(1, 1_001)))
-    owner.writer.write_eof()
+    client = await placer.client()
+    client.say(b"".join(offer(f"{number:016x}") for number in range(1, 1_001)))
+    client.writer.write_eof()
     await until(lambda: placer.core.counters.requests == 1_000 and not placer.core.requests.unanswered_count)
     stage.coordinator.events.append(event(index + 2, member("m-1", machine.address)))
     await until(lambda: placer.core.endpoints.index == index + 2)
@@ -461,7 +463,7 @@
     assert machine.offers() == []
 
 
-# ---- An owner's connection that closes --------------------------------------------------------------------
+# ---- An client's connection that closes --------------------------------------------------------------------
 
 
 def front_end(stage: Stage, conn: int) -> asyncio.StreamWriter:
@@ -476,10 +478,10 @@
     stage.running.service._runner.flush()
 
 
-async def test_a_release_goes_by_another_connection_where_its_own_is_closing(stage: Stage) -> None:
+async def test_a_task_end_goes_by_another_connection_where_its_own_is_closing(stage: Stage) -> None:
     """Guards against a release that is owed and was dropped without a word, its close not reported yet."""
     placer = await stage.start(Machine("m-1"))
-    first, second = await placer.owner(), await placer.owner()
+    first, second = await placer.client(), await placer.client()
     second.say(line("test", "00000000000000f0", why=0))
     await ops(second, "tested")
     first.say(offer())
@@ -491,19 +493,19 @@
     assert ended["why"] == 16
 
 
-async def test_a_release_waits_where_no_connection_is_left(stage: Stage) -> None:
+async def test_a_task_end_waits_where_no_connection_is_left(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     front_end(stage, 1).close()
     machine_tells_now(stage, line("end", CALL, why=16))
-    (ended,) = await ops(await placer.owner(), "end")
+    (ended,) = await ops(await placer.client(), "end")
     assert ended["call"] == CALL
 
 
-async def test_a_task_whose_answer_can_no_longer_be_written_does_not_stand_for_nobody(stage: Stage) -> None:
-    """Its owner counts it as given up with its connection; the machine has to hear so."""
+async def test_a_task_whose_acceptance_cannot_be_delivered_is_ended(stage: Stage) -> None:
+    """Its client counts it as given up with its connection; the machine has to hear so."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "end":
@@ -511,8 +513,8 @@
 
     machine = Machine("m-1", script)
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer())
+    client = await placer.client()
+    client.say(offer())
     await until(machine.offers)
     front_end(stage, 1).close()
     machine_tells_now(stage, line("accept", CALL, desc="late"))
@@ -524,30 +526,30 @@
 # ---- The end of a life ------------------------------------------------------------------------------------
 
 
-async def test_what_comes_late_to_a_placer_that_ends_is_refused_at_once(stage: Stage) -> None:
-    """Guards against set-ups that a kill finds unanswered: tasks stand, it lives on, and owners may come."""
+async def test_late_requests_to_a_draining_placer_are_rejected_at_once(stage: Stage) -> None:
+    """Guards against set-ups that a kill finds unanswered: tasks stand, it lives on, and clients may come."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     placer.service._shutdown.set()
-    owner.say(offer(SECOND))
-    await ops(owner, "accept")
+    client.say(offer(SECOND))
+    await ops(client, "accept")
     await until(lambda: placer.core.client_messages.is_closing)
-    for number, peer in enumerate((owner, await placer.owner())):
+    for number, peer in enumerate((client, await placer.client())):
         peer.say(offer(f"{number:016x}"))
         (refused,) = await ops(peer, "end")
         assert refused["why"] == 42
     assert len(machine.offers()) == 2
     for call in (CALL, SECOND):
         machine.peers[0].say(line("end", call, why=16))
-    await ops(owner, "end", "end")  # and what stood is still looked after
+    await ops(client, "end", "end")  # and what stood is still looked after
     assert placer.task is not None
     await placer.task
 
 
-async def test_told_to_end_a_placer_answers_what_is_queued_dialled_and_written(
+async def test_a_draining_placer_answers_what_is_queued_connecting_and_sent(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Waiting for a machine with room, for a connection, and for an answer: each gets its own."""
@@ -563,25 +565,29 @@
     info["Categories"][0]["DeadlineMs"] = 3_000.0
     placer = await stage.start(Machine("m-1", script), settings=info)
     dials = Dials(stage, monkeypatch, prompt=1)
-    owner = await placer.owner()
-    owner.say(offer(left="20000"))
+    client = await placer.client()
+    client.say(offer(left="20000"))
     await until(lambda: held)
-    owner.say(offer(SECOND, left="20000"))
+    client.say(offer(SECOND, left="20000"))
     await until(lambda: dials.begun == 2)
-    owner.say(offer("00000000000000a3", left="1500", extras="cores:22;memory:40;service:1"))  # no room for it
+    client.say(
+        offer("00000000000000a3", left="1500", extras="cores:22;memory:40;service:1")
+    )  # no room for it
     await until(lambda: placer.core.requests.unanswered_count == 3)
     placer.service._shutdown.set()
     await until(lambda: placer.core.client_messages.is_closing)
     dials.up.set()
     held[0].say(line("accept", CALL, desc="late"))
-    answers = {m["call"]: m["op"] for m in [await owner.read(), await owner.read(), await owner.read()] if m}
+    answers = {
+        m["call"]: m["op"] for m in [await client.read(), await client.read(), await client.read()] if m
+    }
     assert answers == {CALL: "accept", SECOND: "accept", "00000000000000a3": "end"}
 
 
-async def test_an_answer_in_the_buffer_is_out_before_the_placer_ends(stage: Stage) -> None:
-    """An owner that reads slowly gets what was written; one that never reads holds nobody up for long."""
+async def test_a_buffered_answer_is_sent_before_the_placer_ends(stage: Stage) -> None:
+    """An client that reads slowly gets what was written; one that never reads holds nobody up for long."""
     placer = await stage.start(Machine("m-1"))
-    slow, never = await placer.owner(), await placer.owner()
+    slow, never = await placer.client(), await placer.client()
     for peer in (slow, never):
         peer.say(line("test", "00000000000000f0", why=0))
         await ops(peer, "tested")
@@ -607,7 +613,7 @@
 # ---- Answers and floods -----------------------------------------------------------------------------------
 
 
-async def test_an_answer_counts_though_its_connection_is_reset_right_behind_it(stage: Stage) -> None:
+async def test_an_answer_counts_though_its_connection_is_reset_right_after_it(stage: Stage) -> None:
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             peer.say(line("accept", message["call"], desc="good"))
@@ -617,41 +623,41 @@
 
     machine = Machine("m-1", script)
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer(cls="once"))
-    (accepted,) = await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer(cls="once"))
+    (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "good"
     await until(lambda: machine.opened > 1)  # its task stands: the machine is reached again
 
 
-async def test_a_machine_that_hangs_costs_no_owner_its_answer(stage: Stage) -> None:
+async def test_a_machine_that_hangs_costs_no_client_its_answer(stage: Stage) -> None:
     """It takes connections and set-ups and says nothing. What may be repeated goes elsewhere."""
 
     async def hangs(_machine: Machine, peer: Peer, message: Json) -> None:
         pass
 
     await stage.start(Machine("m-1", hangs), Machine("m-2"))
-    owner = await stage.running.owner()
+    client = await stage.running.client()
     calls = {f"{number:016x}": ("easy", "keyed", "once")[number % 3] for number in range(1, 13)}
     for call, cls in calls.items():
-        owner.say(offer(call, cls=cls, left="1500", extras="cores:1;memory:1;service:" + call[-2:]))
-    answers = {m["call"]: m for m in [await owner.read() for _ in calls] if m is not None}
+        client.say(offer(call, cls=cls, left="1500", extras="cores:1;memory:1;service:" + call[-2:]))
+    answers = {m["call"]: m for m in [await client.read() for _ in calls] if m is not None}
     assert set(answers) == set(calls)
     assert all(answers[call]["op"] == "accept" for call, cls in calls.items() if cls == "easy")
     hung = {message["call"] for message in stage.machines["m-1"].offers()}
     assert all(answers[call]["why"] == 41 for call in hung if calls[call] == "once")
 
 
-async def test_a_flood_leaves_usual_owners_served_and_is_answered_or_closed(stage: Stage) -> None:
+async def test_a_flood_of_requests_leaves_other_clients_served(stage: Stage) -> None:
     """500 connections that say nothing, and 300 set-ups withdrawn in one breath by one that reads on."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
     machine = Machine("m-1")
     placer = await stage.start(machine, limits=limits)
-    usual = await placer.owner()
+    usual = await placer.client()
     usual.say(offer())
     await ops(usual, "accept")
-    silent = [await placer.owner() for _ in range(500)]
-    flood = await placer.owner()
+    silent = [await placer.client() for _ in range(500)]
+    flood = await placer.client()
     calls = [f"{number:016x}" for number in range(0x1000, 0x1000 + 300)]
     flood.say(b"".join(offer(call) + line("end", call, why=16) for call in calls))
     flood.say(line("test", "00000000000000f0", why=0))
--- a/tests/platform/test_platform_crossings_late.py
+++ b/tests/platform/test_platform_crossings_late.py
@@ -17,12 +17,12 @@
 import platforms
 import psutil
 import pytest
+from core_stage import NOW
+from core_stage import Stage as CoreStage
 from placers import ready
 from placers_under_load import PlacersUnderLoad
 from platforms import Stage, ops
-from test_platform_core import NOW
-from test_platform_core import Stage as CoreStage
-from test_platform_list import started, take
+from test_platform_discovery import started, take
 from waiting import until
 
 from kelpfront.lab.fleet.lists import ListService
@@ -52,20 +52,20 @@
 
 
 async def standing(stage: Stage, *machines: Machine) -> dict[str, tuple[Peer, str]]:
-    """A task on each of the machines, which are ready one after another: owner and call by machine."""
+    """A task on each of the machines, which are ready one after another: client and call by machine."""
     placer = await stage.start(*machines)
     found: dict[str, tuple[Peer, str]] = {}
     for number in range(1, 100):
-        owner, call = await placer.owner(), f"{number:016x}"
-        owner.say(offer(call, cls=("easy", "keyed", "once")[number % 3]))
-        (accepted,) = await ops(owner, "accept")
-        found.setdefault(accepted["desc"].removeprefix("at "), (owner, call))
+        client, call = await placer.client(), f"{number:016x}"
+        client.say(offer(call, cls=("easy", "keyed", "once")[number % 3]))
+        (accepted,) = await ops(client, "accept")
+        found.setdefault(accepted["desc"].removeprefix("at "), (client, call))
         if len(found) == len(machines):
             return found
     raise AssertionError(f"only {', '.join(found)} were chosen")
 
 
-async def test_a_whole_list_in_mid_life_ends_what_stood_on_machines_that_it_lacks(stage: Stage) -> None:
+async def test_a_later_complete_list_ends_tasks_on_machines_that_it_lacks(stage: Stage) -> None:
     """One is as it was, one has restarted, one drains, one is not named any more, one is new."""
     machines = [Machine(f"m-{number}") for number in range(1, 5)]
     stands = await standing(stage, *machines)
@@ -81,28 +81,28 @@
     )
     stage.coordinator.events.append(whole)
     for name in ("m-2", "m-4"):
-        owner, call = stands[name]
-        while (message := await owner.read()) is not None and message["call"] != call:
+        client, call = stands[name]
+        while (message := await client.read()) is not None and message["call"] != call:
             pass
         assert message is not None
         assert (message["op"], message["why"]) == ("end", 41)
     assert placer.core.endpoints.index == 2
     assert set(placer.core.endpoints.machines) == {machine_id(name) for name in ("m-1", "m-2", "m-3", "m-5")}
     for name in ("m-1", "m-3"):  # these run on, and their ends are told
-        owner, call = stands[name]
+        client, call = stands[name]
         next(m for m in machines if m.name == name).peers[0].say(line("end", call, why=16))
-        (ended,) = await ops(owner, "end")
+        (ended,) = await ops(client, "end")
         assert (ended["call"], ended["why"]) == (call, 16)
     assert machines[0].opened == opened  # its connections were left alone
     drained = len(machines[2].offers())
     for number in range(0xB1, 0xC1):
-        owner = await placer.owner()
-        owner.say(offer(f"{number:016x}"))
-        await ops(owner, "accept")
+        client = await placer.client()
+        client.say(offer(f"{number:016x}"))
+        await ops(client, "accept")
     assert len(machines[2].offers()) == drained
 
 
-async def test_the_same_whole_list_again_changes_nothing(stage: Stage) -> None:
+async def test_the_same_complete_list_again_changes_nothing(stage: Stage) -> None:
     machines = [Machine("m-1"), Machine("m-2")]
     stands = await standing(stage, *machines)
     opened = [machine.opened for machine in machines]
@@ -113,14 +113,14 @@
     assert [machine.opened for machine in machines] == opened
     assert stage.running.core.counters.tasks_lost == 0
     for machine in machines:
-        owner, call = stands[machine.name]
+        client, call = stands[machine.name]
         machine.peers[0].say(line("end", call, why=16))
-        (ended,) = await ops(owner, "end")
+        (ended,) = await ops(client, "end")
         assert ended["why"] == 16
 
 
 @pytest.mark.parametrize(("cls", "answer"), [("easy", "accept"), ("once", "end")])
-async def test_a_whole_list_without_the_machine_of_an_offer_that_is_on_its_way(
+async def test_a_complete_list_without_the_machine_of_an_offer_in_flight(
     stage: Stage, cls: str, answer: str
 ) -> None:
     """It may have run there: what may be repeated goes elsewhere, the rest fails, and both only once."""
@@ -134,20 +134,20 @@
     placer = await stage.start(machine)
     await other.start()
     stage.machines["m-2"] = other
-    owner = await placer.owner()
-    owner.say(offer(cls=cls))
+    client = await placer.client()
+    client.say(offer(cls=cls))
     await until(lambda: held)
     stage.coordinator.events.append(event(2, member("m-2", other.address), whole=True))
-    (told,) = await ops(owner, answer)
+    (told,) = await ops(client, answer)
     assert told.get("why") == (None if cls == "easy" else 41)
     held[0].say(line("accept", CALL, desc="late"))
-    owner.say(line("test", "00000000000000f0", why=0))
-    await ops(owner, "tested")  # and nothing before it
+    client.say(line("test", "00000000000000f0", why=0))
+    await ops(client, "tested")  # and nothing before it
     assert len(other.offers()) == (cls == "easy")
     assert len(machine.offers()) == 1
 
 
-def test_a_list_that_is_older_takes_back_neither_drains_nor_ends() -> None:
+def test_an_older_list_reverses_neither_drains_nor_removals() -> None:
     """Guards against offers to a machine that drains, as a service that is behind tells of it as ready."""
     fleet = started()
     take(fleet, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone")))
@@ -166,7 +166,7 @@
     assert len(fleet.machines) == 3
 
 
-def test_a_younger_life_of_a_machine_is_taken_from_an_older_list() -> None:
+def test_a_newer_incarnation_of_a_machine_is_taken_from_an_older_list() -> None:
     fleet = started()
     take(fleet, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone")))
     take(fleet, 1)
@@ -192,7 +192,7 @@
 
 @pytest.mark.parametrize("moved", [True, False], ids=["moved", "the same address"])
 @pytest.mark.parametrize("told", ["nothing", "an older list", "more at once"])
-async def test_a_drain_that_a_reload_brought_stands_whatever_the_coordinator_says(
+async def test_a_drain_by_reload_is_kept_whatever_the_coordinator_sends(
     stage: Stage, told: str, *, moved: bool
 ) -> None:
     """`known` tells of a drain: who is asked then is behind, or has news at the same time."""
@@ -215,15 +215,15 @@
     asked = len(speaks.asked)
     await until(lambda: len(speaks.asked) >= asked + 3)
     for number in range(0xB1, 0xC1):
-        owner = await placer.owner()
-        owner.say(offer(f"{number:016x}", cls=("easy", "keyed", "once")[number % 3]))
-        (accepted,) = await ops(owner, "accept")
+        client = await placer.client()
+        client.say(offer(f"{number:016x}", cls=("easy", "keyed", "once")[number % 3]))
+        (accepted,) = await ops(client, "accept")
         assert accepted["desc"] == "at m-2"
     assert drained.offers() == []
     await new.stop()
 
 
-async def test_a_drain_in_a_file_that_came_while_the_placer_started_is_taken(stage: Stage) -> None:
+async def test_a_drain_in_a_file_that_came_during_the_start_is_applied(stage: Stage) -> None:
     """Guards against a reload that was not listened for yet, at the same coordinator, which is silent."""
     await stage.coordinator.start()
     stage.coordinator.mute = True
@@ -237,7 +237,7 @@
     assert placer.core.endpoints.machines[M1].state is MachineState.DRAINING
 
 
-async def test_reloads_with_a_drain_of_many_under_load_and_a_service_that_is_behind(tmp_path: Path) -> None:
+async def test_a_drain_by_reload_is_kept_under_load_while_the_coordinator_is_behind(tmp_path: Path) -> None:
     """Three processes. The service still lists the drained machine as ready, until it has caught up."""
     service = ListService()
     await service.start()
@@ -274,8 +274,8 @@
     def goes_on(self, ms: float, *, list_speaks: bool = True, step: float = 100.0) -> None:
         until = self.now + ms
         while self.now < until:
-            self.later(min(step, until - self.now))
-            for test in self.of(SendHealthCheck)[self._answered :]:
+            self.advance(min(step, until - self.now))
+            for test in self.intents_of(SendHealthCheck)[self._answered :]:
                 self._answered += 1
                 if test.machine not in self.silent:
                     self.machine(test.machine, "tested", test.check_id, why=1)
@@ -284,13 +284,13 @@
 
     @property
     def ops(self) -> list[str]:
-        return [message["op"] for _, message in self.told]
+        return [message["op"] for _, message in self.sent_to_clients]
 
 
 @pytest.mark.parametrize("cls", ["easy", "keyed", "once"])
-def test_a_machine_that_falls_silent_an_hour_after_its_task_began_is_given_up_in_time(cls: str) -> None:
+def test_a_machine_that_becomes_unresponsive_after_an_hour_is_declared_lost_in_time(cls: str) -> None:
     stage = Day(member("m-1"), member("m-2"))
-    ident = stage.placed(cls=cls)
+    ident = stage.place(cls=cls)
     stage.goes_on(HOUR_MS)
     assert stage.ops == ["accept"]
     stage.silent.add(ident)
@@ -305,28 +305,28 @@
     assert stage.ops == ["accept", "end"]
 
 
-def test_a_list_that_falls_silent_after_an_hour_holds_offers_back_and_its_drain_is_kept() -> None:
+def test_a_list_that_becomes_stale_after_an_hour_defers_offers_and_its_drain_is_kept() -> None:
     stage = Day(member("m-1"))
-    machine = stage.placed()
+    machine = stage.place()
     stage.goes_on(HOUR_MS)
     stage.goes_on(6_000.0, list_speaks=False)
-    stage.owner(offer(SECOND))
-    stage.written(SECOND)
+    stage.client(offer(SECOND))
+    stage.send_offer(SECOND)
     stage.machine(machine, "accept", SECOND, desc="given")
     stage.goes_on(1_500.0, list_speaks=False)
-    stage.owner(offer(THIRD, left="20000"))
+    stage.client(offer(THIRD, left="20000"))
     stage.goes_on(1_000.0, list_speaks=False)
-    assert not [intent for intent in stage.of(Offer) if intent.request_id == THIRD]
+    assert not [intent for intent in stage.intents_of(Offer) if intent.request_id == THIRD]
     stage.events({"index": 2, "updates": [event(2, member("m-1", phase="Terminating"))]})
     stage.goes_on(60_000.0)
-    assert not [intent for intent in stage.of(Offer) if intent.request_id == THIRD]
+    assert not [intent for intent in stage.intents_of(Offer) if intent.request_id == THIRD]
     assert stage.ops == ["accept", "accept", "end"]  # the third was refused; what stands runs on
     stage.machine(machine, "end", why=16)
     assert stage.ops[-1] == "end"
-    assert stage.told[-1][1]["call"] == CALL
+    assert stage.sent_to_clients[-1][1]["call"] == CALL
 
 
-def test_a_placer_without_work_for_half_a_day_has_not_grown_and_serves() -> None:
+def test_a_placer_idle_for_half_a_day_has_not_grown_and_serves() -> None:
     """Idle: no request, no news but that there is none. Then one comes, and one whose machine is long up."""
     stage = Day(*(member(f"m-{number}") for number in range(40)))
     stage.goes_on(60_000.0, step=1_000.0)
@@ -340,12 +340,12 @@
     assert not core.requests
     assert not core.health_checks
     assert not core.freshness.is_stale
-    assert not stage.of(Offer)
-    assert not stage.of(KeepConnected)
-    stage.placed()
-    stage.owner(line("test", "00000000000000f0", why=0))
+    assert not stage.intents_of(Offer)
+    assert not stage.intents_of(KeepConnected)
+    stage.place()
+    stage.client(line("test", "00000000000000f0", why=0))
     assert stage.ops == ["accept", "tested"]
-    assert stage.told[-1][1]["why"] == 1
+    assert stage.sent_to_clients[-1][1]["why"] == 1
 
 
 def held(core: object) -> int:
@@ -370,7 +370,7 @@
     return entries
 
 
-def test_a_placer_without_work_does_not_grow_as_its_machines_are_replaced(
+def test_an_idle_placer_does_not_grow_as_its_machines_are_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Machines go and others come, each under a name of its own, thirty times over."""
@@ -389,11 +389,11 @@
     before = replaced(100)
     assert replaced(500) <= before * 1.05
     assert len(stage.core.endpoints.machines) == 20
-    stage.placed()
+    stage.place()
     assert stage.ops == ["accept"]
 
 
-async def test_processes_without_work_stay_as_they_are_and_serve(tmp_path: Path) -> None:
+async def test_idle_processes_do_not_grow_and_still_serve(tmp_path: Path) -> None:
     """Two, with nothing to do but to hear of 300 changes. Descriptors and memory are what they were."""
     machine = Machine("m-1")
     await machine.start()
@@ -427,9 +427,9 @@
             assert look.num_fds() <= files + 2
             assert look.memory_info().rss <= memory + (4 << 20)
         for placer in placers:
-            owner = await ready(placer)
-            owner.say(offer(f"{placer.port:016x}"))
-            await ops(owner, "accept")
+            client = await ready(placer)
+            client.say(offer(f"{placer.port:016x}"))
+            await ops(client, "accept")
             assert placer.alive
             assert not placer.ends
     finally:
--- a/tests/platform/test_platform_limits.py
+++ b/tests/platform/test_platform_descriptors.py
@@ -130,7 +130,7 @@
 
 
 async def is_served(placer: PlacerProcess, number: int) -> bool:
-    """Whether an owner that comes anew gets its task placed; it may be asked to come again."""
+    """Whether an client that comes anew gets its task placed; it may be asked to come again."""
     async with asyncio.timeout(20.0):
         while True:
             with contextlib.suppress(OSError, TimeoutError):
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(("sockets", "outage"), [(64, "refuses"), (64, "silent"), (256, "refuses")])
-async def test_idle_clients_in_an_outage_of_the_list_leave_descriptors_for_what_a_placer_needs(
+async def test_idle_clients_in_a_discovery_outage_leave_descriptors_for_the_placers_own_use(
     scene: Scene, sockets: int, outage: str
 ) -> None:
     """Guards against a placer that cannot ask for the list, dial, log or accept: all were taken by idle ones.
@@ -155,7 +155,7 @@
     It has tasks on more machines than it has descriptors.
     """
     placer = await scene.start(sockets, count=sockets)
-    owner = await ready(placer)
+    client = await ready(placer)
     stop = asyncio.Event()
     watching = asyncio.create_task(scene.watch(stop))
     if outage == "silent":
@@ -163,7 +163,7 @@
     else:
         await scene.service.stop()
     for number, machine in enumerate(scene.machines):
-        owner.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{machine.name}"))
+        client.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{machine.name}"))
     scene.crowd = Crowd(placer.port)
     await until(lambda: b"coordinator lost" in placer.log_path.read_bytes())
     for number in range(20):
@@ -191,7 +191,7 @@
 @given(
     sockets=st.integers(64, 4096),
     at_start=st.integers(0, 30),
-    steps=st.lists(st.sampled_from(["owner", "machine", "owner idles", "owner left", "machine closed"])),
+    steps=st.lists(st.sampled_from(["client", "machine", "client idles", "client left", "machine closed"])),
     crowd=st.integers(0, 4096),
 )
 def test_no_order_of_connections_takes_what_the_placer_itself_needs(
@@ -206,7 +206,7 @@
     idle, used, machines = min(crowd, shares.clients_beside(0)), 0, 0
     for step in [*["machine"] * min(crowd, 60), *steps]:
         match step:
-            case "owner":  # one that comes, and is in use from then on
+            case "client":  # one that comes, and is in use from then on
                 while idle and idle + used >= shares.clients_beside(machines):
                     idle -= 1
                 used += idle + used < shares.clients_beside(machines)
@@ -214,9 +214,9 @@
                 while idle and machines < shares.max_machines and idle + used + machines >= shares.total:
                     idle -= 1
                 machines += machines < shares.machines or shares.machine_may_open(machines, idle + used)
-            case "owner idles" if used:
+            case "client idles" if used:
                 idle, used = idle + 1, used - 1
-            case "owner left" if idle:
+            case "client left" if idle:
                 idle -= 1
             case "machine closed" if machines:
                 machines -= 1
@@ -224,14 +224,14 @@
     assert shares.clients_beside(machines) >= min(MIN_CLIENT_CONNECTIONS, shares.total // 2)
 
 
-def test_machines_past_their_most_or_beside_owners_in_use_get_no_descriptor() -> None:
+def test_machines_past_their_limit_or_beside_clients_in_use_get_no_descriptor() -> None:
     shares = DescriptorShares.of(64)
     assert shares.machine_may_open(shares.max_machines - 1, shares.min_clients)
     assert not shares.machine_may_open(shares.max_machines, 0)
     assert not shares.machine_may_open(shares.max_machines - 1, shares.min_clients + 1)
 
 
-async def test_who_has_to_send_has_the_next_descriptor_before_all_who_only_listen() -> None:
+async def test_a_pool_that_has_to_send_gets_a_descriptor_before_those_that_only_receive() -> None:
     """Guards against a sign of life that waits behind a thousand machines that have nothing to say."""
     order: list[str] = []
 
@@ -258,7 +258,7 @@
     assert budget.in_use == 0
 
 
-async def test_a_machine_whose_word_was_given_up_holds_up_nobody_who_has_to_send() -> None:
+async def test_a_pool_whose_message_was_given_up_holds_up_no_pool_that_has_to_send() -> None:
     limits = SimpleNamespace(reached=lambda _limit: None)
     core: Any = SimpleNamespace(has_running_tasks=lambda _machine: True, limits=limits)
     budget = DescriptorBudget(0, lambda: False)
@@ -283,7 +283,7 @@
     again()
 
 
-async def test_tasks_on_more_machines_than_descriptors_are_all_heard_of(scene: Scene) -> None:
+async def test_the_ends_of_tasks_on_more_machines_than_descriptors_are_all_received(scene: Scene) -> None:
     """Guards against a machine that is held for dead, as all descriptors are kept for others.
 
     Each says that its task is over when it is asked whether it lives, and not before.
@@ -295,14 +295,14 @@
             peer.say(line("end", f"{0xF000 + int(machine.name[2:], 16):016x}", why=16))
 
     placer = await scene.start(64, count=80, script=script)
-    owner = await ready(placer)
+    client = await ready(placer)
     stop = asyncio.Event()
     watching = asyncio.create_task(scene.watch(stop))
     for number, machine in enumerate(scene.machines):
-        owner.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{machine.name}"))
+        client.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{machine.name}"))
     ends: dict[str, int] = {}
     while len(ends) < len(scene.machines):
-        message = await owner.read()
+        message = await client.read()
         assert message is not None
         assert message["op"] == "end"
         ends[message["call"]] = message["why"]
--- a/tests/platform/test_platform_leavers.py
+++ b/tests/platform/test_platform_disconnected_clients.py
@@ -1,7 +1,7 @@
-"""No attempt begins for an owner that has left: each way of leaving at each place where an attempt waits.
+"""No attempt begins for an client that has left: each way of leaving at each place where an attempt waits.
 
-Owners are plain sockets, so that what they do has come to the placer's socket when the call returns, and
-nothing of the placer ran meanwhile. What is judged is the order: first the owner left, then an attempt would
+Clients are plain sockets, so that what they do has come to the placer's socket when the call returns, and
+nothing of the placer ran meanwhile. What is judged is the order: first the client left, then an attempt would
 have begun. No test looks at a clock, so a busy machine gives the same verdict.
 """
 
@@ -33,7 +33,7 @@
 PEER = "0" * 15  # before one digit: the ids of other lines
 
 
-class Owner:
+class Client:
     """A plain socket; each way of leaving has come to the placer's end when it returns."""
 
     def __init__(self, port: int) -> None:
@@ -67,23 +67,23 @@
 
 
 class Scene(Stage):
-    """A stage with plain owners; `how` the one of CALL leaves right before its attempt `at` begins."""
+    """A stage with plain clients; `how` the one of CALL leaves right before its attempt `at` begins."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(path)
-        self.plain: list[Owner] = []
+        self.plain: list[Client] = []
         self.out: list[tuple[int, bool]] = []  # attempts of CALL that asked to go out, and whether they did
 
-    def owner(self) -> Owner:
-        self.plain.append(Owner(self.running.service.port))
+    def client(self) -> Client:
+        self.plain.append(Client(self.running.service.port))
         return self.plain[-1]
 
-    def leaves_before(self, owner: Owner, how: str, number: int = 0) -> None:
+    def leaves_before(self, client: Client, how: str, number: int = 0) -> None:
         encode_offer = self.running.core.encode_offer
 
         def late(now: float, key: AttemptKey) -> bytes | None:
             if key == (CALL, number):
-                owner.leaves(how)
+                client.leaves(how)
             data: bytes | None = encode_offer(now, key)
             if key.request_id == CALL:
                 self.out.append((key.attempt_number, data is not None))
@@ -94,7 +94,7 @@
     async def nothing_goes_out(self, machine: Machine, but: int = 0) -> None:
         """Waits until CALL is over, and then for a set-up that comes later."""
         await until(lambda: self.running.core.requests.get(CALL) is None)
-        marker = await self.running.owner()
+        marker = await self.running.client()
         marker.say(offer(MARK))
         assert (await ops(marker, "accept"))[0]["call"] == MARK
         assert sum(message["call"] == CALL for message in machine.offers()) == but
@@ -108,21 +108,21 @@
                 told.append(peer)
 
         script, machine.script = machine.script, waits_for_both
-        owner = await self.running.owner()
-        owner.say(b"".join(offer(call) for call in WARM))
+        client = await self.running.client()
+        client.say(b"".join(offer(call) for call in WARM))
         await until(lambda: len(told) == len(WARM))
         machine.script = script
         for peer, message in zip(told, machine.offers(), strict=True):
             peer.say(line("accept", message["call"], desc="warm"))
-        await ops(owner, "accept", "accept")
+        await ops(client, "accept", "accept")
 
 
 @pytest.fixture
 async def scene(tmp_path: Path) -> AsyncIterator[Scene]:
     made = Scene(tmp_path)
     yield made
-    for owner in made.plain:
-        owner.sock.close()
+    for client in made.plain:
+        client.sock.close()
     await made.stop()
 
 
@@ -134,7 +134,7 @@
 
 
 def slow_info() -> Json:
-    """Settings under which a connection may take long to come up, and owners wait for longer."""
+    """Settings under which a connection may take long to come up, and clients wait for longer."""
     info = platforms.info()
     info["Permissions"]["ConnectTimeoutMs"] = 10_000.0
     for category in info["Categories"]:
@@ -153,27 +153,27 @@
 
 
 @LEAVES
-async def test_a_first_attempt_does_not_begin_for_who_has_left(scene: Scene, how: str) -> None:
+async def test_no_first_attempt_is_sent_for_a_client_that_has_left(scene: Scene, how: str) -> None:
     machine = Machine("m-1")
     await scene.start(machine)
     await scene.warm(machine)
-    owner = scene.owner()
-    scene.leaves_before(owner, how)
-    owner.say(offer())
+    client = scene.client()
+    scene.leaves_before(client, how)
+    client.say(offer())
     await scene.nothing_goes_out(machine)
     assert scene.out == [(0, False)]
 
 
 @LEAVES
-async def test_nor_when_its_connection_comes_up(
+async def test_no_attempt_is_sent_for_a_client_that_left_when_its_connection_comes_up(
     scene: Scene, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     machine = Machine("m-1")
     await scene.start(machine, settings=slow_info())
     dials = Dials(scene, monkeypatch, prompt=0)
-    owner = scene.owner()
-    scene.leaves_before(owner, how)
-    owner.say(offer(left="20000"))
+    client = scene.client()
+    scene.leaves_before(client, how)
+    client.say(offer(left="20000"))
     await until(lambda: dials.begun)
     dials.up.set()
     await scene.nothing_goes_out(machine)
@@ -181,7 +181,7 @@
 
 
 @LEAVES
-async def test_nor_when_another_connection_becomes_free(
+async def test_no_attempt_is_sent_for_a_client_that_left_when_another_connection_becomes_free(
     scene: Scene, monkeypatch: pytest.MonkeyPatch, how: str
 ) -> None:
     answers: list[Peer] = []
@@ -195,12 +195,12 @@
     machine = Machine("m-1", script)
     placer = await scene.start(machine, settings=slow_info())
     dials = Dials(scene, monkeypatch, prompt=1)
-    first = await placer.owner()
+    first = await placer.client()
     first.say(offer(WARM[0], left="20000"))
     await until(lambda: answers)
-    owner = scene.owner()
-    scene.leaves_before(owner, how)
-    owner.say(offer(left="20000"))
+    client = scene.client()
+    scene.leaves_before(client, how)
+    client.say(offer(left="20000"))
     await until(lambda: dials.begun == 2)
     answers[0].say(line("accept", WARM[0], desc="late"))
     await scene.nothing_goes_out(machine)
@@ -209,26 +209,30 @@
 
 
 @LEAVES
-async def test_nor_a_further_attempt_in_the_turn_of_a_refusal(scene: Scene, how: str) -> None:
+async def test_no_further_attempt_is_sent_when_a_rejection_and_the_clients_leaving_cross(
+    scene: Scene, how: str
+) -> None:
     machine = Machine("m-1", refuses_call)
     await scene.start(machine, settings=once_first())
     await scene.warm(machine)
-    owner = scene.owner()
-    scene.leaves_before(owner, how, number=1)
-    owner.say(offer(cls="once"))
+    client = scene.client()
+    scene.leaves_before(client, how, number=1)
+    client.say(offer(cls="once"))
     await scene.nothing_goes_out(machine, but=1)
     assert scene.out == [(0, True), (1, False)]
 
 
 @LEAVES
-async def test_nor_when_a_machine_gets_ready(scene: Scene, how: str) -> None:
+async def test_no_attempt_is_sent_for_a_client_that_left_when_a_machine_becomes_ready(
+    scene: Scene, how: str
+) -> None:
     machine = Machine("m-1")
     placer = await scene.start(machine)
     await scene.warm(machine)
     await no_machine_ready(scene, machine)
-    owner = scene.owner()
-    scene.leaves_before(owner, how)
-    owner.say(offer())
+    client = scene.client()
+    scene.leaves_before(client, how)
+    client.say(offer())
     await until(lambda: placer.core.requests.unanswered_count)
     scene.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-1", machine.address)))
     await scene.nothing_goes_out(machine)
@@ -245,63 +249,69 @@
 
 
 @LEAVES
-async def test_who_came_and_left_while_the_placer_did_not_run_is_not_decided(scene: Scene, how: str) -> None:
+async def test_a_request_of_a_client_that_came_and_left_while_the_placer_did_not_run_is_not_decided(
+    scene: Scene, how: str
+) -> None:
     machine = Machine("m-1")
     placer = await scene.start(machine)
     await scene.warm(machine)
-    owner = scene.owner()
+    client = scene.client()
     await until(lambda: len(placer.service.clients.connections) == 2)
     attempts = placer.core.counters.attempts
-    owner.say(offer())
-    owner.leaves(how)
-    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and owner_unheard(scene)))
+    client.say(offer())
+    client.leaves(how)
+    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and client_unread(scene)))
     assert placer.core.counters.attempts == attempts
     await scene.nothing_goes_out(machine)
 
 
-def owner_unheard(scene: Scene) -> bool:
+def client_unread(scene: Scene) -> bool:
     """A reset takes back what was not read: nothing was ever asked for."""
     return len(scene.running.service.clients.connections) == 1
 
 
 @LEAVES
-async def test_who_left_as_its_refusal_came_gets_no_further_attempt(scene: Scene, how: str) -> None:
+async def test_a_client_that_left_as_its_rejection_came_gets_no_further_attempt(
+    scene: Scene, how: str
+) -> None:
     """Both lie in the placer's sockets when it runs again, and the refusal is read first."""
     machine = Machine("m-1")
     placer = await scene.start(machine, settings=once_first())
     await scene.warm(machine)
-    owner = scene.owner()
+    client = scene.client()
 
     async def refuses_as_it_leaves(machine: Machine, peer: Peer, message: Json) -> None:
-        if message["call"] == CALL and not owner.gone:
+        if message["call"] == CALL and not client.gone:
             peer.say(line("end", CALL, why=34, with_={"note": "nh"}))
-            owner.leaves(how)
+            client.leaves(how)
         else:
             await accepts(machine, peer, message)
 
     machine.script = refuses_as_it_leaves
-    owner.say(offer(cls="once"))
-    await until(lambda: owner.gone)
+    client.say(offer(cls="once"))
+    await until(lambda: client.gone)
     await scene.nothing_goes_out(machine, but=1)
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.REJECTED] == 1
     assert placer.core.counters.rejected == 0
 
 
 @LEAVES
-async def test_who_left_while_its_connection_is_not_read_gets_no_attempt(scene: Scene, how: str) -> None:
+async def test_a_client_that_left_while_its_connection_is_not_read_gets_no_attempt(
+    scene: Scene, how: str
+) -> None:
     """The placer's reader is full, so that neither end nor FIN nor reset can be heard, however long."""
     machine = Machine("m-1")
     placer = await scene.start(machine)
     await scene.warm(machine)
     await no_machine_ready(scene, machine)
-    owner = scene.owner()
-    owner.say(offer())
+    client = scene.client()
+    client.say(offer())
     await until(lambda: placer.core.requests.unanswered_count)
     conn = placer.core.requests.get(CALL).connection
     transport: Any = placer.service.clients.connections[conn].writer.transport
     transport.pause_reading()
-    owner.say(line("test", PEER + "1", why=0))  # the FIN lies behind unread bytes
-    owner.leaves(how)
+    client.say(line("test", PEER + "1", why=0))  # the FIN lies behind unread bytes
+    client.leaves(how)
     scene.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-1", machine.address)))
     await scene.nothing_goes_out(machine)
     transport.resume_reading()
@@ -309,7 +319,7 @@
 
 @pytest.mark.parametrize("read_size", [4_096, client_connections.READ_BYTES])
 @LEAVES
-async def test_who_left_behind_many_lines_gets_no_attempt(
+async def test_a_client_that_left_behind_many_lines_gets_no_attempt(
     scene: Scene, monkeypatch: pytest.MonkeyPatch, how: str, read_size: int
 ) -> None:
     """The word lies among lines that wait for their turn, or in what was taken from the kernel unread."""
@@ -317,24 +327,24 @@
     machine = Machine("m-1")
     placer = await scene.start(machine)
     await scene.warm(machine)
-    owner = scene.owner()
+    client = scene.client()
     await until(lambda: len(placer.service.clients.connections) == 2)
-    owner.say(offer() + line("test", PEER + "1", why=0) * 600)
-    owner.leaves(how)
-    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and owner_unheard(scene)))
+    client.say(offer() + line("test", PEER + "1", why=0) * 600)
+    client.leaves(how)
+    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and client_unread(scene)))
     await scene.nothing_goes_out(machine)
 
 
-async def test_what_came_ahead_of_a_close_is_still_heard(scene: Scene) -> None:
-    """Guards against tasks handed over that are dropped as their owner is found to have left."""
+async def test_lines_ahead_of_a_close_are_still_processed(scene: Scene) -> None:
+    """Guards against tasks handed over that are dropped as their client is found to have left."""
     machine = Machine("m-1")
     placer = await scene.start(machine)
-    owner = scene.owner()
+    client = scene.client()
     await until(lambda: placer.service.clients.connections)
     held = [f"{number:016x}" for number in range(0x1000, 0x1000 + 400)]
     extras = "cores:1;memory:2;service:00000000b4d65521;at:m-1"
-    owner.say(offer() + b"".join(offer(call, extras=extras) for call in held))
-    owner.half_closes()
+    client.say(offer() + b"".join(offer(call, extras=extras) for call in held))
+    client.half_closes()
     await until(lambda: placer.core.counters.adopted_tasks == len(held))
     assert placer.core.counters.clients_left_before_send == 1
     assert not placer.core.requests.unanswered_count
@@ -355,7 +365,7 @@
 
 
 @LEAVES
-async def test_a_process_that_stood_still_begins_nothing_for_who_left_meanwhile(
+async def test_a_process_that_stood_still_sends_nothing_for_clients_that_left_meanwhile(
     tmp_path: Path, how: str
 ) -> None:
     machine = Machine("m-1")
@@ -365,7 +375,7 @@
     placer = PlacerProcess("p1", raw, tmp_path)
     await placer.start()
     peer: Peer | None = None
-    owner: Owner | None = None
+    client: Client | None = None
     try:
 
         async def up() -> Peer:
@@ -377,20 +387,20 @@
         peer = await asyncio.wait_for(up(), 30.0)
         peer.say(offer(WARM[0]))  # leaves an idle connection to the machine
         await ops(peer, "accept")
-        owner = Owner(placer.port)
-        owner.say(line("test", PEER + "1", why=0))
-        await asyncio.get_running_loop().run_in_executor(None, owner.sock.recv, 4_096)
+        client = Client(placer.port)
+        client.say(line("test", PEER + "1", why=0))
+        await asyncio.get_running_loop().run_in_executor(None, client.sock.recv, 4_096)
         with stopped(placer):
             await until(lambda: state_of(placer.pid) == "T")
-            owner.say(offer())
-            owner.leaves(how)
+            client.say(offer())
+            client.leaves(how)
         peer.say(offer(MARK))
         assert (await ops(peer, "accept"))[0]["call"] == MARK
         peer.say(line("test", PEER + "2", why=0))
         await ops(peer, "tested")
         assert [message["call"] for message in machine.offers()] == [WARM[0], MARK]
     finally:
-        for one in (peer.cut if peer else None, owner.sock.close if owner else None):
+        for one in (peer.cut if peer else None, client.sock.close if client else None):
             if one is not None:
                 one()
         await placer.kill()
@@ -413,27 +423,27 @@
         (b"spoilt " + CALL.encode() + b"\n" + line("end", CALL, why=16), False),
     ],
 )
-def test_a_whole_line_gives_a_set_up_up(unread: bytes, *, wanted: bool) -> None:
+def test_only_a_complete_line_withdraws_a_request(unread: bytes, *, wanted: bool) -> None:
     assert contains_withdrawal(unread, CALL) is wanted
 
 
-async def test_who_waits_is_seen_to_wait(scene: Scene) -> None:
-    """Guards against a look that takes a live owner for one that has left: unread words are no end."""
+async def test_a_client_that_waits_counts_as_waiting(scene: Scene) -> None:
+    """Guards against a look that takes a live client for one that has left: unread words are no end."""
     machine = Machine("m-1")
     placer = await scene.start(machine)
     await scene.warm(machine)
-    owner = scene.owner()
+    client = scene.client()
     seen: list[Any] = []
     presence: Callable[[int, str], ClientPresence] = placer.core.lifecycle.find_presence
 
     def looks(conn: int, call: str) -> ClientPresence:
         if call == CALL and not seen:
-            owner.say(line("test", PEER + "1", why=0) + line("end", PEER + "2", why=16))
+            client.say(line("test", PEER + "1", why=0) + line("end", PEER + "2", why=16))
         seen.append(presence(conn, call))
         return ClientPresence(seen[-1])
 
     placer.core.lifecycle.find_presence = looks
-    owner.say(offer())
+    client.say(offer())
     await until(lambda: any(message["call"] == CALL for message in machine.offers()))
     assert set(seen) == {ClientPresence.WAITING}
     assert len(seen) == 2
--- a/tests/platform/test_platform_list.py
+++ b/tests/platform/test_platform_discovery.py
@@ -56,7 +56,7 @@
 # ---- Gaps -------------------------------------------------------------------------------------------------
 
 
-def test_events_that_say_nothing_of_machines_are_no_gap() -> None:
+def test_events_without_endpoints_are_no_gap() -> None:
     fleet = started()
     assert take(fleet, 4, {"index": 2}, event(3, member("m-3")), {"index": 4}) == [3]
     assert fleet.poll_index == 4
@@ -74,7 +74,7 @@
     ],
     ids=["in the middle", "in front", "behind", "all", "numbers go back"],
 )
-def test_a_gap_leads_to_the_whole_list(index: int, updates: list[Json]) -> None:
+def test_a_gap_leads_to_a_request_for_the_complete_list(index: int, updates: list[Json]) -> None:
     """Guards against a drain that was skipped and never asked for again, as the number had gone on."""
     fleet = started()
     take(fleet, index, *updates)
@@ -86,7 +86,7 @@
     assert not fleet.has_gap
 
 
-def test_a_service_that_has_no_whole_list_to_give_is_asked_for_it_again() -> None:
+def test_a_service_that_gives_no_complete_list_is_asked_for_it_again() -> None:
     fleet = started()
     take(fleet, 4, event(4, member("m-4")))
     take(fleet, 5, event(4, member("m-4")), event(5, member("m-5")))
@@ -99,7 +99,7 @@
 
 
 @given(CHANGES, st.data())
-def test_whatever_is_lost_on_the_way_the_fleet_comes_to_what_the_service_has(
+def test_whatever_events_are_lost_the_endpoint_table_converges_to_the_services(
     changes: list[tuple[str, str]], data: st.DataObject
 ) -> None:
     """Answers that leave events out or end early; each is followed by the ask that the fleet wants."""
@@ -124,7 +124,7 @@
     }
 
 
-def test_what_events_come_to_is_one_list_from_the_last_whole_one_on() -> None:
+def test_events_merge_into_one_list_from_the_last_complete_one_on() -> None:
     raw = [
         event(1, member("m-1"), whole=True),
         event(2, member("m-2")),
@@ -137,7 +137,7 @@
     assert [entry.name for entry in found.entries] == ["m-4", "m-5"]
 
 
-async def test_a_drain_that_was_left_out_of_an_answer_is_heard(stage: Stage) -> None:
+async def test_a_drain_that_was_left_out_of_an_answer_is_received(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     stage.coordinator.events += [
@@ -155,7 +155,7 @@
 # ---- Before there is news ---------------------------------------------------------------------------------
 
 
-async def test_owners_are_let_in_when_the_list_has_been_heard_of_not_when_it_failed(stage: Stage) -> None:
+async def test_clients_are_accepted_when_the_list_has_answered_not_when_it_failed(stage: Stage) -> None:
     """Guards against offers to machines that drain: one that starts in an outage knows its file alone."""
     await stage.coordinator.start()
     port = int(stage.coordinator.address.rpartition(":")[2])
@@ -172,9 +172,9 @@
     stage.coordinator.events.append(event(2, member("m-1", machine.address, "Terminating")))
     await stage.coordinator.start(port)
     await until(lambda: placer.service.port)
-    owner = await placer.owner()
-    owner.say(offer(left="400"))
-    await ops(owner, "end")
+    client = await placer.client()
+    client.say(offer(left="400"))
+    await ops(client, "end")
     assert machine.offers() == []
 
 
@@ -213,7 +213,7 @@
 # ---- New configurations -----------------------------------------------------------------------------------
 
 
-async def test_a_configuration_that_came_while_the_placer_started_is_taken(stage: Stage) -> None:
+async def test_a_configuration_that_came_during_the_start_is_taken(stage: Stage) -> None:
     """Guards against a signal that came before it was listened for: the old address has nothing to tell."""
     old, new = Coordinator(), stage.coordinator
     await old.start()
@@ -227,7 +227,9 @@
     await old.stop()
 
 
-async def test_what_a_new_configuration_knows_is_taken_though_its_coordinator_is_silent(stage: Stage) -> None:
+async def test_the_events_of_a_new_configuration_are_applied_though_its_coordinator_is_silent(
+    stage: Stage,
+) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     silent = Coordinator()
@@ -249,7 +251,9 @@
     await silent.stop()
 
 
-async def test_a_placer_without_news_serves_in_the_end(stage: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_placer_without_an_answer_of_the_list_serves_in_the_end(
+    stage: Stage, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(service, "first_answer_wait_ms", lambda _alive_ms: 200.0)
     machine = Machine("m-1")
     await machine.start()
@@ -258,9 +262,9 @@
     raw = platforms.raw_config(member("m-1", machine.address))  # nobody listens where its coordinator is
     placer = stage.placer = Placer(stage.path / "config.json", raw)
     await placer.start()
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
 
 
 # ---- Drains that cross a set-up ---------------------------------------------------------------------------
@@ -279,14 +283,14 @@
 
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
 @pytest.mark.parametrize("order", ["set-up first", "word first"])
-async def test_a_word_in_the_same_turn_as_the_decision_keeps_the_set_up_back(
+async def test_a_drain_received_in_the_same_iteration_as_the_decision_stops_the_offer(
     stage: Stage, phase: str, order: str
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(line("test", "00000000000000f0", why=0))
-    await ops(owner, "tested")
+    client = await placer.client()
+    client.say(line("test", "00000000000000f0", why=0))
+    await ops(client, "tested")
     if order == "word first":
         drain_now(stage, machine, phase=phase)
     placer.core.on_client_message(placer.now(), 1, decode(offer(left="300", cls="once")))
@@ -294,13 +298,13 @@
     if order == "set-up first":
         drain_now(stage, machine, phase=phase)
     placer.service._runner.flush()
-    (refused,) = await ops(owner, "end")
+    (refused,) = await ops(client, "end")
     assert refused["why"] == 42
     assert machine.offers() == []
 
 
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
-async def test_a_word_while_the_connection_comes_up_keeps_the_set_up_back(
+async def test_a_drain_received_while_the_connection_comes_up_stops_the_offer(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, phase: str
 ) -> None:
     """The connection comes up after it; the set-up goes to another machine, as it has not run."""
@@ -309,8 +313,8 @@
     machine, other = Machine("m-1"), Machine("m-2")
     placer = await stage.start(machine, settings=info)
     dials = Dials(stage, monkeypatch, prompt=0)
-    owner = await placer.owner()
-    owner.say(offer(cls="once"))
+    client = await placer.client()
+    client.say(offer(cls="once"))
     await until(lambda: dials.begun)
     await other.start()
     stage.machines["m-2"] = other
@@ -318,25 +322,25 @@
     drain_now(stage, other, phase="Ready")
     placer.service._runner.flush()
     dials.up.set()
-    (accepted,) = await ops(owner, "accept")
+    (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "at m-2"
     assert machine.offers() == []
 
 
-async def test_a_drain_in_an_event_that_broke_off_is_heard_after_it(stage: Stage) -> None:
+async def test_a_drain_in_an_event_that_broke_off_is_received_after_it(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     await until(lambda: len(stage.coordinator.asked) > 1)
     stage.coordinator.garble = 1
     stage.coordinator.events.append(event(2, member("m-1", machine.address, "Terminating")))
     await until(lambda: placer.core.endpoints.index == 2)
-    owner = await placer.owner()
-    owner.say(offer(left="300"))
-    await ops(owner, "end")
+    client = await placer.client()
+    client.say(offer(left="300"))
+    await ops(client, "end")
     assert machine.offers() == []
 
 
-async def test_news_of_both_addresses_around_a_move_is_heard(stage: Stage) -> None:
+async def test_events_of_both_addresses_around_a_move_are_applied(stage: Stage) -> None:
     """The old one tells of a drain as the signal comes, the new one of the next; then the old one is mute."""
     first, second = Machine("m-1"), Machine("m-2")
     placer = await stage.start(first, second)
@@ -352,9 +356,9 @@
     stage.coordinator.mute = True
     new.events.append(event(4, member("m-2", second.address)))
     await until(lambda: placer.core.endpoints.index == 4)
-    owner = await placer.owner()
-    owner.say(offer(cls="once"))
-    (accepted,) = await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer(cls="once"))
+    (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "at m-2"
     assert first.offers() == []
     await new.stop()
@@ -363,7 +367,7 @@
 # ---- A list that is silent for long -----------------------------------------------------------------------
 
 
-async def test_nothing_goes_out_when_a_silent_list_may_hide_a_drain(
+async def test_nothing_is_sent_while_a_stale_endpoint_list_may_hide_a_drain(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a drain that counts as told 7 s after an outage began, though none could hear of it."""
@@ -373,18 +377,18 @@
     await until(lambda: len(stage.coordinator.asked) > 1)
     stage.coordinator.mute = True
     await until(lambda: placer.core.freshness.is_stale)
-    owner = await placer.owner()
-    owner.say(offer(left="20000", cls="once"))
+    client = await placer.client()
+    client.say(offer(left="20000", cls="once"))
     await until(lambda: placer.core.requests.unanswered_count)
     await asyncio.sleep(LATER_S)
     assert machine.offers() == []
     stage.coordinator.mute = False  # nothing new: no machine drains
-    await ops(owner, "accept")
+    await ops(client, "accept")
     assert not placer.core.freshness.is_stale
 
 
 @given(st.lists(st.floats(1.0, 30_000.0), max_size=30))
-def test_each_long_silence_is_told_once_and_no_other(gaps: list[float]) -> None:
+def test_each_long_silence_of_discovery_is_reported_once_and_no_short_one(gaps: list[float]) -> None:
     told: list[tuple[float, str]] = []
     timers = Timers()
     watch = discovery_freshness.DiscoveryFreshness(
--- a/tests/platform/test_platform_pieces.py
+++ b/tests/platform/test_platform_fragments.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 
 import pytest
+from core_stage import NOW
+from core_stage import Stage as CoreStage
 from placers import ready
 from platforms import Stage, ops
-from test_platform_core import NOW
-from test_platform_core import Stage as CoreStage
 from waiting import until
 
 from kelpfront.lab.fleet.lists import ListService
@@ -53,10 +53,10 @@
 # ---- In pieces --------------------------------------------------------------------------------------------
 
 
-async def test_two_set_ups_that_come_byte_by_byte_at_the_same_time_are_each_whole(stage: Stage) -> None:
+async def test_two_requests_that_arrive_byte_by_byte_at_the_same_time_are_both_read(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    first, second = await placer.owner(), await placer.owner()
+    first, second = await placer.client(), await placer.client()
     for one, other in zip(raw_offer(), raw_offer(SECOND), strict=True):
         first.say(bytes([one]))
         second.say(bytes([other]))
@@ -67,37 +67,35 @@
     assert {m["call"]: m["desc"] for m in machine.offers()} == {CALL: DESC, SECOND: DESC}
 
 
-async def test_a_set_up_is_whole_wherever_it_was_cut_in_two(stage: Stage) -> None:
+async def test_a_request_is_read_wherever_it_was_split_in_two(stage: Stage) -> None:
     """Each cut, letters of several bytes among them; what came whole in front of it is answered meanwhile."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
+    client = await placer.client()
     rest, cuts = b"", range(1, len(raw_offer()), 3)
     for number, cut in enumerate(cuts):
         data = raw_offer(f"{number:016x}")
-        owner.say(rest + data[:cut])
+        client.say(rest + data[:cut])
         rest = data[cut:]
         if number:
-            (accepted,) = await ops(owner, "accept")
+            (accepted,) = await ops(client, "accept")
             assert accepted["call"] == f"{number - 1:016x}"
             machine.peers[0].say(line("end", accepted["call"], why=16))
-            await ops(owner, "end")
-    owner.say(rest)
-    await ops(owner, "accept")
+            await ops(client, "end")
+    client.say(rest)
+    await ops(client, "accept")
     assert {m["desc"] for m in machine.offers()} == {DESC}
     assert len(machine.offers()) == len(cuts)
 
 
 @pytest.mark.parametrize("spoke", [True, False], ids=["spoke long ago", "opened long ago"])
-async def test_a_line_that_was_just_begun_is_not_taken_for_one_that_stopped(
-    stage: Stage, *, spoke: bool
-) -> None:
+async def test_a_line_just_begun_does_not_count_as_one_that_stopped(stage: Stage, *, spoke: bool) -> None:
     """Guards against a connection closed between two pieces of a set-up: it had been idle for 2 s."""
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
+    client = await placer.client()
     if spoke:
-        owner.say(line("test", "00000000000000f0", why=0))
-        await ops(owner, "tested")
+        client.say(line("test", "00000000000000f0", why=0))
+        await ops(client, "tested")
     await until(lambda: placer.service.clients.connections)
     (held,) = placer.service.clients.connections.values()
     held.opened_at -= (
@@ -105,14 +103,14 @@
     )  # as far as sweeps let it come
     held.last_valid_at -= 5.0
     data = raw_offer()
-    owner.say(data[:100])
+    client.say(data[:100])
     await until(lambda: held.partial_line is not None)
     placer.service.clients.sweep()
-    owner.say(data[100:])
-    await ops(owner, "accept")
+    client.say(data[100:])
+    await ops(client, "accept")
 
 
-async def test_the_time_of_a_set_up_counts_from_its_last_byte(tmp_path: Path) -> None:
+async def test_the_timeout_of_a_request_counts_from_its_last_byte(tmp_path: Path) -> None:
     """With processes. Its pieces are 2.2 s apart, which is more than it has: 2 s."""
     machine, service = Machine("m-1"), ListService()
     await machine.start()
@@ -127,14 +125,14 @@
     try:
         for placer in placers:
             await placer.start()
-        owners = [await ready(placer) for placer in placers]
-        for number, owner in enumerate(owners):
-            owner.say(raw_offer(f"{number:016x}", left="2000")[:150])
+        clients = [await ready(placer) for placer in placers]
+        for number, client in enumerate(clients):
+            client.say(raw_offer(f"{number:016x}", left="2000")[:150])
         await asyncio.sleep(2.2)
-        for number, owner in enumerate(owners):
-            owner.say(raw_offer(f"{number:016x}", left="2000")[150:])
-        for owner in owners:
-            await ops(owner, "accept")
+        for number, client in enumerate(clients):
+            client.say(raw_offer(f"{number:016x}", left="2000")[150:])
+        for client in clients:
+            await ops(client, "accept")
         assert all(0 < int(m["with"]["left"]) <= 2_000 for m in machine.offers())
     finally:
         for placer in placers:
@@ -144,19 +142,19 @@
 
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
-async def test_a_piece_without_its_rest_is_nothing(stage: Stage, how: str) -> None:
+async def test_a_fragment_without_its_rest_is_ignored(stage: Stage, how: str) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner, other = await placer.owner(), await placer.owner()
-    owner.say(raw_offer()[:-1])  # all but the line feed
+    client, other = await placer.client(), await placer.client()
+    client.say(raw_offer()[:-1])  # all but the line feed
     await until(lambda: any(held.partial_line for held in placer.service.clients.connections.values()))
     if how == "resets":
-        sock = owner.writer.get_extra_info("socket")
+        sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        owner.cut()
+        client.cut()
     else:
-        owner.writer.write_eof()
-        assert await owner.read() is None  # closed, with no answer to what never was a set-up
+        client.writer.write_eof()
+        assert await client.read() is None  # closed, with no answer to what never was a set-up
     await until(lambda: len(placer.service.clients.connections) == 1)
     other.say(offer(SECOND))
     await ops(other, "accept")
@@ -165,17 +163,17 @@
 
 
 @pytest.mark.parametrize("spoke", [True, False])
-async def test_a_line_that_stopped_is_closed_and_its_connection_not_held_for_good(
+async def test_a_connection_that_stopped_within_a_line_is_closed(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, *, spoke: bool
 ) -> None:
     monkeypatch.setattr(idle_connections, "FRAGMENT_S" if spoke else "FIRST_LINE_S", 0.3)
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
+    client = await placer.client()
     if spoke:
-        owner.say(line("test", "00000000000000f0", why=0))
-        await ops(owner, "tested")
-    owner.say(raw_offer()[:50])
-    assert await owner.read() is None
+        client.say(line("test", "00000000000000f0", why=0))
+        await ops(client, "tested")
+    client.say(raw_offer()[:50])
+    assert await client.read() is None
 
 
 # ---- Unanswered -------------------------------------------------------------------------------------------
@@ -183,7 +181,7 @@
 
 @CLASSES
 @pytest.mark.parametrize("machines", ["silent", "none ready", "never reached"])
-def test_a_request_that_no_machine_answers_has_one_answer_before_its_owner_gives_up(
+def test_a_request_that_no_machine_answers_has_one_answer_before_its_client_gives_up(
     cls: str, machines: str
 ) -> None:
     """In virtual time. What may have run is not told as harmless.
@@ -192,43 +190,43 @@
     """
     phase = "Terminating" if machines == "none ready" else "Ready"
     stage = CoreStage(*(member(f"m-{number}", phase=phase) for number in range(3)))
-    stage.owner(offer(cls=cls, left="1500"))
+    stage.client(offer(cls=cls, left="1500"))
     written = 0
-    while stage.now < NOW + 1_500.0 and not stage.told:
-        for intent in stage.of(Offer):
+    while stage.now < NOW + 1_500.0 and not stage.sent_to_clients:
+        for intent in stage.intents_of(Offer):
             written += machines == "silent" and stage.core.encode_offer(stage.now, intent.key) is not None
-        stage.later(1.0)
-    assert stage.told
+        stage.advance(1.0)
+    assert stage.sent_to_clients
     assert stage.now < NOW + 1_500.0
-    (answer,) = (message for _, message in stage.told)
+    (answer,) = (message for _, message in stage.sent_to_clients)
     assert answer["op"] == "end"
     assert (machines == "silent") is (written > 0)
     if machines != "never reached":
         assert (answer["why"] in RETRYABLE_CAUSES) is (cls == "easy" or not written)
-    stage.later(20_000.0)
-    assert len(stage.told) == 1
+    stage.advance(20_000.0)
+    assert len(stage.sent_to_clients) == 1
     assert not stage.core.requests
 
 
-async def test_a_placer_whose_machines_are_all_silent_answers_each_request_once(stage: Stage) -> None:
+async def test_a_placer_whose_machines_are_all_unresponsive_answers_each_request_once(stage: Stage) -> None:
     """They take connections and all that is sent, tests too, and say nothing."""
 
     async def silent(_machine: Machine, peer: Peer, message: Json) -> None:
         pass
 
     placer = await stage.start(*(Machine(f"m-{number}", silent) for number in range(3)))
-    owner = await placer.owner()
+    client = await placer.client()
     calls = {f"{number:016x}": ("easy", "keyed", "once")[number % 3] for number in range(1, 16)}
     for call, cls in calls.items():
-        owner.say(offer(call, cls=cls, left="1200", extras="cores:1;memory:1;service:" + call[-2:]))
-    answers = [m for m in [await owner.read() for _ in calls] if m is not None]
+        client.say(offer(call, cls=cls, left="1200", extras="cores:1;memory:1;service:" + call[-2:]))
+    answers = [m for m in [await client.read() for _ in calls] if m is not None]
     assert sorted(m["call"] for m in answers) == sorted(calls)
     assert {m["op"] for m in answers} == {"end"}
     for machine in stage.machines.values():
         for peer in machine.peers:
             for call in calls:
                 peer.say(line("accept", call, desc="late"))
-    await quiet_on(owner)
+    await quiet_on(client)
     assert not placer.core.requests
     offers = [(m.name, o["call"]) for m in stage.machines.values() for o in m.offers()]
     assert sum(calls[call] == "once" for _, call in offers) <= 5
--- a/tests/platform/test_platform_kills.py
+++ b/tests/platform/test_platform_kills.py
@@ -52,10 +52,10 @@
 
 
 @CLASSES
-async def test_a_machine_killed_right_behind_its_accept_has_its_task_told_as_over(
+async def test_the_task_of_a_machine_killed_right_after_its_acceptance_is_reported_as_ended(
     stage: Stage, cls: str
 ) -> None:
-    """A process. Its task stood and is over with it: the owner is told once, and nothing starts it again."""
+    """A process. Its task stood and is over with it: the client is told once, and nothing starts it again."""
     dies = await asyncio.create_subprocess_exec(
         *bounded(512, 0, "-c", DIES_BEHIND_ITS_ACCEPT), stdout=asyncio.subprocess.PIPE
     )
@@ -65,13 +65,13 @@
     raw = raw_config(member("m-1", address), coordinator=stage.coordinator.address)
     placer = stage.placer = Placer(stage.path / "config.json", raw)
     await placer.start()
-    owner = await placer.owner()
-    owner.say(offer(cls=cls, left="2000"))
-    (accepted,) = await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer(cls=cls, left="2000"))
+    (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "here"
     await dies.wait()
     began = time.monotonic()
-    (ended,) = await ops(owner, "end")
+    (ended,) = await ops(client, "end")
     assert ended["why"] == 41
     assert time.monotonic() - began < OWED_S
     other = Machine("m-2")
@@ -87,7 +87,7 @@
 
 @CLASSES
 @pytest.mark.parametrize("next_one", ["its next life", "another placer"])
-async def test_a_placer_killed_right_behind_an_accept_leaves_a_task_that_is_handed_over(
+async def test_a_placer_killed_right_after_an_acceptance_leaves_a_task_that_is_adopted(
     tmp_path: Path, cls: str, next_one: str
 ) -> None:
     """Two processes. Whoever is handed the task hears of its end; nobody starts it a second time."""
@@ -105,25 +105,25 @@
     try:
         for placer in placers:
             await placer.start()
-        owner = await ready(first)
-        owner.say(offer(cls=cls))
-        await ops(owner, "accept")
+        client = await ready(first)
+        client.say(offer(cls=cls))
+        await ops(client, "accept")
         await first.kill()
-        assert await owner.read() is None
+        assert await client.read() is None
         if next_one == "its next life":
             await first.start()
             other = first
-        owner = await ready(other)
+        client = await ready(other)
         opened = machine.opened
-        owner.say(offer(cls=cls, left="4294967", extras="cores:1;memory:2;service:b4;at:m-1"))
+        client.say(offer(cls=cls, left="4294967", extras="cores:1;memory:2;service:b4;at:m-1"))
         await until(lambda: machine.opened > opened)  # to hear of its end
         await asyncio.sleep(LATER_S)
         assert len(machine.offers()) == 1
         machine.peers[-1].say(line("end", CALL, why=16))
-        (ended,) = await ops(owner, "end")
+        (ended,) = await ops(client, "end")
         assert (ended["call"], ended["why"]) == (CALL, 16)
-        owner.say(line("test", "00000000000000f0", why=0))
-        await ops(owner, "tested")  # no second one
+        client.say(line("test", "00000000000000f0", why=0))
+        await ops(client, "tested")  # no second one
         assert other.alive
     finally:
         for placer in placers:
--- a/tests/platform/test_platform_fleet.py
+++ b/tests/platform/test_platform_outages.py
@@ -63,7 +63,7 @@
     await made.stop()
 
 
-async def test_placers_killed_in_an_outage_of_the_list_offer_nothing_to_what_drains(
+async def test_placers_restarted_in_a_discovery_outage_offer_nothing_to_a_draining_machine(
     loaded: PlacersUnderLoad,
 ) -> None:
     """Their files know of no drain. It is notified when the list is back, two of three placers restarted."""
@@ -87,7 +87,7 @@
 
 
 class Client:
-    """An owner on one connection: what it asked, and all that it was told, by call."""
+    """An client on one connection: what it asked, and all that it was told, by call."""
 
     def __init__(self, peer: Peer, first: int) -> None:
         self.peer, self.number = peer, first
@@ -146,10 +146,10 @@
         assert client.answered
 
 
-async def test_restarts_under_load_answer_each_set_up_once_and_start_nothing_twice(
+async def test_restarts_under_load_answer_each_request_once_and_start_nothing_twice(
     service: ListService, tmp_path: Path
 ) -> None:
-    """Three lives of two placers each. Owners go on for 0.6 s after SIGTERM: they do not know of it yet."""
+    """Three lives of two placers each. Clients go on for 0.6 s after SIGTERM: they do not know of it yet."""
     counting = CountingMachines(3)
     for machine in counting.machines:
         await machine.start()
--- a/tests/platform/test_platform_process.py
+++ b/tests/platform/test_platform_process.py
@@ -59,7 +59,9 @@
     path.write_text(json.dumps(platforms.raw_config(listed, coordinator=coordinator.address, **changes)))
 
 
-async def test_run_ends_in_one_process_that_starts_none_and_touches_only_its_own(tmp_path: Path) -> None:
+async def test_the_run_command_ends_in_one_process_that_starts_none_and_writes_no_files(
+    tmp_path: Path,
+) -> None:
     """Guards against parts that a platform refuses: further processes, Unix sockets, files."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     assert run.startswith("exec .venv/bin/python ")
@@ -89,9 +91,9 @@
             while b'"serving"' not in await process.stderr.readline():
                 pass
         drain = asyncio.create_task(process.stderr.read())
-        owner = Peer(*await asyncio.open_connection("127.0.0.1", port))
-        owner.say(offer())
-        assert (answer := await owner.read()) is not None
+        client = Peer(*await asyncio.open_connection("127.0.0.1", port))
+        client.say(offer())
+        assert (answer := await client.read()) is not None
         assert answer["op"] == "accept"
         write_config(config, machine, port, second)
         process.send_signal(signal.SIGHUP)
--- a/tests/platform/test_turns.py
+++ b/tests/platform/test_platform_read_timing.py
@@ -1,4 +1,4 @@
-"""A placer that stood still counts owners' patience from when set-ups came, not from when it reads them."""
+"""A placer that stood still counts clients' patience from when set-ups came, not from when it reads them."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         return lambda: next(times)
 
 
-def test_what_ends_a_wait_has_just_come() -> None:
+def test_data_that_ends_a_wait_has_just_come() -> None:
     poll = Poll(Clock())
     poll.turn(None, took=5.0)
     assert poll.unread_since == 105.0
@@ -67,7 +67,7 @@
     poll.close()
 
 
-def test_what_a_busy_turn_left_lying_may_have_come_since_the_poll_before() -> None:
+def test_data_left_unread_by_a_busy_iteration_may_have_come_since_the_poll_before() -> None:
     poll = Poll(Clock())
     poll.turn(None, took=1.0, then_busy=0.7)
     poll.turn(0, took=0.0)
@@ -77,7 +77,7 @@
     poll.close()
 
 
-def test_a_wait_that_is_longer_than_it_was_to_be_was_a_standstill() -> None:
+def test_a_wait_that_is_longer_than_asked_for_was_a_standstill() -> None:
     poll = Poll(Clock())
     poll.turn(0.25, took=0.25 + OVERSLEEP_S + 3.0)
     assert poll.unread_since == 100.0
@@ -86,7 +86,7 @@
     poll.close()
 
 
-def test_a_connection_counts_from_the_turn_that_read_it_and_from_before_it_was_accepted() -> None:
+def test_unread_time_counts_from_the_iteration_that_read_and_before_that_from_the_accept() -> None:
     clock = Clock()
     poll = Poll(clock)
     poll.turn(None, took=1.0, then_busy=0.5)  # returns at 101
@@ -135,32 +135,32 @@
     machine.die()
 
 
-async def test_a_process_that_was_stopped_answers_before_owners_give_up(
+async def test_a_process_that_was_stopped_answers_before_clients_give_up(
     placer: tuple[asyncio.subprocess.Process, int],
 ) -> None:
-    """Guards against answers late by as long as a placer stood still: their owners had given up by then."""
+    """Guards against answers late by as long as a placer stood still: their clients had given up by then."""
     process, port = placer
-    owner: Peer | None = None
+    client: Peer | None = None
 
     async def reached() -> bool:
-        nonlocal owner
+        nonlocal client
         try:
-            owner = Peer(*await asyncio.open_connection("127.0.0.1", port))
+            client = Peer(*await asyncio.open_connection("127.0.0.1", port))
         except OSError:
             return False
         return True
 
     while not await reached():  # noqa: ASYNC110 - the port is open once the process has started
         await asyncio.sleep(0.01)
-    assert owner is not None
-    owner.say(line("test", "00000000000000b1", why=0))
-    assert (await owner.read() or {})["op"] == "tested"
+    assert client is not None
+    client.say(line("test", "00000000000000b1", why=0))
+    assert (await client.read() or {})["op"] == "tested"
     process.send_signal(signal.SIGSTOP)
-    owner.say(offer(left=str(LEFT_MS)))
+    client.say(offer(left=str(LEFT_MS)))
     sent_at = time.monotonic()
     await asyncio.sleep(STILL_S)
     process.send_signal(signal.SIGCONT)
-    answer = await owner.read()
+    answer = await client.read()
     took_ms = (time.monotonic() - sent_at) * 1000.0
     assert answer is not None
     assert answer["op"] == "end"
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("path", PLACES, ids=lambda path: ".".join(map(str, path)))
-def test_what_a_configuration_should_not_hold_ends_the_start_with_one_line(path: tuple[Any, ...]) -> None:
+def test_an_invalid_configuration_ends_the_start_with_one_line(path: tuple[Any, ...]) -> None:
     """Guards against a traceback, or a start with half of a configuration, on another customer's settings."""
     names = [str(key) for key in path if isinstance(key, str)] + ["m-1", "m-2"]
     for junk in (*JUNK, ...):
@@ -122,7 +122,7 @@
         ("\xff\xfe", "not JSON"),
     ],
 )
-def test_a_file_that_is_no_configuration_is_one_line_and_exit_2(
+def test_a_file_that_is_no_configuration_gives_one_line_and_exit_code_2(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, said: str
 ) -> None:
     path = tmp_path / "config.json"
@@ -161,9 +161,9 @@
     for number, one in enumerate(spoilt):
         path.write_text(json.dumps(one))
         os.kill(os.getpid(), signal.SIGHUP)
-        owner = await placer.owner()
-        owner.say(offer(f"{number:016x}"))
-        await ops(owner, "accept")
+        client = await placer.client()
+        client.say(offer(f"{number:016x}"))
+        await ops(client, "accept")
     path.write_text(json.dumps(raw | {"known": known}))
     os.kill(os.getpid(), signal.SIGHUP)
     await until(lambda: placer.core.endpoints.index == index + 1)
--- a/tests/platform/test_platform_sockets.py
+++ b/tests/platform/test_platform_sockets.py
@@ -1,4 +1,4 @@
-"""The placer in service on loopback, among scripted owners, machines and a coordinator."""
+"""The placer in service on loopback, among scripted clients, machines and a coordinator."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
     await made.stop()
 
 
-async def test_a_task_from_its_set_up_to_its_release(stage: Stage) -> None:
+async def test_a_task_from_its_request_to_its_end(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(line("test", "00000000000000f0", why=0) + offer())
-    tested, accepted = await ops(owner, "tested", "accept")
+    client = await placer.client()
+    client.say(line("test", "00000000000000f0", why=0) + offer())
+    tested, accepted = await ops(client, "tested", "accept")
     assert tested["why"] == 1
     assert accepted["desc"] == "at m-1"
     machine.peers[0].say(line("info", CALL, with_={"note": "c", "value": 0.4}) + line("end", CALL, why=16))
-    (ended,) = await ops(owner, "end")
+    (ended,) = await ops(client, "end")
     assert ended["why"] == 16
     assert machine.offers()[0]["desc"] == DESC
     assert 0 < float(machine.offers()[0]["with"]["left"]) <= 2000
@@ -58,7 +58,7 @@
     ],
     ids=["noise", "no description", "unending", "stops short"],
 )
-async def test_a_spoilt_answer_harms_what_is_its_own_and_no_other(stage: Stage, spoilt: bytes) -> None:
+async def test_a_malformed_answer_harms_only_its_own_request(stage: Stage, spoilt: bytes) -> None:
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] != "offer":
             return
@@ -71,34 +71,34 @@
             peer.say(line("accept", message["call"], desc="good"))
 
     placer = await stage.start(Machine("m-1", script))
-    owner = await placer.owner()
-    owner.say(offer(cls="once") + offer(SECOND, cls="once"))
-    answers = {message["call"]: message for message in [await owner.read(), await owner.read()] if message}
+    client = await placer.client()
+    client.say(offer(cls="once") + offer(SECOND, cls="once"))
+    answers = {message["call"]: message for message in [await client.read(), await client.read()] if message}
     assert answers[SECOND]["desc"] == "good"
     assert answers[CALL]["op"] == "end"
     assert answers[CALL]["why"] == 41
 
 
-async def test_answers_to_owners_do_not_wait_for_acknowledgements(stage: Stage) -> None:
+async def test_answers_to_clients_do_not_wait_for_acknowledgements(stage: Stage) -> None:
     """Guards against 40 ms on every second answer: Nagle's algorithm against a delayed ACK."""
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     (held,) = placer.service.clients.connections.values()
     assert held.writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_bad_clients_by_the_hundred_do_not_keep_an_owner_waiting(stage: Stage) -> None:
+async def test_hundreds_of_invalid_requests_do_not_keep_a_client_waiting(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    bad = await placer.owner()
+    bad = await placer.client()
     bad.say(b"".join(offer(f"{n:016x}", left="-1") for n in range(1000, 3000)))
-    withdrawn = await placer.owner()
+    withdrawn = await placer.client()
     for n in range(3000, 3300):
         withdrawn.say(offer(f"{n:016x}") + line("end", f"{n:016x}", why=16))
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     assert len(await ops(bad, *["end"] * 2000)) == 2000
 
 
@@ -107,14 +107,14 @@
     info["Permissions"] = info["Permissions"] | {"ConnIdleMs": 1.0}
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=info)
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     machine.peers[0].say(line("end", CALL, why=16))
-    await ops(owner, "end")
+    await ops(client, "end")
     await until(lambda: not machine.peers)
-    owner.say(offer(SECOND))
-    await ops(owner, "accept")
+    client.say(offer(SECOND))
+    await ops(client, "accept")
 
 
 async def test_a_connection_on_which_no_answer_came_is_not_used_again(stage: Stage) -> None:
@@ -124,13 +124,13 @@
 
     machine = Machine("m-1", script)
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer(left="600"))
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer(left="600"))
+    await ops(client, "accept")
     await until(lambda: len(machine.peers) == 1)
 
 
-async def test_a_machine_whose_answer_crosses_its_being_given_up_is_told_so(stage: Stage) -> None:
+async def test_a_machine_whose_answer_crosses_the_withdrawal_is_notified(stage: Stage) -> None:
     """Guards against a copy that runs on, unwanted, beside the next attempt."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
@@ -138,8 +138,8 @@
 
     machine = Machine("m-1", script)
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer(left="20000"))
+    client = await placer.client()
+    client.say(offer(left="20000"))
     await until(lambda: machine.offers())
     placer.service._runner._flushing = (
         True  # the decision is made, and an answer is read before it is carried out
@@ -153,7 +153,7 @@
     await until(lambda: [message for message in machine.seen if message["op"] == "end"])
 
 
-async def test_an_answer_that_cannot_be_used_is_told_at_once(stage: Stage) -> None:
+async def test_an_unusable_answer_of_a_machine_is_reported_at_once(stage: Stage) -> None:
     """Guards against a set-up held for its deadline: the answer was read, and its connection ended."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
@@ -161,13 +161,13 @@
             peer.say(line("accept", message["call"]))
 
     placer = await stage.start(Machine("m-1", script))
-    owner = await placer.owner()
-    owner.say(offer(cls="once", left="29000"))
-    (ended,) = await ops(owner, "end")  # reads for less long than the owner would wait
+    client = await placer.client()
+    client.say(offer(cls="once", left="29000"))
+    (ended,) = await ops(client, "end")  # reads for less long than the client would wait
     assert ended["why"] == 41
 
 
-async def test_connections_under_way_are_bounded_and_what_waits_is_told(
+async def test_connections_being_opened_are_bounded_and_waiting_requests_are_answered(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     under_way, most = 0, 0
@@ -184,56 +184,58 @@
 
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
+    client = await placer.client()
     monkeypatch.setattr("asyncio.open_connection", never)
     calls = [f"{number:016x}" for number in range(1, 41)]
-    owner.say(b"".join(offer(call, cls="once", left="900") for call in calls))
-    ended = await ops(owner, *["end"] * 40)
+    client.say(b"".join(offer(call, cls="once", left="900") for call in calls))
+    ended = await ops(client, *["end"] * 40)
     assert {message["why"] for message in ended} == {42}
     assert 1 < most <= connection_pool.MAX_CONNECTIONS
 
 
-async def test_a_second_copy_and_an_unknown_answer_in_front_harm_nothing(stage: Stage) -> None:
+async def test_a_duplicate_answer_and_an_unknown_one_before_it_harm_nothing(stage: Stage) -> None:
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             answer = line("accept", message["call"], desc="good")
             peer.say(line("accept", "00000000000000ee", desc="whose") + answer + answer)
 
     placer = await stage.start(Machine("m-1", script))
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
-    owner.say(line("test", "00000000000000f1", why=0))
-    await ops(owner, "tested")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
+    client.say(line("test", "00000000000000f1", why=0))
+    await ops(client, "tested")
 
 
-async def test_tasks_of_a_dead_process_are_released_and_those_of_a_cut_connection_stand(stage: Stage) -> None:
+async def test_tasks_of_a_dead_process_are_lost_and_those_behind_a_broken_connection_run_on(
+    stage: Stage,
+) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     machine.peers[0].cut()
     await until(lambda: machine.opened == 2 and machine.peers)
     machine.peers[0].say(line("info", CALL, with_={"note": "live"}))
-    owner.say(line("test", "00000000000000f1", why=0))
-    await ops(owner, "tested")
+    client.say(line("test", "00000000000000f1", why=0))
+    await ops(client, "tested")
     machine.die()
-    (ended,) = await ops(owner, "end")
+    (ended,) = await ops(client, "end")
     assert ended["why"] == 41
 
 
-async def test_an_unreachable_machine_proves_that_nothing_ran(stage: Stage) -> None:
+async def test_an_unreachable_machine_proves_that_nothing_was_executed(stage: Stage) -> None:
     dead, alive = Machine("m-1"), Machine("m-2")
     placer = await stage.start(dead, alive)
     dead.die()
-    owner = await placer.owner()
+    client = await placer.client()
     calls = [f"{number:016x}" for number in range(1, 9)]
-    owner.say(b"".join(offer(call, cls="once") for call in calls))
-    assert {message["desc"] for message in await ops(owner, *["accept"] * 8)} == {"at m-2"}
+    client.say(b"".join(offer(call, cls="once") for call in calls))
+    assert {message["desc"] for message in await ops(client, *["accept"] * 8)} == {"at m-2"}
 
 
-async def test_the_coordinator_is_followed_through_broken_answers_and_to_a_new_address(stage: Stage) -> None:
+async def test_the_coordinator_is_polled_through_broken_answers_and_at_a_new_address(stage: Stage) -> None:
     first, second = Machine("m-1"), Machine("m-2")
     placer = await stage.start(first, second)
     stage.coordinator.garble = 2
@@ -258,28 +260,28 @@
     placer = await stage.start(Machine("m-1"))
     await stage.coordinator.stop()
     await until(lambda: placer.service.discovery.is_failing)
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
 
 
 async def test_new_configurations_under_load_cost_no_answer(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
+    client = await placer.client()
     raw = json.loads((stage.path / "config.json").read_text())
     for number in range(1, 9):
         other = raw | {"coordinator": f"127.0.0.1:{number}"}
         (stage.path / "config.json").write_text(json.dumps(other))
         os.kill(os.getpid(), signal.SIGHUP)
-        owner.say(offer(f"{number:016x}"))
-        await ops(owner, "accept")
+        client.say(offer(f"{number:016x}"))
+        await ops(client, "accept")
     assert placer.service.discovery.address.port == 8
     assert len(placer.core.endpoints.machines) == 1
 
 
 async def test_a_message_of_60_megabytes_is_closed_and_costs_no_memory(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    bad = await placer.owner()
+    bad = await placer.client()
     piece = b"z" * (1 << 20)
     with contextlib.suppress(ConnectionError):
         for _ in range(60):
@@ -290,7 +292,7 @@
     assert placer.core.counters.unreadable_lines == 1
 
 
-async def test_a_slow_coordinator_is_heard(stage: Stage) -> None:
+async def test_answers_of_a_slow_coordinator_are_taken(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     stage.coordinator.slow_s = 0.2
     for index in (2, 3, 4):
@@ -299,17 +301,19 @@
     assert len(placer.core.endpoints.machines) == 4
 
 
-async def test_a_placer_that_starts_hears_what_its_file_lacks_before_owners_come(stage: Stage) -> None:
+async def test_a_starting_placer_receives_what_its_file_lacks_before_clients_are_accepted(
+    stage: Stage,
+) -> None:
     """Guards against offers to machines that drain: killed placers came back with a list two seconds old.
 
-    Their owners were there at once, and herd+mass, seed 8642, broke rule 3 until the first answer came.
+    Their clients were there at once, and herd+mass, seed 8642, broke rule 3 until the first answer came.
     """
     stage.coordinator.slow_s = 0.2
     stage.coordinator.events.append(event(2, member("m-1", phase="Terminating")))
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
-    owner.say(offer(left="400"))
-    await ops(owner, "end")
+    client = await placer.client()
+    client.say(offer(left="400"))
+    await ops(client, "end")
     assert stage.machines["m-1"].offers() == []
 
 
@@ -320,12 +324,12 @@
     monkeypatch.setattr(service, "first_answer_wait_ms", lambda _alive_ms: 300.0)
     stage.coordinator.mute = True
     placer = await stage.start(Machine("m-1"))
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
 
 
-async def test_a_silent_coordinator_is_asked_again(stage: Stage) -> None:
+async def test_a_silent_coordinator_is_polled_again(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     await until(lambda: len(stage.coordinator.asked) > 1)  # the first is answered at once
     stage.coordinator.mute = True
@@ -352,48 +356,48 @@
         b'{"op":"offer","with":{"class":"easy"}}\n',
     ],
 )
-async def test_bad_clients_are_told_or_closed_and_never_served(stage: Stage, data: bytes) -> None:
+async def test_invalid_clients_are_answered_or_closed_and_never_served(stage: Stage, data: bytes) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    bad = await placer.owner()
+    bad = await placer.client()
     bad.say(data)
     message = await bad.read()
     assert message is None or message["op"] == "end"
     assert not machine.offers()
 
 
-async def test_silent_connections_by_the_hundred_leave_room_for_owners(stage: Stage) -> None:
+async def test_hundreds_of_silent_connections_leave_capacity_for_clients(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     most = DescriptorShares.of(256).clients
-    silent = [await placer.owner() for _ in range(most + 20)]
-    owner = await placer.owner()
-    owner.say(offer())
-    await ops(owner, "accept")
+    silent = [await placer.client() for _ in range(most + 20)]
+    client = await placer.client()
+    client.say(offer())
+    await ops(client, "accept")
     for peer in silent:
         await closed(peer)
 
 
-async def test_owners_that_asked_once_and_hold_on_do_not_shut_out_the_next(stage: Stage) -> None:
+async def test_clients_that_stay_connected_after_one_request_do_not_shut_out_the_next(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     most = DescriptorShares.of(256).clients
     for number in range(most + 20):
-        owner = await placer.owner()
-        owner.say(line("test", f"{number:016x}", why=0))
-        await ops(owner, "tested")
+        client = await placer.client()
+        client.say(line("test", f"{number:016x}", why=0))
+        await ops(client, "tested")
         if number % 50 == 0:
             await asyncio.sleep(idle_connections.RECENTLY_ACTIVE_S)
     assert len(placer.service.clients.connections) <= most
 
 
-async def test_owners_make_room_for_connections_to_machines(stage: Stage) -> None:
+async def test_idle_clients_make_way_for_connections_to_machines(stage: Stage) -> None:
     """Guards against a placer without descriptors: it could let nobody in for a second at a time."""
     placer = await stage.start(Machine("m-1"))
     placer.service.budget.in_use += 150
     most = DescriptorShares.of(256).clients_beside(150)
     assert most < DescriptorShares.of(256).clients
-    idle = [await placer.owner() for _ in range(most + 20)]
-    last = await placer.owner()
+    idle = [await placer.client() for _ in range(most + 20)]
+    last = await placer.client()
     last.say(offer())
     await ops(last, "accept")
     assert len(placer.service.clients.connections) <= most
@@ -406,7 +410,9 @@
         await asyncio.get_running_loop().sock_sendall(sock, data)
 
 
-async def test_an_owner_that_reads_nothing_is_cut_off(stage: Stage, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_client_that_reads_nothing_is_disconnected(
+    stage: Stage, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(client_connections, "MAX_UNSENT_BYTES", 4096)
     placer = await stage.start(Machine("m-1"))
     with socket.socket() as deaf:
@@ -418,7 +424,7 @@
             await send_forever(deaf, tests)
 
 
-def test_a_bad_configuration_is_one_line_and_exit_2(tmp_path: Path) -> None:
+def test_an_invalid_configuration_gives_one_line_and_exit_code_2(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(platforms.raw_config() | {"coordinator": "?"}))
     done = subprocess.run(
@@ -435,7 +441,7 @@
     assert "coordinator" in done.stderr
 
 
-async def test_after_sigterm_what_comes_is_still_answered_then_it_ends_with_0(tmp_path: Path) -> None:
+async def test_after_sigterm_requests_are_still_answered_and_the_exit_code_is_0(tmp_path: Path) -> None:
     machine = Machine("m-1")
     await machine.start()
     info = platforms.info()
@@ -457,16 +463,16 @@
         async with asyncio.timeout(60):
             while True:
                 try:
-                    owner = Peer(*await asyncio.open_connection("127.0.0.1", port))
+                    client = Peer(*await asyncio.open_connection("127.0.0.1", port))
                     break
                 except OSError:
                     await asyncio.sleep(0.01)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
         later = Peer(*await asyncio.open_connection("127.0.0.1", port))
-        owner.say(offer())
+        client.say(offer())
         later.say(offer(SECOND))
-        await ops(owner, "accept")
+        await ops(client, "accept")
         await ops(later, "accept")
         async with asyncio.timeout(30):
             assert await process.wait() == 0
--- a/tests/platform/test_platform_ready.py
+++ b/tests/platform/test_platform_start.py
@@ -1,4 +1,4 @@
-"""When a placer lets owners in: news of the list, or the time for it since its process began."""
+"""When a placer lets clients in: news of the list, or the time for it since its process began."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @given(st.floats(0.0, 1e7))
-def test_the_wait_for_news_ends_by_its_time_since_the_start_but_leaves_some_to_be_answered(
+def test_the_wait_for_the_first_answer_counts_from_the_start_and_has_a_minimum(
     alive_ms: float,
 ) -> None:
     wait = first_answer_wait_ms(alive_ms)
@@ -47,7 +47,7 @@
     ("alive_s", "most_ms"),
     [(0.0, MAX_FIRST_ANSWER_WAIT_MS), (3.0, 4_000.0), (60.0, MIN_FIRST_ANSWER_WAIT_MS)],
 )
-async def test_what_the_start_took_is_no_more_waited_for(
+async def test_the_time_that_the_start_took_is_not_waited_for_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, alive_s: float, most_ms: float
 ) -> None:
     """Guards against 7 s on top of a start that took seconds, with a small share of a core."""
@@ -73,7 +73,7 @@
     assert MIN_FIRST_ANSWER_WAIT_MS <= waits[0] <= most_ms
 
 
-def test_the_program_tells_its_service_when_the_process_began(
+def test_the_program_passes_to_its_service_when_the_process_began(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     began: list[float] = []
@@ -123,10 +123,10 @@
     assert marks([float(n) for n in range(1, 11)]) == {"50%": 5.0, "90%": 9.0, "100%": 10.0}
 
 
-async def test_a_hand_over_opens_a_few_connections_at_a_time_to_listen(
+async def test_adopting_many_tasks_opens_few_connections_at_a_time_to_receive(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a loop that opens a thousand in one turn: owners that ask meanwhile wait for seconds."""
+    """Guards against a loop that opens a thousand at once: clients that come meanwhile wait for seconds."""
     stage = Stage(tmp_path)
     try:
         many = [Machine(f"m-{number}") for number in range(3 * descriptor_budget.MAX_RECONNECTING)]
@@ -142,10 +142,10 @@
             finally:
                 under_way[0] -= 1
 
-        owner = await placer.owner()
+        client = await placer.client()
         monkeypatch.setattr(asyncio, "open_connection", slow)
         for number, name in enumerate(stage.machines):
-            owner.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{name}"))
+            client.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{name}"))
         await until(lambda: all(machine.peers for machine in stage.machines.values()))
     finally:
         await stage.stop()
@@ -154,8 +154,8 @@
     )  # probes to those that wait may join
 
 
-async def test_restarted_placers_take_all_that_is_handed_over_anew() -> None:
-    """Three of four placers, also with more tasks on one connection than its owner may ask for."""
+async def test_restarted_placers_adopt_all_tasks_that_are_handed_over() -> None:
+    """Three of four placers, also with more tasks on one connection than its client may ask for."""
     figures = await restart(Restart(placers=4, machines=60, tasks=10_000, killed=0.75, sockets=256))
     assert figures["restarted"] == 3
     assert figures["died"] == []
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -52,13 +52,13 @@
 
 
 class Placer:
-    """A placer in service inside the test's own loop, and its owners."""
+    """A placer in service inside the test's own loop, and its clients."""
 
     def __init__(self, path: Path, raw: Json) -> None:
         path.write_text(json.dumps(raw))
         self.service = Service(path, config_of(raw))
         self.task: asyncio.Task[None] | None = None
-        self.owners: list[Peer] = []
+        self.clients: list[Peer] = []
 
     @property
     def core(self) -> Any:
@@ -71,13 +71,13 @@
     def now(self) -> float:
         return self.service.clock.now()
 
-    async def owner(self) -> Peer:
+    async def client(self) -> Peer:
         peer = Peer(*await asyncio.open_connection("127.0.0.1", self.service.port))
-        self.owners.append(peer)
+        self.clients.append(peer)
         return peer
 
     async def stop(self) -> None:
-        for peer in self.owners:
+        for peer in self.clients:
             peer.cut()
         if self.task is not None:
             self.task.cancel()
