--- a/tests/platform/core_stage.py
+++ b/tests/platform/core_stage.py
@@ -49,10 +49,10 @@
                 self.intents.append(intent)
 
     def client(self, data: bytes, conn: int = 1) -> bool:
-        sound = self.core.on_client_message(self.now, conn, decode(data))
+        is_valid = self.core.on_client_message(self.now, conn, decode(data))
         self.core.submit_arrivals(self.now)
         self.collect_intents()
-        return sound
+        return is_valid
 
     def machine(self, ident: int, op: str, call: str = CALL, **fields: Any) -> None:
         found = self.core.requests.get(call)
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -35,7 +35,7 @@
     await made.stop()
 
 
-def tell_now(stage: Stage, *lines: bytes, conn: int = 1) -> None:
+def receive_from_client(stage: Stage, *lines: bytes, conn: int = 1) -> None:
     """What an client says, heard in this turn of the loop and not in the next."""
     placer = stage.running
     for data in lines:
@@ -44,7 +44,7 @@
     placer.service._runner.flush()
 
 
-def end_of(writer: asyncio.StreamWriter) -> socket.socket:
+def socket_of(writer: asyncio.StreamWriter) -> socket.socket:
     """The socket of a stream, to act on it past the loop."""
     return socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno()))
 
@@ -56,7 +56,7 @@
             sock.send(data)
 
 
-def wires(stage: Stage, name: str) -> list[Any]:
+def connections_to(stage: Stage, name: str) -> list[Any]:
     return list(stage.running.service.machines.pools[machine_id(name)].connections)
 
 
@@ -95,12 +95,12 @@
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
-    with end_of(machine.peers[0].writer) as sock:
+    with socket_of(machine.peers[0].writer) as sock:
         if how == "resets":
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             machine.peers[0].writer.get_extra_info("socket").shutdown(socket.SHUT_RD)
         sock.shutdown(socket.SHUT_WR)
-    tell_now(stage, offer(SECOND, cls="once"))
+    receive_from_client(stage, offer(SECOND, cls="once"))
     (accepted,) = await ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened > 1
@@ -115,7 +115,7 @@
     await ops(client, "accept")
     machine = stage.machines["m-1"]
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
-    (wire,) = wires(stage, "m-1")
+    (wire,) = connections_to(stage, "m-1")
     wire.writer.write(b"\n" * (16 << 20))
     assert wire.unsent_bytes
     client.say(offer(SECOND, cls="once"))
@@ -132,13 +132,13 @@
     client.say(offer())
     await ops(client, "accept")
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
-    (wire,) = wires(stage, "m-1")
-    with end_of(wire.writer) as sock:
+    (wire,) = connections_to(stage, "m-1")
+    with socket_of(wire.writer) as sock:
         sock.setblocking(False)  # noqa: FBT003 - takes it by position only
         fill(sock, b"\n" * 65_536)
         fill(sock, b"\n")  # to the last byte: a request must not fit any more
         assert not wire.unsent_bytes
-        tell_now(stage, offer(SECOND, cls="once"))
+        receive_from_client(stage, offer(SECOND, cls="once"))
     (accepted,) = await ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened > 1
@@ -157,9 +157,9 @@
     await ops(client, "accept")
     taken = machine.peers[0].reader._transport  # type: ignore[attr-defined]
     taken.pause_reading()
-    (wire,) = wires(stage, "m-1")
+    (wire,) = connections_to(stage, "m-1")
     filler = line("info", "00000000000000f1")
-    with end_of(wire.writer) as sock:
+    with socket_of(wire.writer) as sock:
         sock.setblocking(False)  # noqa: FBT003 - takes it by position only
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
         sent, idle = 0, 0
@@ -466,12 +466,12 @@
 # ---- An client's connection that closes --------------------------------------------------------------------
 
 
-def front_end(stage: Stage, conn: int) -> asyncio.StreamWriter:
+def client_writer(stage: Stage, conn: int) -> asyncio.StreamWriter:
     writer: asyncio.StreamWriter = stage.running.service.clients.connections[conn].writer
     return writer
 
 
-def machine_tells_now(stage: Stage, data: bytes) -> None:
+def receive_from_machine(stage: Stage, data: bytes) -> None:
     """What the machine says, heard in this turn of the loop and not in the next."""
     pool = stage.running.service.machines.pools[machine_id("m-1")]
     pool._on_message(next(iter(pool.connections)), decode(data))
@@ -486,8 +486,8 @@
     await ops(second, "tested")
     first.say(offer())
     await ops(first, "accept")
-    front_end(stage, 1).close()
-    machine_tells_now(stage, line("end", CALL, why=16))
+    client_writer(stage, 1).close()
+    receive_from_machine(stage, line("end", CALL, why=16))
     (ended,) = await ops(second, "end")
     assert ended["call"] == CALL
     assert ended["why"] == 16
@@ -498,8 +498,8 @@
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
-    front_end(stage, 1).close()
-    machine_tells_now(stage, line("end", CALL, why=16))
+    client_writer(stage, 1).close()
+    receive_from_machine(stage, line("end", CALL, why=16))
     (ended,) = await ops(await placer.client(), "end")
     assert ended["call"] == CALL
 
@@ -516,8 +516,8 @@
     client = await placer.client()
     client.say(offer())
     await until(machine.offers)
-    front_end(stage, 1).close()
-    machine_tells_now(stage, line("accept", CALL, desc="late"))
+    client_writer(stage, 1).close()
+    receive_from_machine(stage, line("accept", CALL, desc="late"))
     await until(lambda: any(m["op"] == "end" and m["call"] == CALL for m in machine.seen))
     await until(lambda: not placer.core.requests)
     assert placer.core.counters.placed_without_client == 1
@@ -594,10 +594,10 @@
         peer.reader._transport.pause_reading()  # type: ignore[attr-defined]
     filler = line("ringing", CALL, desc="x" * 8_000)
     for conn in (1, 2):
-        writer = front_end(stage, conn)
+        writer = client_writer(stage, conn)
         while writer.transport.get_write_buffer_size() < 100_000:
             writer.write(filler)
-    front_end(stage, 1).write(line("end", CALL, why=42))
+    client_writer(stage, 1).write(line("end", CALL, why=42))
     placer.service._shutdown.set()
     await until(lambda: not placer.service.clients.is_serving)
     slow.reader._transport.resume_reading()  # type: ignore[attr-defined]
--- a/tests/platform/test_platform_crossings_late.py
+++ b/tests/platform/test_platform_crossings_late.py
@@ -22,7 +22,7 @@
 from placers import ready
 from placers_under_load import PlacersUnderLoad
 from platforms import Stage, ops
-from test_platform_discovery import started, take
+from test_platform_discovery import apply_answer, table_with_two_machines
 from waiting import until
 
 from kelpfront.lab.fleet.lists import ListService
@@ -51,7 +51,7 @@
 # ---- Whole lists in mid-life ------------------------------------------------------------------------------
 
 
-async def standing(stage: Stage, *machines: Machine) -> dict[str, tuple[Peer, str]]:
+async def tasks_on(stage: Stage, *machines: Machine) -> dict[str, tuple[Peer, str]]:
     """A task on each of the machines, which are ready one after another: client and call by machine."""
     placer = await stage.start(*machines)
     found: dict[str, tuple[Peer, str]] = {}
@@ -68,7 +68,7 @@
 async def test_a_later_complete_list_ends_tasks_on_machines_that_it_lacks(stage: Stage) -> None:
     """One is as it was, one has restarted, one drains, one is not named any more, one is new."""
     machines = [Machine(f"m-{number}") for number in range(1, 5)]
-    stands = await standing(stage, *machines)
+    stands = await tasks_on(stage, *machines)
     placer, addresses = stage.running, {m.name: m.address for m in machines}
     opened = machines[0].opened
     whole = event(
@@ -104,7 +104,7 @@
 
 async def test_the_same_complete_list_again_changes_nothing(stage: Stage) -> None:
     machines = [Machine("m-1"), Machine("m-2")]
-    stands = await standing(stage, *machines)
+    stands = await tasks_on(stage, *machines)
     opened = [machine.opened for machine in machines]
     members = [member(m.name, m.address) for m in machines]
     stage.coordinator.events += [event(index, *members, whole=True) for index in (2, 3)]
@@ -149,30 +149,34 @@
 
 def test_an_older_list_reverses_neither_drains_nor_removals() -> None:
     """Guards against offers to a machine that drains, as a service that is behind tells of it as ready."""
-    fleet = started()
-    take(fleet, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone")))
-    take(fleet, 1)
-    assert fleet.poll_index == 0  # numbers went back: the whole list is asked for
-    take(fleet, 1, event(1, member("m-1"), member("m-2"), whole=True))
-    assert {ident: m.state for ident, m in fleet.machines.items()} == {M1: MachineState.DRAINING}
-    assert fleet.poll_index == 1  # what comes later is asked for from there on
-    take(fleet, 2, event(2, member("m-1"), member("m-2"), member("m-3")))  # still behind
-    assert {ident: m.state for ident, m in fleet.machines.items()} == {
+    table = table_with_two_machines()
+    apply_answer(
+        table, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone"))
+    )
+    apply_answer(table, 1)
+    assert table.poll_index == 0  # numbers went back: the whole list is asked for
+    apply_answer(table, 1, event(1, member("m-1"), member("m-2"), whole=True))
+    assert {ident: m.state for ident, m in table.machines.items()} == {M1: MachineState.DRAINING}
+    assert table.poll_index == 1  # what comes later is asked for from there on
+    apply_answer(table, 2, event(2, member("m-1"), member("m-2"), member("m-3")))  # still behind
+    assert {ident: m.state for ident, m in table.machines.items()} == {
         M1: MachineState.DRAINING,
         M3: MachineState.READY,
     }
-    take(fleet, 4, event(3), event(4, member("m-1"), member("m-2")))  # it has caught up
-    assert {m.state for m in fleet.machines.values()} == {MachineState.READY}
-    assert len(fleet.machines) == 3
+    apply_answer(table, 4, event(3), event(4, member("m-1"), member("m-2")))  # it has caught up
+    assert {m.state for m in table.machines.values()} == {MachineState.READY}
+    assert len(table.machines) == 3
 
 
 def test_a_newer_incarnation_of_a_machine_is_taken_from_an_older_list() -> None:
-    fleet = started()
-    take(fleet, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone")))
-    take(fleet, 1)
+    table = table_with_two_machines()
+    apply_answer(
+        table, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone"))
+    )
+    apply_answer(table, 1)
     young = [member("m-1", up_since_ms=5.0), member("m-2", up_since_ms=5.0)]
-    take(fleet, 1, event(1, *young, whole=True))
-    assert {ident: m.state for ident, m in fleet.machines.items()} == dict.fromkeys(
+    apply_answer(table, 1, event(1, *young, whole=True))
+    assert {ident: m.state for ident, m in table.machines.items()} == dict.fromkeys(
         (M1, M2), MachineState.READY
     )
 
@@ -263,7 +267,7 @@
 # ---- Late in a day ----------------------------------------------------------------------------------------
 
 
-class Day(CoreStage):
+class VirtualTimeStage(CoreStage):
     """A core in virtual time, whose machines answer tests unless they are in `silent`."""
 
     def __init__(self, *members: Json) -> None:
@@ -271,7 +275,7 @@
         self.silent: set[int] = set()
         self._answered = 0
 
-    def goes_on(self, ms: float, *, list_speaks: bool = True, step: float = 100.0) -> None:
+    def pass_time(self, ms: float, *, list_answers: bool = True, step: float = 100.0) -> None:
         until = self.now + ms
         while self.now < until:
             self.advance(min(step, until - self.now))
@@ -279,7 +283,7 @@
                 self._answered += 1
                 if test.machine not in self.silent:
                     self.machine(test.machine, "tested", test.check_id, why=1)
-            if list_speaks and int(self.now / step) % 10 == 0:
+            if list_answers and int(self.now / step) % 10 == 0:
                 self.events({"index": self.core.endpoints.index, "updates": []})
 
     @property
@@ -289,36 +293,36 @@
 
 @pytest.mark.parametrize("cls", ["easy", "keyed", "once"])
 def test_a_machine_that_becomes_unresponsive_after_an_hour_is_declared_lost_in_time(cls: str) -> None:
-    stage = Day(member("m-1"), member("m-2"))
+    stage = VirtualTimeStage(member("m-1"), member("m-2"))
     ident = stage.place(cls=cls)
-    stage.goes_on(HOUR_MS)
+    stage.pass_time(HOUR_MS)
     assert stage.ops == ["accept"]
     stage.silent.add(ident)
-    stage.goes_on(1_900.0)  # its last word may be 5 s old
+    stage.pass_time(1_900.0)  # its last word may be 5 s old
     assert stage.ops == ["accept"]
-    stage.goes_on(6_000.0)
+    stage.pass_time(6_000.0)
     assert stage.ops == ["accept", "end"]
     assert not stage.core.requests
     stage.silent.clear()  # and what it says when it is back is no second end
     stage.machine(ident, "end", why=16)
-    stage.goes_on(60_000.0)
+    stage.pass_time(60_000.0)
     assert stage.ops == ["accept", "end"]
 
 
 def test_a_list_that_becomes_stale_after_an_hour_defers_offers_and_its_drain_is_kept() -> None:
-    stage = Day(member("m-1"))
+    stage = VirtualTimeStage(member("m-1"))
     machine = stage.place()
-    stage.goes_on(HOUR_MS)
-    stage.goes_on(6_000.0, list_speaks=False)
+    stage.pass_time(HOUR_MS)
+    stage.pass_time(6_000.0, list_answers=False)
     stage.client(offer(SECOND))
     stage.send_offer(SECOND)
     stage.machine(machine, "accept", SECOND, desc="given")
-    stage.goes_on(1_500.0, list_speaks=False)
+    stage.pass_time(1_500.0, list_answers=False)
     stage.client(offer(THIRD, left="20000"))
-    stage.goes_on(1_000.0, list_speaks=False)
+    stage.pass_time(1_000.0, list_answers=False)
     assert not [intent for intent in stage.intents_of(Offer) if intent.request_id == THIRD]
     stage.events({"index": 2, "updates": [event(2, member("m-1", phase="Terminating"))]})
-    stage.goes_on(60_000.0)
+    stage.pass_time(60_000.0)
     assert not [intent for intent in stage.intents_of(Offer) if intent.request_id == THIRD]
     assert stage.ops == ["accept", "accept", "end"]  # the third was refused; what stands runs on
     stage.machine(machine, "end", why=16)
@@ -328,10 +332,10 @@
 
 def test_a_placer_idle_for_half_a_day_has_not_grown_and_serves() -> None:
     """Idle: no request, no news but that there is none. Then one comes, and one whose machine is long up."""
-    stage = Day(*(member(f"m-{number}") for number in range(40)))
-    stage.goes_on(60_000.0, step=1_000.0)
+    stage = VirtualTimeStage(*(member(f"m-{number}") for number in range(40)))
+    stage.pass_time(60_000.0, step=1_000.0)
     timers, logs = len(stage.core.timers._heap), len(stage.core.log)
-    stage.goes_on(12 * HOUR_MS, step=1_000.0)
+    stage.pass_time(12 * HOUR_MS, step=1_000.0)
     core = stage.core
     assert stage.now >= NOW + 12 * HOUR_MS
     assert len(core.timers._heap) <= timers
@@ -348,7 +352,7 @@
     assert stage.sent_to_clients[-1][1]["why"] == 1
 
 
-def held(core: object) -> int:
+def count_entries(core: object) -> int:
     """How many entries all containers have that the project's own objects below `core` hold."""
     entries, seen, left = 0, {id(core)}, [core]
     while left:
@@ -375,7 +379,7 @@
 ) -> None:
     """Machines go and others come, each under a name of its own, thirty times over."""
     monkeypatch.setattr(endpoint_table, "MAX_REMEMBERED_REMOVALS", 10)
-    stage = Day(*(member(f"m-{number}") for number in range(20)))
+    stage = VirtualTimeStage(*(member(f"m-{number}") for number in range(20)))
 
     def replaced(times: int) -> int:
         for _ in range(times):
@@ -383,8 +387,8 @@
             gone, fresh = f"m-{index - 2}", f"m-{index + 18}"
             update = event(index, member(gone, phase="Gone"), member(fresh, up_since_ms=stage.now))
             stage.events({"index": index, "updates": [update]})
-            stage.goes_on(1_000.0, step=1_000.0)
-        return held(stage.core)
+            stage.pass_time(1_000.0, step=1_000.0)
+        return count_entries(stage.core)
 
     before = replaced(100)
     assert replaced(500) <= before * 1.05
--- a/tests/platform/test_platform_disconnected_clients.py
+++ b/tests/platform/test_platform_disconnected_clients.py
@@ -78,7 +78,7 @@
         self.plain.append(Client(self.running.service.port))
         return self.plain[-1]
 
-    def leaves_before(self, client: Client, how: str, number: int = 0) -> None:
+    def leave_before(self, client: Client, how: str, number: int = 0) -> None:
         encode_offer = self.running.core.encode_offer
 
         def late(now: float, key: AttemptKey) -> bytes | None:
@@ -91,7 +91,7 @@
 
         self.running.core.encode_offer = late
 
-    async def nothing_goes_out(self, machine: Machine, but: int = 0) -> None:
+    async def assert_nothing_sent(self, machine: Machine, but: int = 0) -> None:
         """Waits until CALL is over, and then for a set-up that comes later."""
         await until(lambda: self.running.core.requests.get(CALL) is None)
         marker = await self.running.client()
@@ -158,9 +158,9 @@
     await scene.start(machine)
     await scene.warm(machine)
     client = scene.client()
-    scene.leaves_before(client, how)
+    scene.leave_before(client, how)
     client.say(offer())
-    await scene.nothing_goes_out(machine)
+    await scene.assert_nothing_sent(machine)
     assert scene.out == [(0, False)]
 
 
@@ -172,11 +172,11 @@
     await scene.start(machine, settings=slow_info())
     dials = Dials(scene, monkeypatch, prompt=0)
     client = scene.client()
-    scene.leaves_before(client, how)
+    scene.leave_before(client, how)
     client.say(offer(left="20000"))
     await until(lambda: dials.begun)
     dials.up.set()
-    await scene.nothing_goes_out(machine)
+    await scene.assert_nothing_sent(machine)
     assert scene.out == [(0, False)]
 
 
@@ -199,11 +199,11 @@
     first.say(offer(WARM[0], left="20000"))
     await until(lambda: answers)
     client = scene.client()
-    scene.leaves_before(client, how)
+    scene.leave_before(client, how)
     client.say(offer(left="20000"))
     await until(lambda: dials.begun == 2)
     answers[0].say(line("accept", WARM[0], desc="late"))
-    await scene.nothing_goes_out(machine)
+    await scene.assert_nothing_sent(machine)
     assert scene.out == [(0, False)]
     dials.up.set()
 
@@ -216,9 +216,9 @@
     await scene.start(machine, settings=once_first())
     await scene.warm(machine)
     client = scene.client()
-    scene.leaves_before(client, how, number=1)
+    scene.leave_before(client, how, number=1)
     client.say(offer(cls="once"))
-    await scene.nothing_goes_out(machine, but=1)
+    await scene.assert_nothing_sent(machine, but=1)
     assert scene.out == [(0, True), (1, False)]
 
 
@@ -231,11 +231,11 @@
     await scene.warm(machine)
     await no_machine_ready(scene, machine)
     client = scene.client()
-    scene.leaves_before(client, how)
+    scene.leave_before(client, how)
     client.say(offer())
     await until(lambda: placer.core.requests.unanswered_count)
     scene.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-1", machine.address)))
-    await scene.nothing_goes_out(machine)
+    await scene.assert_nothing_sent(machine)
     assert scene.out == [(0, False)]
 
 
@@ -260,12 +260,12 @@
     attempts = placer.core.counters.attempts
     client.say(offer())
     client.leaves(how)
-    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and client_unread(scene)))
+    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and is_disconnect_unread(scene)))
     assert placer.core.counters.attempts == attempts
-    await scene.nothing_goes_out(machine)
+    await scene.assert_nothing_sent(machine)
 
 
-def client_unread(scene: Scene) -> bool:
+def is_disconnect_unread(scene: Scene) -> bool:
     """A reset takes back what was not read: nothing was ever asked for."""
     return len(scene.running.service.clients.connections) == 1
 
@@ -290,7 +290,7 @@
     machine.script = refuses_as_it_leaves
     client.say(offer(cls="once"))
     await until(lambda: client.gone)
-    await scene.nothing_goes_out(machine, but=1)
+    await scene.assert_nothing_sent(machine, but=1)
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.REJECTED] == 1
     assert placer.core.counters.rejected == 0
 
@@ -313,7 +313,7 @@
     client.say(line("test", PEER + "1", why=0))  # the FIN lies behind unread bytes
     client.leaves(how)
     scene.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-1", machine.address)))
-    await scene.nothing_goes_out(machine)
+    await scene.assert_nothing_sent(machine)
     transport.resume_reading()
 
 
@@ -331,8 +331,8 @@
     await until(lambda: len(placer.service.clients.connections) == 2)
     client.say(offer() + line("test", PEER + "1", why=0) * 600)
     client.leaves(how)
-    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and client_unread(scene)))
-    await scene.nothing_goes_out(machine)
+    await until(lambda: placer.core.counters.withdrawn or (how == "resets" and is_disconnect_unread(scene)))
+    await scene.assert_nothing_sent(machine)
 
 
 async def test_lines_ahead_of_a_close_are_still_processed(scene: Scene) -> None:
--- a/tests/platform/test_platform_discovery.py
+++ b/tests/platform/test_platform_discovery.py
@@ -36,31 +36,31 @@
     await made.stop()
 
 
-def take(fleet: EndpointTable, index: int, *updates: Json) -> list[int]:
+def apply_answer(table: EndpointTable, index: int, *updates: Json) -> list[int]:
     """An answer; the numbers of the events that changed something."""
     changes = []
-    for change in fleet.apply(*parse_events({"index": index, "updates": list(updates)}, CONFIG)):
+    for change in table.apply(*parse_events({"index": index, "updates": list(updates)}, CONFIG)):
         changes.append(change.event.index)
         for machine in change.removed:
-            fleet.machines.pop(machine.id, None)
+            table.machines.pop(machine.id, None)
     return changes
 
 
-def started() -> EndpointTable:
-    fleet = EndpointTable()
-    assert take(fleet, 1, event(1, member("m-1"), member("m-2"), whole=True)) == [1]
-    assert fleet.poll_index == 1
-    return fleet
+def table_with_two_machines() -> EndpointTable:
+    table = EndpointTable()
+    assert apply_answer(table, 1, event(1, member("m-1"), member("m-2"), whole=True)) == [1]
+    assert table.poll_index == 1
+    return table
 
 
 # ---- Gaps -------------------------------------------------------------------------------------------------
 
 
 def test_events_without_endpoints_are_no_gap() -> None:
-    fleet = started()
-    assert take(fleet, 4, {"index": 2}, event(3, member("m-3")), {"index": 4}) == [3]
-    assert fleet.poll_index == 4
-    assert not fleet.has_gap
+    table = table_with_two_machines()
+    assert apply_answer(table, 4, {"index": 2}, event(3, member("m-3")), {"index": 4}) == [3]
+    assert table.poll_index == 4
+    assert not table.has_gap
 
 
 @pytest.mark.parametrize(
@@ -76,22 +76,22 @@
 )
 def test_a_gap_leads_to_a_request_for_the_complete_list(index: int, updates: list[Json]) -> None:
     """Guards against a drain that was skipped and never asked for again, as the number had gone on."""
-    fleet = started()
-    take(fleet, index, *updates)
-    assert fleet.poll_index == 0
+    table = table_with_two_machines()
+    apply_answer(table, index, *updates)
+    assert table.poll_index == 0
     whole = event(1, member("m-1"), member("m-2"), whole=True)
-    assert take(fleet, 2, whole, event(2, member("m-1", phase="Terminating"))) == [2]
-    assert fleet.machines[machine_id("m-1")].state is MachineState.DRAINING
-    assert set(fleet.machines) == {machine_id("m-1"), machine_id("m-2")}
-    assert not fleet.has_gap
+    assert apply_answer(table, 2, whole, event(2, member("m-1", phase="Terminating"))) == [2]
+    assert table.machines[machine_id("m-1")].state is MachineState.DRAINING
+    assert set(table.machines) == {machine_id("m-1"), machine_id("m-2")}
+    assert not table.has_gap
 
 
 def test_a_service_that_gives_no_complete_list_is_asked_for_it_again() -> None:
-    fleet = started()
-    take(fleet, 4, event(4, member("m-4")))
-    take(fleet, 5, event(4, member("m-4")), event(5, member("m-5")))
-    assert fleet.poll_index == 0
-    assert machine_id("m-5") in fleet.machines
+    table = table_with_two_machines()
+    apply_answer(table, 4, event(4, member("m-4")))
+    apply_answer(table, 5, event(4, member("m-4")), event(5, member("m-5")))
+    assert table.poll_index == 0
+    assert machine_id("m-5") in table.machines
 
 
 NAMES = [f"m-{number}" for number in range(5)]
@@ -102,24 +102,24 @@
 def test_whatever_events_are_lost_the_endpoint_table_converges_to_the_services(
     changes: list[tuple[str, str]], data: st.DataObject
 ) -> None:
-    """Answers that leave events out or end early; each is followed by the ask that the fleet wants."""
+    """Answers that leave events out or end early; each is followed by the ask that the table wants."""
     history = [event(1, member("m-0"), member("m-1"), whole=True)]
     history += [event(2 + n, member(name, phase=phase)) for n, (name, phase) in enumerate(changes)]
-    fleet = EndpointTable()
-    take(fleet, 1, history[0])
+    table = EndpointTable()
+    apply_answer(table, 1, history[0])
     told = 1
     while told < len(history):
         told = data.draw(st.integers(told, len(history)))
-        later = history[fleet.poll_index : told]
-        kept = [update for update in later if fleet.poll_index == 0 or data.draw(st.integers(0, 3))]
-        take(fleet, told, *kept)
-        assert fleet.poll_index == 0 or fleet.poll_index <= told
+        later = history[table.poll_index : told]
+        kept = [update for update in later if table.poll_index == 0 or data.draw(st.integers(0, 3))]
+        apply_answer(table, told, *kept)
+        assert table.poll_index == 0 or table.poll_index <= told
         if told == len(history):
             break
-    while fleet.poll_index < len(history):
-        take(fleet, len(history), *history[fleet.poll_index :])
+    while table.poll_index < len(history):
+        apply_answer(table, len(history), *history[table.poll_index :])
     truth = merge_events(parse_events({"index": len(history), "updates": history}, CONFIG)[1])
-    assert {m.id: m.state for m in fleet.machines.values()} == {
+    assert {m.id: m.state for m in table.machines.values()} == {
         entry.endpoint.id: entry.endpoint.state for entry in truth.entries
     }
 
@@ -270,7 +270,7 @@
 # ---- Drains that cross a set-up ---------------------------------------------------------------------------
 
 
-def drain_now(stage: Stage, *machines: Machine, phase: str = "Terminating") -> None:
+def receive_drain(stage: Stage, *machines: Machine, phase: str = "Terminating") -> None:
     """The list's word, heard in this turn of the loop."""
     placer = stage.running
     number = placer.core.endpoints.index + 1
@@ -292,11 +292,11 @@
     client.say(line("test", "00000000000000f0", why=0))
     await ops(client, "tested")
     if order == "word first":
-        drain_now(stage, machine, phase=phase)
+        receive_drain(stage, machine, phase=phase)
     placer.core.on_client_message(placer.now(), 1, decode(offer(left="300", cls="once")))
     placer.core.submit_arrivals(placer.now())
     if order == "set-up first":
-        drain_now(stage, machine, phase=phase)
+        receive_drain(stage, machine, phase=phase)
     placer.service._runner.flush()
     (refused,) = await ops(client, "end")
     assert refused["why"] == 42
@@ -318,8 +318,8 @@
     await until(lambda: dials.begun)
     await other.start()
     stage.machines["m-2"] = other
-    drain_now(stage, machine, phase=phase)
-    drain_now(stage, other, phase="Ready")
+    receive_drain(stage, machine, phase=phase)
+    receive_drain(stage, other, phase="Ready")
     placer.service._runner.flush()
     dials.up.set()
     (accepted,) = await ops(client, "accept")
--- a/tests/platform/test_platform_fragments.py
+++ b/tests/platform/test_platform_fragments.py
@@ -43,7 +43,7 @@
     return json.dumps(json.loads(offer(call, desc=DESC, **changes)), ensure_ascii=False).encode() + b"\n"
 
 
-async def quiet_on(peer: Peer, placer_s: float = LATER_S) -> None:
+async def assert_silent(peer: Peer, placer_s: float = LATER_S) -> None:
     """Nothing more comes there: neither a line nor the end of the connection."""
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(placer_s):
@@ -226,7 +226,7 @@
         for peer in machine.peers:
             for call in calls:
                 peer.say(line("accept", call, desc="late"))
-    await quiet_on(client)
+    await assert_silent(client)
     assert not placer.core.requests
     offers = [(m.name, o["call"]) for m in stage.machines.values() for o in m.offers()]
     assert sum(calls[call] == "once" for _, call in offers) <= 5
--- a/tests/platform/test_platform_invalid_clients.py
+++ b/tests/platform/test_platform_invalid_clients.py
@@ -79,5 +79,5 @@
 @pytest.mark.parametrize("op", ["end", "info", "ringing", "nonsense", "redirect"])
 def test_messages_on_unknown_requests_are_invalid_or_answered_with_an_error(op: str) -> None:
     stage = Stage()
-    sound = stage.client(line(op, "00000000000000ff", why=16))
-    assert not sound or [message["why"] for _, message in stage.sent_to_clients] == [Cause.UNKNOWN_CALL]
+    is_valid = stage.client(line(op, "00000000000000ff", why=16))
+    assert not is_valid or [message["why"] for _, message in stage.sent_to_clients] == [Cause.UNKNOWN_CALL]
--- a/tests/platform/test_platform_read_timing.py
+++ b/tests/platform/test_platform_read_timing.py
@@ -40,7 +40,7 @@
         super().__init__(clock)
         self.time = clock
 
-    def turn(self, timeout: float | None, took: float, then_busy: float = 0.0) -> None:
+    def iterate(self, timeout: float | None, took: float, then_busy: float = 0.0) -> None:
         left, right = socket.socketpair()
         with left, right:
             self.register(left, selectors.EVENT_READ)
@@ -60,28 +60,28 @@
 
 def test_data_that_ends_a_wait_has_just_come() -> None:
     poll = Poll(Clock())
-    poll.turn(None, took=5.0)
+    poll.iterate(None, took=5.0)
     assert poll.unread_since == 105.0
-    poll.turn(1.0, took=0.8)
+    poll.iterate(1.0, took=0.8)
     assert poll.unread_since == 105.8
     poll.close()
 
 
 def test_data_left_unread_by_a_busy_iteration_may_have_come_since_the_poll_before() -> None:
     poll = Poll(Clock())
-    poll.turn(None, took=1.0, then_busy=0.7)
-    poll.turn(0, took=0.0)
+    poll.iterate(None, took=1.0, then_busy=0.7)
+    poll.iterate(0, took=0.0)
     assert poll.unread_since == 101.0
-    poll.turn(5.0, took=0.001)  # it was there: the wait ended at once
+    poll.iterate(5.0, took=0.001)  # it was there: the wait ended at once
     assert poll.unread_since == pytest.approx(101.7)
     poll.close()
 
 
 def test_a_wait_that_is_longer_than_asked_for_was_a_standstill() -> None:
     poll = Poll(Clock())
-    poll.turn(0.25, took=0.25 + OVERSLEEP_S + 3.0)
+    poll.iterate(0.25, took=0.25 + OVERSLEEP_S + 3.0)
     assert poll.unread_since == 100.0
-    poll.turn(0, took=0.0)  # broken off by the signal to go on, the one before reported nothing
+    poll.iterate(0, took=0.0)  # broken off by the signal to go on, the one before reported nothing
     assert poll.unread_since == 100.0
     poll.close()
 
@@ -89,15 +89,15 @@
 def test_unread_time_counts_from_the_iteration_that_read_and_before_that_from_the_accept() -> None:
     clock = Clock()
     poll = Poll(clock)
-    poll.turn(None, took=1.0, then_busy=0.5)  # returns at 101
-    poll.turn(0, took=0.0)  # accepted in this turn: since 101
+    poll.iterate(None, took=1.0, then_busy=0.5)  # returns at 101
+    poll.iterate(0, took=0.0)  # accepted in this turn: since 101
     unread = UnreadTime(poll)
-    poll.turn(0, took=0.0)
+    poll.iterate(0, took=0.0)
     unread.on_read()
     assert unread.unread_ms() == pytest.approx(500.0)  # it may be as old as the request to connect
     for _ in range(3):
-        poll.turn(10.0, took=4.0)
-    poll.turn(0, took=0.0)
+        poll.iterate(10.0, took=4.0)
+    poll.iterate(0, took=0.0)
     unread.on_read()
     assert unread.unread_ms() == pytest.approx(0.0)
     clock.now += 0.3
