--- a/kelpfront/failure_detector/__main__.py
+++ b/kelpfront/failure_detector/__main__.py
@@ -15,7 +15,7 @@
 from kelpfront.failure_detector.service import FailureDetectorService
 from kelpfront.logs import configure_logs
 from kelpfront.platform.config import ConfigError
-from kelpfront.platform.directory import BadEventError, events_of
+from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 
 EXIT_OK = 0
 EXIT_UNUSABLE = 2  # the arguments, the file or the port
@@ -30,7 +30,7 @@
     path = Path(sys.argv[1])
     try:
         config = _read_config(path)
-    except (ConfigError, BadEventError) as error:
+    except (ConfigError, InvalidEventError) as error:
         print(f"{program}: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
     configure_logs("info", "json", detector=config.platform.name)
@@ -47,7 +47,7 @@
 def _read_config(path: Path) -> FailureDetectorConfig:
     """Read the file, and check the endpoint list in it before anything is started."""
     config = read_detector_config(path)
-    events_of(config.platform.known, config.platform)
+    parse_events(config.platform.known, config.platform)
     return config
 
 
--- a/kelpfront/failure_detector/connections.py
+++ b/kelpfront/failure_detector/connections.py
@@ -13,7 +13,7 @@
 from kelpfront.failure_detection.detector import DueCheck, FailureDetector
 from kelpfront.platform import messages
 from kelpfront.platform.config import Address
-from kelpfront.platform.messages import BadMessageError, Lines
+from kelpfront.platform.messages import InvalidMessageError, LineSplitter
 from kelpfront.scheduling.events import MachineId
 
 _CHECK_OP = "test"
@@ -29,7 +29,7 @@
         self._machine = machine
         self._owner = owner
         self._transport: asyncio.Transport | None = None
-        self._lines = Lines()
+        self._lines = LineSplitter()
         self._dialing: asyncio.Task[None] | None = None
 
     def check(self, *, reconnect: bool) -> None:
@@ -56,7 +56,7 @@
         """Take the connection that came up."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._lines = Lines()
+        self._lines = LineSplitter()
         self._owner.detector.record_connection(self._owner.now(), self._machine)
 
     def data_received(self, data: bytes) -> None:
@@ -66,7 +66,7 @@
                 message = messages.decode(line)
                 if message.op == _ANSWER_OP:
                     self._owner.detector.record_answer(self._machine, message.call)
-        except BadMessageError:
+        except InvalidMessageError:
             self._abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
--- a/kelpfront/failure_detector/service.py
+++ b/kelpfront/failure_detector/service.py
@@ -26,9 +26,9 @@
 from kelpfront.failure_detector.config import FailureDetectorConfig
 from kelpfront.failure_detector.connections import MachineConnections
 from kelpfront.platform.config import Address
-from kelpfront.platform.coordinator import Follower
-from kelpfront.platform.directory import events_of
-from kelpfront.platform.fleet import Fleet
+from kelpfront.platform.discovery_client import DiscoveryClient
+from kelpfront.platform.endpoint_events import parse_events
+from kelpfront.platform.endpoint_table import EndpointTable
 from kelpfront.platform.timeouts import POLL_CONNECT_MS
 
 log = structlog.get_logger("kelpfront.failure_detector")
@@ -43,12 +43,12 @@
         self._config = config
         self._clock = CommonClock()
         self.detector = FailureDetector(incarnation, config.check_interval_ms)
-        self._fleet = Fleet()
+        self._fleet = EndpointTable()
         connect_timeout_ms = config.platform.settings.connect_timeout_ms or POLL_CONNECT_MS
         self._connections = MachineConnections(self.detector, self._clock.now, connect_timeout_ms / 1000.0)
-        self._follower = Follower(
+        self._follower = DiscoveryClient(
             config.platform.coordinator,
-            lambda: self._fleet.follow,
+            lambda: self._fleet.poll_index,
             self._apply_endpoint_list,
             random.Random(incarnation),
             connect_timeout_ms,
@@ -102,11 +102,11 @@
     # ---- The endpoint list ----------------------------------------------------------------------------
 
     def _apply_endpoint_list(self, raw: Any) -> None:
-        """Take an answer of the coordinator. Raises BadEventError where it is malformed."""
+        """Take an answer of the coordinator. Raises InvalidEventError where it is malformed."""
         generation = self._fleet.generation
-        index, events = events_of(raw, self._config.platform)
-        for change in self._fleet.take(index, events):
-            for machine in change.gone:
+        index, events = parse_events(raw, self._config.platform)
+        for change in self._fleet.apply(index, events):
+            for machine in change.removed:
                 self._fleet.machines.pop(machine.id, None)
         if self._fleet.generation != generation:
             self._monitor_machines()
@@ -115,7 +115,7 @@
         machines = self._fleet.machines
         zones = {
             zone: [ListedMachine(machine_id, machines[machine_id].name) for machine_id in members]
-            for zone, members in self._fleet.zones().items()
+            for zone, members in self._fleet.machines_by_zone().items()
             if zone in self._config.zones
         }
         for removed in self.detector.apply_endpoint_list(self._clock.now(), zones):
--- a/tests/failure_detection/test_detection_in_virtual_time.py
+++ b/tests/failure_detection/test_detection_in_virtual_time.py
@@ -207,7 +207,9 @@
     for _ in range(100):
         world.run(100.0)
         for placer in world.placers:
-            placer.core.probes.others_saw(placer.clock, LivenessObserved(idents, placer.clock - 60_000.0))
+            placer.core.health_checks.on_liveness_observed(
+                placer.clock, LivenessObserved(idents, placer.clock - 60_000.0)
+            )
     assert max_own_checks(world) <= 11
 
 
@@ -312,9 +314,9 @@
     world = settled_world(placers=1)
     placer = world.placers[0]
     checked: list[Worker] = []
-    placer.core.owner_says(placer.clock, 0, decode(offer(left="20000")))
-    placer.core.settle(placer.clock)
-    (sent,) = [intent for intent in placer.core.out if isinstance(intent, Offer)]
+    placer.core.on_client_message(placer.clock, 0, decode(offer(left="20000")))
+    placer.core.submit_arrivals(placer.clock)
+    (sent,) = [intent for intent in placer.core.outbox if isinstance(intent, Offer)]
 
     def cut(who: Process, worker: Worker) -> bool:
         if who is placer and worker.id == sent.machine:
@@ -326,5 +328,7 @@
     placer.flush()
     for _ in range(22):
         world.run(100.0)
-        placer.core.probes.others_saw(placer.clock, LivenessObserved((sent.machine,), placer.clock))
+        placer.core.health_checks.on_liveness_observed(
+            placer.clock, LivenessObserved((sent.machine,), placer.clock)
+        )
     assert checked
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -19,8 +19,8 @@
 from kelpfront.lab.platform import Json, Machine, event, member, offer
 from kelpfront.platform.__main__ import serve
 from kelpfront.platform.config import ConfigError, config_of
-from kelpfront.platform.core import Core
-from kelpfront.platform.directory import BadEventError, events_of
+from kelpfront.platform.core import PlacerCore
+from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 from kelpfront.platform.messages import decode
 from kelpfront.scheduling.scheduler import Scheduler
 
@@ -80,23 +80,23 @@
     """What a start says of it; where it says nothing, a task under it is answered."""
     try:
         its = config_of(raw)
-        index, events = events_of(its.known, its)
-    except (ConfigError, BadEventError) as error:
+        index, events = parse_events(its.known, its)
+    except (ConfigError, InvalidEventError) as error:
         return str(error)
-    core, now = Core(its, Scheduler(its.settings, its.seed)), NOW
-    core.listed(now, index, events)
+    core, now = PlacerCore(its, Scheduler(its.settings, its.seed)), NOW
+    core.apply_endpoint_events(now, index, events)
     core.sessions.open(now, 1, "127.0.0.5")
-    core.owner_says(now, 1, decode(offer()))
-    core.settle(now)
+    core.on_client_message(now, 1, decode(offer()))
+    core.submit_arrivals(now)
     while (due := core.timers.next()) <= NOW + 60_000.0:
         now = max(now, due)
         core.timers.run(now)
-    assert not core.calls.waiting
+    assert not core.requests.unanswered_count
     return ""
 
 
 @pytest.mark.parametrize("path", PLACES, ids=lambda path: ".".join(map(str, path)))
-def test_what_a_configuration_should_not_hold_ends_the_start_with_one_line(path: tuple[Any, ...]) -> None:
+def test_an_invalid_configuration_ends_the_start_with_one_line(path: tuple[Any, ...]) -> None:
     """Guards against a traceback, or a start with half of a configuration, on another customer's settings."""
     names = [str(key) for key in path if isinstance(key, str)] + ["m-1", "m-2"]
     for junk in (*JUNK, ...):
@@ -122,7 +122,7 @@
         ("\xff\xfe", "not JSON"),
     ],
 )
-def test_a_file_that_is_no_configuration_is_one_line_and_exit_2(
+def test_a_file_that_is_no_configuration_gives_one_line_and_exit_code_2(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, said: str
 ) -> None:
     path = tmp_path / "config.json"
@@ -133,7 +133,10 @@
     finally:
         signal.signal(signal.SIGHUP, before)
     err = capsys.readouterr().err
-    assert err.count("\n") == 1 and str(path) in err and said in err and len(err) < 1_000
+    assert err.count("\n") == 1
+    assert str(path) in err
+    assert said in err
+    assert len(err) < 1_000
 
 
 async def test_a_new_configuration_that_cannot_be_used_changes_nothing(stage: Stage) -> None:
@@ -142,7 +145,7 @@
     placer = await stage.start(machine)
     path = stage.path / "config.json"
     raw = json.loads(path.read_text())
-    index = placer.core.fleet.index
+    index = placer.core.endpoints.index
     drained = event(index + 1, member("m-1", machine.address, "Terminating"))
     known = {"index": index + 1, "updates": [*raw["known"]["updates"], drained]}
     spoilt: list[Json] = [
@@ -158,9 +161,9 @@
     for number, one in enumerate(spoilt):
         path.write_text(json.dumps(one))
         os.kill(os.getpid(), signal.SIGHUP)
-        owner = await placer.owner()
-        owner.say(offer(f"{number:016x}"))
-        await ops(owner, "accept")
+        client = await placer.client()
+        client.say(offer(f"{number:016x}"))
+        await ops(client, "accept")
     path.write_text(json.dumps(raw | {"known": known}))
     os.kill(os.getpid(), signal.SIGHUP)
-    await until(lambda: placer.core.fleet.index == index + 1)
+    await until(lambda: placer.core.endpoints.index == index + 1)
