--- a/kelpfront/platform/messages.py
+++ b/kelpfront/platform/messages.py
@@ -1,8 +1,9 @@
 """Lines of the platform's protocol to typed messages and back. Pure, strict and bounded.
 
 A line is one JSON object: `op`, `call` (16 hex digits), `with` (strings and numbers), and where they belong
-`why` (a cause) and `desc`. This module alone knows the protocol's words; behind it a `call` is a request id,
-a `why` is a cause. What cannot be read is an `InvalidMessageError` that names what is wrong.
+`why` (a cause) and `desc`. Fields and operations keep the protocol's names here and in `client_messages` and
+`machine_messages`; behind those a `call` is a request id and a `why` is a cause. What cannot be read is an
+`InvalidMessageError` that names what is wrong.
 """
 
 from __future__ import annotations
