--- a/tests/surfaces/test_surface_wires.py
+++ b/tests/surfaces/test_surface_wires.py
@@ -1,6 +1,6 @@
 """What is sent and read on each wire: the platform's lines, machines' messages, frames and datagrams.
 
-`tests/test_platform_core.py`, `tests/test_node.py`, `tests/test_wire.py` and `tests/test_liveness.py` hold
+`tests/platform/`, `tests/test_node.py`, `tests/test_wire.py` and `tests/test_liveness.py` hold
 what is done about each, and what is refused. Golden files are rewritten as `surface_samples` says.
 """
 
