--- a/tests/scheduling/test_scheduling_endpoints.py
+++ b/tests/scheduling/test_scheduling_endpoints.py
@@ -101,8 +101,8 @@
         == []
     )
     assert actions_of(driver.arrive(6), Bind) == []
-    gone = replace(FLEET[first], state=MachineState.DRAINING)
-    bound = actions_of(driver.listing(gone, kind=EndpointListKind.CHANGES, after=500.0), Bind)
+    draining = replace(FLEET[first], state=MachineState.DRAINING)
+    bound = actions_of(driver.listing(draining, kind=EndpointListKind.CHANGES, after=500.0), Bind)
     assert {bind.task for bind in bound} == {5, 6}
     assert all(bind.machine != first for bind in bound)
     driver.send(EndpointListStale())
--- a/tests/scheduling/test_scheduling_filters.py
+++ b/tests/scheduling/test_scheduling_filters.py
@@ -155,10 +155,10 @@
             requested = task.memory if reason is OutcomeReason.NO_MEMORY else task.cores
             if self.now < block.until and requested >= block.minimum:
                 return False
-        (cores, memory), room = self.requested(m), 1 - self.scheduler._capacity.unobserved_share
+        (cores, memory), free_share = self.requested(m), 1 - self.scheduler._capacity.unobserved_share
         return (
-            cores + task.cores <= room * self.settings.cores_overcommit * m.cores + 1e-9
-            and memory + task.memory <= room * self.settings.memory_overcommit * m.memory + 1e-9
+            cores + task.cores <= free_share * self.settings.cores_overcommit * m.cores + 1e-9
+            and memory + task.memory <= free_share * self.settings.memory_overcommit * m.memory + 1e-9
         )
 
     def has_capacity_by_use(self, task: Task, m: Machine) -> bool:
--- a/tests/scheduling/test_scheduling_slow_start.py
+++ b/tests/scheduling/test_scheduling_slow_start.py
@@ -107,11 +107,11 @@
 def max_in_a_window(offers: list[tuple[float, float]]) -> int:
     """Each offer falls anywhere in its interval; windows are half open."""
     marks = sorted([(first, 1) for first, _ in offers] + [(last + WINDOW, -1) for _, last in offers])
-    most = held = 0
+    highest = open_offers = 0
     for _, change in sorted(marks):
-        held += change
-        most = max(most, held)
-    return most
+        open_offers += change
+        highest = max(highest, open_offers)
+    return highest
 
 
 def allowed_by_chance(limit: float) -> float:
--- a/tests/scheduling/test_simhost.py
+++ b/tests/scheduling/test_simhost.py
@@ -43,15 +43,15 @@
 
 
 def test_a_malformed_frame_is_one_line_and_a_failure() -> None:
-    for bad in (b"\x00\x00", struct.pack(">I", 5), frames.batch(2, 1.0, b"\xee"), START[:-3]):
-        done = host(START + bad)
+    for malformed in (b"\x00\x00", struct.pack(">I", 5), frames.batch(2, 1.0, b"\xee"), START[:-3]):
+        done = host(START + malformed)
         assert done.returncode != 0
         assert len(replies(done.stdout)) == 1
         assert done.stderr.count(b"\n") == 1
         assert b"Traceback" not in done.stderr
 
 
-def test_bad_settings_become_the_fault_action_with_their_text() -> None:
+def test_impossible_settings_become_the_fault_action_with_their_text() -> None:
     done = host(frames.batch(1, 1.0, frames.born(3, frames.info(Siblings=0))))
     (reply,) = replies(done.stdout)
     assert reply[12] == 5
--- a/tests/scheduling/test_wire.py
+++ b/tests/scheduling/test_wire.py
@@ -48,16 +48,16 @@
         )
     )
     assert number == 4
-    (_, born), (_, listed), (inst, arrived) = events
-    assert isinstance(born, InstanceStarted)
-    (cls,) = born.settings.classes
+    (_, started), (_, listed), (inst, arrived) = events
+    assert isinstance(started, InstanceStarted)
+    (cls,) = started.settings.classes
     assert (cls.idempotency, cls.idempotency_scope, cls.spread_domain) == (
         Idempotency.IDEMPOTENCY_KEY,
         FailureDomain.CELL,
         FailureDomain.CELL,
     )
-    assert born.settings.endpoint_list_on_request
-    assert not born.settings.accepted_when_running
+    assert started.settings.endpoint_list_on_request
+    assert not started.settings.accepted_when_running
     assert isinstance(listed, EndpointList)
     assert listed.kind is EndpointListKind.CACHED
     assert [(m.id, m.state, m.free_cores) for m in listed.endpoints] == [
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    ("frame", "says"),
+    ("frame", "message"),
     [
         (GOOD[:-1], "says"),
         (struct.pack(">I", len(GOOD) - 8) + GOOD[4:-8], "ends inside"),
@@ -146,8 +146,8 @@
         (struct.pack(">I", len(GOOD) + 1) + GOOD[4:] + b"x", "behind the last record"),
     ],
 )
-def test_malformed_frames_say_what_is_wrong(frame: bytes, says: str) -> None:
-    with pytest.raises(WireError, match=says):
+def test_malformed_frames_are_reported_with_their_error(frame: bytes, message: str) -> None:
+    with pytest.raises(WireError, match=message):
         Decoder().decode(frame)
 
 
