--- a/kelpfront/cli/jobs.py
+++ b/kelpfront/cli/jobs.py
@@ -312,7 +312,7 @@
 async def drain(server: str, machine: str) -> None:
     """Let a machine take no new work from this placer; each placer is told by itself."""
     async with Client(server) as client:
-        its = await client.set_unschedulable(machine, True)
+        its = await client.set_unschedulable(machine, unschedulable=True)
     click.echo(f"machine/{machine} {its.status.state if its.status else ''}")
 
 
@@ -323,7 +323,7 @@
 async def undrain(server: str, machine: str) -> None:
     """Let a machine take work again."""
     async with Client(server) as client:
-        its = await client.set_unschedulable(machine, False)
+        its = await client.set_unschedulable(machine, unschedulable=False)
     click.echo(f"machine/{machine} {its.status.state if its.status else ''}")
 
 
--- a/kelpfront/cli/lab.py
+++ b/kelpfront/cli/lab.py
@@ -110,7 +110,7 @@
     Exit code 1 if a try was made after its deadline, a client did not come back in the stated time, some
     100 ms held more than three times its even share, or retries were more than their budget.
     """
-    from kelpfront.client.retry import BURST, SHARE
+    from kelpfront.client.retry import RETRY_BURST, RETRY_SHARE
     from kelpfront.lab.process import raise_file_limit
     from kelpfront.lab.reconnect import HerdShape, Reconnect
     from kelpfront.logs import configure_logs
@@ -126,7 +126,7 @@
         shape = HerdShape(seed, clients, spread, down)
         figures = asyncio.run(Reconnect(shape, Path(folder), say).run())
     click.echo(json.dumps(figures, indent=None if as_json else 2))
-    over_budget = figures["retries"] > SHARE * figures["first_tries"] + BURST * clients
+    over_budget = figures["retries"] > RETRY_SHARE * figures["first_tries"] + RETRY_BURST * clients
     wrong = figures["retries_after_deadline"] or figures["within_interval"] < clients
     if wrong or over_budget or figures["worst_100ms"] > 3:
         raise SystemExit(1)
--- a/kelpfront/client/client.py
+++ b/kelpfront/client/client.py
@@ -1,4 +1,7 @@
-"""The client of the REST API, for asyncio."""
+"""The client of one placer's REST API, for asyncio.
+
+It makes each request once and resumes watches. Retries and several placers are left to `retrying`.
+"""
 
 from __future__ import annotations
 
@@ -17,22 +20,25 @@
 from kelpfront.api.machines import Machine
 from kelpfront.api.meta import API_VERSION, JOBS, MACHINES, Object, Resource
 from kelpfront.backoff import Backoff
-from kelpfront.client.informer import Event, Informer, status_error
+from kelpfront.client.events import all_answered, job_after, job_metadata
+from kelpfront.client.informer import Event, Informer, ObjectList, status_error
 from kelpfront.client.interface import ServerUnreachableError
 from kelpfront.http.client import HttpConnection, HttpError, NotSentError, Reply
 from kelpfront.http.pool import HttpPool
 
-CONNECTIONS = 64  # for requests; each watch has one of its own besides
-CONNECT_S = 5.0
-SILENT_S = 60.0  # a watch that hears nothing for so long, not even a bookmark, is cut
-PAGE = 500
+MAX_CONNECTIONS = 64  # for requests; each watch has one of its own besides
+CONNECT_TIMEOUT_S = 5.0
+MAX_IDLE_S = 60.0  # a watch that receives nothing for so long, not even a bookmark, is cut
+PAGE_OBJECTS = 500  # of one answer to a list
+RESUMABLE_CODES = (429, 500, 503, 504)  # with which a server may end a watch that can be resumed
 
 
 class Client:
-    """To one placer.
+    """A client of one placer at `url`.
 
-    Methods raise ApiError where the server answers with an error, ServerUnreachableError where it does not
-    answer at all.
+    Methods raise ApiError where the server answers with an error, and ServerUnreachableError where it does
+    not answer. `request_s` bounds each request in seconds. `wall` returns seconds since the epoch, because
+    requests say when they were sent.
     """
 
     def __init__(
@@ -43,17 +49,17 @@
         seed: int | None = None,
         wall: Callable[[], float] = time.time,
     ) -> None:
-        """`wall` tells seconds since the epoch: requests say when they were sent."""
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname:
             raise ValueError(f"{url!r} is not http://HOST:PORT")
         self.url = url
-        self._host, self._port = parts.hostname, parts.port or 80
+        self._host = parts.hostname
+        self._port = parts.port or 80
         self._path = parts.path.rstrip("/")
         self._request_s = request_s
         self._rng = random.Random(seed)
         self._wall = wall
-        self._pool = HttpPool(self._host, self._port, CONNECTIONS, CONNECT_S)
+        self._pool = HttpPool(self._host, self._port, MAX_CONNECTIONS, CONNECT_TIMEOUT_S)
 
     async def __aenter__(self) -> Client:
         return self
@@ -64,6 +70,7 @@
         self.close()
 
     def close(self) -> None:
+        """Close all connections."""
         self._pool.close()
 
     # ---- Jobs -----------------------------------------------------------------------------------------
@@ -77,40 +84,36 @@
         labels: dict[str, str] | None = None,
         annotations: dict[str, str] | None = None,
     ) -> Job:
-        """Hands over a job. With a clientToken in the spec, doing so again finds the same job."""
-        metadata: Object = {"name": name} if name else {}
-        if labels:
-            metadata["labels"] = labels
-        if annotations:
-            metadata["annotations"] = annotations
+        """Submit a job. With a client token in the spec, doing so again returns the same job."""
+        metadata = job_metadata(name, labels, annotations)
         body = {"metadata": metadata, "spec": spec.model_dump(by_alias=True, exclude_none=True)}
         return Job.model_validate(await self.create(JOBS, namespace, body))
 
     async def get_job(self, namespace: str, name: str) -> Job:
+        """Return a job. Raises ApiError 404."""
         return Job.model_validate(await self.read(JOBS, namespace, name))
 
     async def list_jobs(self, namespace: str | None = None, **selectors: str) -> list[Job]:
-        """All jobs of a namespace, or of all of them; `label_selector` and `field_selector` choose."""
+        """Return the jobs of a namespace, or of all, that `label_selector` and `field_selector` match."""
         items, _ = await self.list_objects(JOBS, namespace, **selectors)
         return [Job.model_validate(item) for item in items]
 
     async def delete_job(self, namespace: str, name: str) -> None:
-        """Removes a job and withdraws its tasks."""
+        """Remove a job and withdraw its tasks."""
         await self.request("DELETE", self.path(JOBS, namespace, name))
 
     async def follow(self, job: Job) -> AsyncIterator[Job]:
-        """The job as it is and after each change, until it is deleted: ApiError 404."""
-        namespace, name = job.metadata.namespace or "", job.metadata.name or ""
+        """Yield the job as it is and after each change; ApiError 404 when it is deleted."""
+        namespace = job.metadata.namespace or ""
+        name = job.metadata.name or ""
         async for event in self.watch(JOBS, namespace, field_selector=f"metadata.name={name}"):
-            if event.kind == "DELETED":
-                raise ApiError(404, f'job "{name}" was deleted', resource=JOBS, name=name)
-            yield Job.model_validate(event.object)
+            yield job_after(event, name)
 
     async def wait_answers(self, job: Job, *, timeout_s: float | None = None) -> Job:
-        """The job once each of its tasks has its answer; ApiError 404 if it is gone."""
+        """Return the job once each of its tasks has its answer; ApiError 404 if it is deleted before."""
         async with asyncio.timeout(timeout_s):
             async for state in self.follow(job):
-                if state.status is not None and state.status.answered == len(state.status.tasks):
+                if all_answered(state):
                     return state
         raise AssertionError("a watch does not end by itself")
 
@@ -123,7 +126,10 @@
         attempt: int | None = None,
         tail_bytes: int | None = None,
     ) -> bytes:
-        """The output of a job's task, at most its last `tail_bytes`; ApiError 404 where none is kept."""
+        """Return the output of a job's task, at most its last `tail_bytes`.
+
+        Raises ApiError 404 where none is kept.
+        """
         query = {"task": task, "attempt": attempt, "tailBytes": tail_bytes}
         text = urlencode({key: value for key, value in query.items() if value is not None})
         target = f"{self._path}{self.path(JOBS, namespace, name)}/log?{text}"
@@ -135,17 +141,19 @@
     # ---- Machines -------------------------------------------------------------------------------------
 
     async def list_machines(self, **selectors: str) -> list[Machine]:
+        """Return the machines that `label_selector` and `field_selector` match."""
         items, _ = await self.list_objects(MACHINES, None, **selectors)
         return [Machine.model_validate(item) for item in items]
 
-    async def set_unschedulable(self, machine: str, on: bool) -> Machine:
-        """Drains a machine, or lets it take work again."""
-        patched = await self.patch(MACHINES, None, machine, {"spec": {"unschedulable": on}})
+    async def set_unschedulable(self, machine: str, *, unschedulable: bool) -> Machine:
+        """Drain a machine, or let it accept work again."""
+        patched = await self.patch(MACHINES, None, machine, {"spec": {"unschedulable": unschedulable}})
         return Machine.model_validate(patched)
 
     # ---- Any resource ---------------------------------------------------------------------------------
 
     def path(self, resource: Resource, namespace: str | None = None, name: str = "") -> str:
+        """Return the path of an object, or of all of a namespace or of the cluster."""
         path = f"/apis/{API_VERSION}"
         if namespace is not None and resource.namespaced:
             path += f"/namespaces/{quote(namespace, safe='')}"
@@ -153,15 +161,17 @@
         return f"{path}/{quote(name, safe='')}" if name else path
 
     async def create(self, resource: Resource, namespace: str | None, body: Object) -> Object:
+        """Create an object and return it as the server has it."""
         return await self.request("POST", self.path(resource, namespace), body)
 
     async def read(self, resource: Resource, namespace: str | None, name: str) -> Object:
+        """Return an object. Raises ApiError 404."""
         return await self.request("GET", self.path(resource, namespace, name))
 
     async def patch(self, resource: Resource, namespace: str | None, name: str, patch: Object) -> Object:
-        """JSON merge patch."""
-        kind = "application/merge-patch+json"
-        return await self.request("PATCH", self.path(resource, namespace, name), patch, content_type=kind)
+        """Apply a JSON merge patch and return the object after it."""
+        path = self.path(resource, namespace, name)
+        return await self.request("PATCH", path, patch, content_type="application/merge-patch+json")
 
     async def list_objects(
         self,
@@ -169,16 +179,16 @@
         namespace: str | None = None,
         label_selector: str = "",
         field_selector: str = "",
-    ) -> tuple[list[Object], str]:
-        """All objects, got in parts, and the revision that they together show."""
-        query = _selectors(label_selector, field_selector) | {"limit": str(PAGE)}
+    ) -> ObjectList:
+        """Return all objects, read in pages, and the revision that they together show."""
+        query = _selectors(label_selector, field_selector) | {"limit": str(PAGE_OBJECTS)}
         items: list[Object] = []
         while True:
             page = await self.request("GET", f"{self.path(resource, namespace)}?{urlencode(query)}")
             items += page["items"]
             token = page["metadata"].get("continue")
             if not token:
-                return items, page["metadata"]["resourceVersion"]
+                return ObjectList(items, page["metadata"]["resourceVersion"])
             query["continue"] = token
 
     async def watch(
@@ -188,10 +198,11 @@
         label_selector: str = "",
         field_selector: str = "",
     ) -> AsyncIterator[Event]:
-        """What is there, then every change, for as long as it is read.
+        """Yield what is there, then every change, for as long as it is read.
 
-        A cut is resumed behind the last event; where the server no longer has that history the list is got
-        anew and the changes worked out. Errors that trying again cannot mend are raised.
+        After a cut the watch is resumed behind the last event. Where the server no longer has that history,
+        the objects are listed again and the changes derived. Errors that another attempt cannot mend are
+        raised.
         """
         informer = Informer()
         backoff = Backoff(self._rng)
@@ -202,23 +213,23 @@
                     items, revision = await self.list_objects(
                         resource, namespace, label_selector, field_selector
                     )
-                    for event in informer.listed(items, revision):
+                    for event in informer.apply_list(items, revision):
                         yield event
                 backoff.worked()
                 async for data in self.watch_lines(resource, namespace, selectors, informer):
-                    event_ = informer.line(data)
-                    if event_ is not None:
-                        yield event_
+                    change = informer.apply_line(data)
+                    if change is not None:
+                        yield change
                 continue  # the server ended it, as it does after a while
             except ApiError as error:
                 if error.code == 410:
                     continue
-                if error.code not in (429, 500, 503, 504):
+                if error.code not in RESUMABLE_CODES:
                     raise
-                pause = max(error.retry_after_s * 1000.0, backoff.failed())
+                backoff_ms = max(error.retry_after_s * 1000.0, backoff.failed())
             except (ServerUnreachableError, TimeoutError):
-                pause = backoff.failed()
-            await asyncio.sleep(pause / 1000.0)
+                backoff_ms = backoff.failed()
+            await asyncio.sleep(backoff_ms / 1000.0)
 
     async def watch_lines(
         self,
@@ -228,7 +239,10 @@
         informer: Informer,
         on_open: Callable[[], None] = lambda: None,
     ) -> AsyncIterator[Any]:
-        """The lines of one watch, as data, from the informer's revision until it ends or breaks."""
+        """Yield the lines of one watch, as data, from the informer's revision until it ends or breaks.
+
+        `on_open` is called once the server has accepted the watch.
+        """
         query = selectors | {
             "watch": "true",
             "allowWatchBookmarks": "true",
@@ -237,35 +251,26 @@
         target = f"{self._path}{self.path(resource, namespace)}?{urlencode(query)}"
         decode = msgspec.json.Decoder().decode
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 connection = await HttpConnection.open(self._host, self._port)
             try:
-                async with asyncio.timeout(SILENT_S):
-                    status, _, pieces = await connection.stream("GET", target)
-                if status == 200:
-                    on_open()
-                iterator = pieces.__aiter__()
+                async with asyncio.timeout(MAX_IDLE_S):
+                    reply = await connection.stream("GET", target)
+                fragments = aiter(reply.fragments)
+                if reply.status != 200:
+                    raise status_error(_decoded(await _read_all(fragments)))
+                on_open()
                 rest = b""
-                while True:
-                    try:
-                        async with asyncio.timeout(SILENT_S):
-                            piece = await anext(iterator)
-                    except StopAsyncIteration:
-                        break
-                    *lines, rest = (rest + piece).split(b"\n")
-                    if status != 200:
-                        rest = b"\n".join([*lines, rest])
-                        continue
+                while (fragment := await _next_fragment(fragments)) is not None:
+                    *lines, rest = (rest + fragment).split(b"\n")
                     for line in lines:
                         yield decode(line)
-                if status != 200:
-                    raise status_error(_decoded(rest))
             finally:
                 connection.abort()
         except HttpError as error:
-            raise ServerUnreachableError(str(error), True) from None
+            raise ServerUnreachableError(str(error), may_have_arrived=True) from error
 
-    async def request(
+    async def request(  # noqa: PLR0913 - parts of one HTTP request, the last three by keyword
         self,
         method: str,
         path: str,
@@ -275,14 +280,17 @@
         headers: tuple[tuple[str, str], ...] | None = None,
         timeout_s: float | None = None,
     ) -> Object:
-        """One request's JSON answer; ApiError for an error's. `headers` in place of the one with the time."""
+        """Make one request and return its JSON answer. Raises ApiError for an error.
+
+        `path` is below the client's URL. `headers` replace the one that says when the request was sent.
+        """
         raw = b"" if body is None else msgspec.json.encode(body)
-        its_headers = [("accept", "application/json"), *(headers or ())]
+        sent_headers = [("accept", "application/json"), *(headers or ())]
         if raw:
-            its_headers.append(("content-type", content_type))
+            sent_headers.append(("content-type", content_type))
             if headers is None:
-                its_headers.append(sent_at_header(self._wall))
-        reply = await self._exchange(method, self._path + path, raw, tuple(its_headers), timeout_s)
+                sent_headers.append(sent_at_header(self._wall))
+        reply = await self._exchange(method, self._path + path, raw, tuple(sent_headers), timeout_s)
         data = _decoded(reply.body)
         if reply.status >= 400:
             raise status_error(data)
@@ -308,15 +316,36 @@
                 finally:
                     self._pool.release(connection)
         except NotSentError as error:
-            raise ServerUnreachableError(str(error), False) from None
+            raise ServerUnreachableError(str(error), may_have_arrived=False) from error
         except HttpError as error:
-            raise ServerUnreachableError(str(error), True) from None
-        except TimeoutError:
-            raise ServerUnreachableError(f"no answer within {within_s:.3g} s", sent) from None
+            raise ServerUnreachableError(str(error), may_have_arrived=True) from error
+        except TimeoutError as error:
+            raise ServerUnreachableError(
+                f"no answer within {within_s:.3g} s", may_have_arrived=sent
+            ) from error
+
+
+async def _next_fragment(fragments: AsyncIterator[bytes]) -> bytes | None:
+    """Return the next fragment, or None at the end. Raises TimeoutError where none arrives for too long."""
+    async with asyncio.timeout(MAX_IDLE_S):
+        try:
+            return await anext(fragments)
+        except StopAsyncIteration:
+            return None
+
+
+async def _read_all(fragments: AsyncIterator[bytes]) -> bytes:
+    body = b""
+    while (fragment := await _next_fragment(fragments)) is not None:
+        body += fragment
+    return body
 
 
 def sent_at_header(wall: Callable[[], float] = time.time) -> tuple[str, str]:
-    """Says when a request was sent: its patience counts from there, not from when the placer reads it."""
+    """Return the header that says when a request was sent.
+
+    The job's patience counts from then, and not from when the placer reads the request.
+    """
     return "kelpfront-sent-at", f"{wall() * 1000:.3f}"
 
 
@@ -332,5 +361,5 @@
 def _decoded(body: bytes) -> Any:
     try:
         return msgspec.json.decode(body)
-    except msgspec.DecodeError:
-        raise ApiError(500, f"the server's answer is not JSON: {body[:100]!r}") from None
+    except msgspec.DecodeError as error:
+        raise ApiError(500, f"the server's answer is not JSON: {body[:100]!r}") from error
--- a/kelpfront/client/grpc.py
+++ b/kelpfront/client/grpc.py
@@ -1,4 +1,4 @@
-"""The disciplined client over gRPC.
+"""The client over gRPC, with retries.
 
 ```python
 from kelpfront.client import JobSpec
@@ -21,26 +21,27 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.api.meta import JOBS, Object, Resource
 from kelpfront.client.bindings import BindingsClient
-from kelpfront.client.disciplined import DisciplinedClient, Marks
+from kelpfront.client.informer import ObjectList
 from kelpfront.client.interface import ServerUnreachableError
+from kelpfront.client.retrying import AttemptMarks, RetryingClient, WatchLine
 from kelpfront.rpc.jobs import job_object, spec_message
 from kelpfront.rpc.machines import machine_object
 from kelpfront.rpc.status import error_of
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
 
-CONNECT_S = 5.0
-MESSAGE_BYTES = 64 << 20  # of an answer
-PAGE = 500
+CONNECT_TIMEOUT_S = 5.0
+MAX_MESSAGE_BYTES = 64 << 20  # of an answer
+PAGE_OBJECTS = 500  # of one answer to a list
 OPTIONS = [
-    # Whether a call is made again is for `retry` to say, and when an address is tried again too.
+    # `retry` decides whether a call is made again, and when an address is tried again.
     ("grpc.enable_retries", 0),
     ("grpc.initial_reconnect_backoff_ms", 50),
     ("grpc.min_reconnect_backoff_ms", 200),
     ("grpc.max_reconnect_backoff_ms", 1_000),
     ("grpc.keepalive_time_ms", 30_000),
     ("grpc.keepalive_timeout_ms", 20_000),
-    ("grpc.max_receive_message_length", MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.use_local_subchannel_pool", 1),
 ]
 EVENT_KINDS = {
@@ -48,23 +49,24 @@
     pb.EVENT_TYPE_MODIFIED: "MODIFIED",
     pb.EVENT_TYPE_DELETED: "DELETED",
 }
-# What only the transport ends calls with, and which a further try cannot mend.
-FINAL = {
+# Codes that the transport itself ends calls with and another attempt cannot change, with the HTTP status.
+FINAL_TRANSPORT_CODES = {
     grpc.StatusCode.RESOURCE_EXHAUSTED: 413,
     grpc.StatusCode.UNIMPLEMENTED: 405,
     grpc.StatusCode.INVALID_ARGUMENT: 400,
 }
 
 
-def metadata_of(marks: Marks) -> tuple[tuple[str, str], ...]:
-    found = [("sent-at-ms", f"{marks.sent_at_ms:.3f}"), ("attempt", str(marks.attempt))]
+def metadata_of(marks: AttemptMarks) -> tuple[tuple[str, str], ...]:
+    """Return the metadata that says which attempt this is."""
+    metadata = [("sent-at-ms", f"{marks.sent_at_ms:.3f}"), ("attempt", str(marks.attempt))]
     if marks.previous:
-        found.append(("previous", marks.previous))
-    return tuple(found)
+        metadata.append(("previous", marks.previous))
+    return tuple(metadata)
 
 
 class GrpcTransport:
-    """Single tries at one placer."""
+    """Single attempts at one placer; see `retrying.Transport`."""
 
     def __init__(self, target: str) -> None:
         self.address = target
@@ -74,45 +76,53 @@
         self._machines: Any = api_pb2_grpc.MachinesStub(self._channel)
 
     async def connect(self, within_s: float) -> None:
-        """Until the channel is up, or its next try has failed. Before it is up no call can have arrived.
+        """Wait until the channel is up, or its next attempt to connect has failed.
 
-        A channel that failed tries again in its own time, with chance in it. One for each of our tries was
-        measured against that and made more retries and a fuller worst 100 ms (docs/measurements.md).
+        Before it is up no call can have arrived. A channel that failed connects again after its own backoff,
+        which has jitter. A channel for each of our attempts was measured against that; it made more retries
+        and a fuller worst 100 ms (docs/measurements.md). Raises ServerUnreachableError.
         """
-        failed, ready = grpc.ChannelConnectivity.TRANSIENT_FAILURE, grpc.ChannelConnectivity.READY
+        failed = grpc.ChannelConnectivity.TRANSIENT_FAILURE
+        ready = grpc.ChannelConnectivity.READY
         state = self._channel.get_state(try_to_connect=True)
         try:
-            async with asyncio.timeout(min(CONNECT_S, within_s)):
-                tried = False
+            async with asyncio.timeout(min(CONNECT_TIMEOUT_S, within_s)):
+                has_attempted = False
                 while state is not ready:
-                    if state is failed and tried:
-                        raise ServerUnreachableError(f"{self.address}: cannot be connected to", False)
-                    tried = tried or state is grpc.ChannelConnectivity.CONNECTING
+                    if state is failed and has_attempted:
+                        raise ServerUnreachableError(
+                            f"{self.address}: cannot be connected to", may_have_arrived=False
+                        )
+                    has_attempted = has_attempted or state is grpc.ChannelConnectivity.CONNECTING
                     await self._channel.wait_for_state_change(state)
                     state = self._channel.get_state(try_to_connect=True)
-        except TimeoutError:
-            raise ServerUnreachableError(f"{self.address}: no connection in time", False) from None
+        except TimeoutError as error:
+            raise ServerUnreachableError(
+                f"{self.address}: no connection in time", may_have_arrived=False
+            ) from error
 
-    async def _unary(self, method: Any, request: Any, timeout_s: float, marks: Marks) -> Any:
+    async def _unary(self, method: Any, request: Any, timeout_s: float, marks: AttemptMarks) -> Any:
         loop = asyncio.get_running_loop()
         until = loop.time() + timeout_s
         await self.connect(timeout_s)
         try:
             return await method(request, timeout=max(0.001, until - loop.time()), metadata=metadata_of(marks))
         except grpc.aio.AioRpcError as error:
-            raise self.error(error) from None
+            raise self.error(error) from error
 
     def error(self, error: grpc.aio.AioRpcError) -> Exception:
-        """What a call that ended with an error means: the placer's word, or that there is none."""
-        code, text = error.code(), error.details() or ""
-        told = error_of(code, text, error.trailing_metadata())
-        if told is not None:
-            return told
-        if code in FINAL:
-            return ApiError(FINAL[code], text)
-        return ServerUnreachableError(f"{self.address}: {code.name}: {text}", True)
-
-    async def create(self, namespace: str, body: Object, timeout_s: float, marks: Marks) -> Object:
+        """Return what a call's error means: the placer's own error, or that it did not answer."""
+        code = error.code()
+        text = error.details() or ""
+        answered = error_of(code, text, error.trailing_metadata())
+        if answered is not None:
+            return answered
+        if code in FINAL_TRANSPORT_CODES:
+            return ApiError(FINAL_TRANSPORT_CODES[code], text)
+        return ServerUnreachableError(f"{self.address}: {code.name}: {text}", may_have_arrived=True)
+
+    async def create(self, namespace: str, body: Object, timeout_s: float, marks: AttemptMarks) -> Object:
+        """Submit a job."""
         given = body["metadata"]
         metadata = resources_pb2.ObjectMeta(
             name=given.get("name", ""),
@@ -124,20 +134,22 @@
         return job_object(answer.job)
 
     async def read(
-        self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: Marks
+        self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: AttemptMarks
     ) -> Object:
+        """Return an object."""
         request = pb.GetRequest(namespace=namespace, name=name)
         if resource is JOBS:
             return job_object(await self._unary(self._jobs.Get, request, timeout_s, marks))
         return machine_object(await self._unary(self._machines.Get, request, timeout_s, marks))
 
     async def list_objects(
-        self, resource: Resource, namespace: str | None, timeout_s: float, marks: Marks
-    ) -> tuple[list[Object], str]:
+        self, resource: Resource, namespace: str | None, timeout_s: float, marks: AttemptMarks
+    ) -> ObjectList:
+        """Return all objects, read in pages."""
         items: list[Object] = []
         token = ""
         while True:
-            request = pb.ListRequest(namespace=namespace or "", limit=PAGE, continue_token=token)
+            request = pb.ListRequest(namespace=namespace or "", limit=PAGE_OBJECTS, continue_token=token)
             if resource is JOBS:
                 page = await self._unary(self._jobs.List, request, timeout_s, marks)
                 items += [job_object(job) for job in page.jobs]
@@ -146,14 +158,18 @@
                 items += [machine_object(machine) for machine in page.machines]
             token = page.continue_token
             if not token:
-                return items, page.resume_token
+                return ObjectList(items, page.resume_token)
 
-    async def delete(self, namespace: str, name: str, timeout_s: float, marks: Marks) -> None:
+    async def delete(self, namespace: str, name: str, timeout_s: float, marks: AttemptMarks) -> None:
+        """Delete a job."""
         request = pb.DeleteRequest(namespace=namespace, name=name)
         await self._unary(self._jobs.Delete, request, timeout_s, marks)
 
-    async def set_unschedulable(self, name: str, on: bool, timeout_s: float, marks: Marks) -> Object:
-        request = pb.SetUnschedulableRequest(name=name, unschedulable=on)
+    async def set_unschedulable(
+        self, name: str, timeout_s: float, marks: AttemptMarks, *, unschedulable: bool
+    ) -> Object:
+        """Drain a machine, or let it accept work again."""
+        request = pb.SetUnschedulableRequest(name=name, unschedulable=unschedulable)
         return machine_object(await self._unary(self._machines.SetUnschedulable, request, timeout_s, marks))
 
     async def watch(
@@ -163,8 +179,9 @@
         name: str | None,
         revision: str | None,
         on_open: Callable[[], None],
-    ) -> AsyncIterator[tuple[str, Object]]:
-        await self.connect(CONNECT_S)
+    ) -> AsyncIterator[WatchLine]:
+        """Yield the lines of one watch, until it ends or breaks."""
+        await self.connect(CONNECT_TIMEOUT_S)
         request = pb.WatchRequest(
             namespace=namespace or "",
             field_selector="" if name is None else f"metadata.name={name}",
@@ -178,43 +195,47 @@
             async for event in call:
                 kind = EVENT_KINDS.get(event.type)
                 if kind is not None:
-                    yield kind, job_object(event.job) if jobs else machine_object(event.machine)
+                    yield WatchLine(kind, job_object(event.job) if jobs else machine_object(event.machine))
                 elif event.resume_token:  # a bookmark, or a kind of a later version
-                    yield "BOOKMARK", {"metadata": {"resourceVersion": event.resume_token}}
+                    yield WatchLine("BOOKMARK", {"metadata": {"resourceVersion": event.resume_token}})
         except grpc.aio.AioRpcError as error:
-            raise self.error(error) from None
+            raise self.error(error) from error
         finally:
             call.cancel()
 
     def bindings(self) -> Any:
-        """A call of the Bindings stream."""
+        """Return a new call of the Bindings stream."""
         return self._jobs.Bindings()
 
     def close(self) -> None:
+        """Close the connections."""
         if self._closing is None:
             self._closing = asyncio.get_running_loop().create_task(self._channel.close())
 
     async def closed(self) -> None:
+        """Wait until the channel that `close` closes is closed."""
         if self._closing is not None:
             await self._closing
 
 
-class GrpcClient(DisciplinedClient):
-    """See `PlacerClient`; `targets` are HOST:PORT of one placer or of several."""
+class GrpcClient(RetryingClient):
+    """A `PlacerClient` over gRPC; `targets` are HOST:PORT of one placer or of several."""
 
-    def __init__(self, targets: str | Sequence[str], **discipline: Any) -> None:
-        its = [targets] if isinstance(targets, str) else targets
-        super().__init__([GrpcTransport(target) for target in its], **discipline)
+    def __init__(self, targets: str | Sequence[str], **options: Any) -> None:
+        all_targets = [targets] if isinstance(targets, str) else targets
+        super().__init__([GrpcTransport(target) for target in all_targets], **options)
 
     def bindings(self, namespace: str, *, answers_only: bool = False) -> BindingsClient:
-        """A stream of jobs and of what becomes of them, to one placer."""
-        address = self.discipline.addresses.choose(self._now())
+        """Return a stream of jobs, and of events about them, to one placer."""
+        address = self.retry_policy.addresses.choose(self._now())
 
         async def delete(namespace: str, name: str) -> None:
             self._remember(namespace, name, address)
             await self.delete_job(namespace, name)
 
-        return BindingsClient(self._transports[address], self.discipline, namespace, answers_only, delete)
+        return BindingsClient(
+            self._transports[address], self.retry_policy, namespace, delete, answers_only=answers_only
+        )
 
     async def __aexit__(self, *error: Any) -> None:
         self.close()
--- a/kelpfront/client/informer.py
+++ b/kelpfront/client/informer.py
@@ -1,14 +1,14 @@
 """What a client knows of a resource from lists and watch events, whatever was cut in between. No I/O.
 
 An `Informer` says what to do next (list, or watch from a revision) and turns lines into events. After a cut
-it resumes behind the last event; where the server no longer has that history it lists anew and works out what
-changed meanwhile, so that its user sees each object's way without a gap and nothing twice.
+it resumes behind the last event. Where the server no longer has that history, the client lists again and the
+informer derives what changed meanwhile: its user sees each object's changes without a gap or repetition.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any, Literal
+from typing import Any, Literal, NamedTuple
 
 from kelpfront.api.errors import ApiError, Cause
 from kelpfront.api.meta import Object
@@ -18,14 +18,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A change of one object; `object` is as it is after it, or was last."""
+    """A change of one object; `object` is its state after the change, or its last one."""
 
     kind: EventKind
     object: Object
 
 
+class ObjectList(NamedTuple):
+    """All objects of a list, and the revision that they together show."""
+
+    items: list[Object]
+    revision: str
+
+
 class Informer:
-    """Of one list. `revision` is None until the first list; then a watch may start behind it."""
+    """The state of one list. `revision` is None until the first list; a watch starts after it."""
 
     def __init__(self) -> None:
         self.revision: str | None = None
@@ -33,11 +40,11 @@
 
     @property
     def known(self) -> dict[tuple[str, str], Object]:
-        """Objects by namespace and name, as last seen; not to be changed."""
+        """Objects by namespace and name, as last observed; not to be changed."""
         return self._known
 
-    def listed(self, items: list[Object], revision: str) -> list[Event]:
-        """A whole list: the events that lead from what was known to it."""
+    def apply_list(self, items: list[Object], revision: str) -> list[Event]:
+        """Return the events that lead from what was known to a complete list."""
         new = {key_of(item): item for item in items}
         events = [Event("DELETED", old) for key, old in self._known.items() if not _same(new.get(key), old)]
         for key, item in new.items():
@@ -46,12 +53,17 @@
                 events.append(Event("ADDED", item))
             elif revision_of(item) != revision_of(old):
                 events.append(Event("MODIFIED", item))
-        self._known, self.revision = new, revision
+        self._known = new
+        self.revision = revision
         return events
 
-    def line(self, data: Any) -> Event | None:
-        """One line of a watch. ApiError where the server ends it with an error; 410 means to list anew."""
-        kind, obj = data["type"], data["object"]
+    def apply_line(self, data: Any) -> Event | None:
+        """Return the event of one line of a watch, or None for a bookmark.
+
+        Raises ApiError where the server ends the watch with an error; 410 means that it must list again.
+        """
+        kind = data["type"]
+        obj = data["object"]
         if kind == "ERROR":
             error = status_error(obj)
             if error.code == 410:
@@ -69,17 +81,19 @@
 
 
 def key_of(obj: Object) -> tuple[str, str]:
+    """Return an object's namespace, empty if it has none, and name."""
     metadata = obj["metadata"]
     return metadata.get("namespace", ""), metadata["name"]
 
 
 def revision_of(obj: Object) -> str:
+    """Return an object's resource version."""
     revision: str = obj["metadata"]["resourceVersion"]
     return revision
 
 
 def status_error(status: Any) -> ApiError:
-    """A `Status` object as the error that it tells of."""
+    """Return the error that a `Status` object describes."""
     if not isinstance(status, dict):
         return ApiError(500, "the server's error is not a Status")
     details = status.get("details") or {}
@@ -99,5 +113,5 @@
 
 
 def _same(new: Object | None, old: Object) -> bool:
-    """Whether it is still the same object: one that was deleted and made anew has another uid."""
+    """Return whether it is the same object: one that was deleted and created again has another uid."""
     return new is not None and new["metadata"].get("uid") == old["metadata"].get("uid")
--- a/kelpfront/client/interface.py
+++ b/kelpfront/client/interface.py
@@ -1,4 +1,7 @@
-"""What both client libraries offer, whichever protocol they speak."""
+"""What both client libraries offer, whichever protocol they speak, and their errors.
+
+`rest` and `grpc` implement it, `retrying` what they share.
+"""
 
 from __future__ import annotations
 
@@ -12,32 +15,33 @@
 
 
 class ServerUnreachableError(Exception):
-    """No answer came. `may_have_arrived` is False where it is certain that the request was not sent."""
+    """There was no answer. `may_have_arrived` is False where it is certain that nothing was sent."""
 
-    def __init__(self, message: str, may_have_arrived: bool) -> None:
+    def __init__(self, message: str, *, may_have_arrived: bool) -> None:
         super().__init__(message)
         self.may_have_arrived = may_have_arrived
 
 
 class UnknownOutcomeError(ServerUnreachableError):
-    """A job was sent, and whether its placer took it was not found out in time.
+    """A job was sent, and it is not known whether its placer accepted it.
 
-    Asking again with the same client token at the same placer does no harm; at another it may start twice.
+    Submitting it again with the same client token to the same placer, `address`, does no harm; another placer
+    may start it a second time.
     """
 
     def __init__(self, message: str, address: str) -> None:
-        super().__init__(message, True)
+        super().__init__(message, may_have_arrived=True)
         self.address = address
 
 
 class PlacerClient(Protocol):
     """Asynchronous access to placers. Deadlines are seconds from the call.
 
-    Errors: ApiError is a placer's word; ServerUnreachableError that none came in time; UnknownOutcomeError
-    that a job may have been taken.
+    Methods raise ApiError for an error that a placer answered with, ServerUnreachableError where none
+    answered in time, and UnknownOutcomeError where a job may have been accepted.
     """
 
-    async def submit(
+    async def submit(  # noqa: PLR0913 - fields of a job, all but two by keyword
         self,
         namespace: str,
         spec: JobSpec,
@@ -47,34 +51,34 @@
         annotations: dict[str, str] | None = None,
         deadline_s: float | None = None,
     ) -> Job:
-        """Hands a job over, once however often it is tried. Its patience is what is left of the deadline."""
+        """Submit a job once, however many attempts it takes. Its patience is what is left of the deadline."""
 
     async def get_job(self, namespace: str, name: str) -> Job:
-        """The job as it is; ApiError 404 where no placer that can be reached has it."""
+        """Return a job. Raises ApiError 404 where no placer that can be reached has it."""
 
     async def list_jobs(self, namespace: str | None = None) -> list[Job]:
-        """Jobs of a namespace, or of all, of all placers."""
+        """Return the jobs of a namespace, or of all, of all placers."""
 
     async def delete_job(self, namespace: str, name: str) -> None:
-        """Removes a job and withdraws its tasks."""
+        """Remove a job and withdraw its tasks."""
 
     def follow(self, job: Job) -> AsyncIterator[Job]:
-        """The job as it is and after each change, over cuts, until it is deleted: ApiError 404."""
+        """Yield the job as it is and after each change, over reconnects; ApiError 404 when it is deleted."""
 
     async def wait_answers(self, job: Job, *, timeout_s: float | None = None) -> Job:
-        """The job once each of its tasks has its answer."""
+        """Return the job once each of its tasks has its answer."""
 
     def watch_jobs(self, namespace: str | None = None) -> AsyncIterator[Event]:
-        """Jobs of one placer, and every change of them, over cuts."""
+        """Yield the jobs of one placer, and every change of them, over reconnects."""
 
     async def list_machines(self) -> list[Machine]:
-        """Machines as one placer sees them."""
+        """Return the machines as one placer sees them."""
 
-    async def set_unschedulable(self, machine: str, on: bool) -> Machine:
-        """Drains a machine at every placer that can be reached, or takes that back."""
+    async def set_unschedulable(self, machine: str, *, unschedulable: bool) -> Machine:
+        """Drain a machine at every placer, or let it accept work again."""
 
     def close(self) -> None:
-        """Closes all connections."""
+        """Close all connections."""
 
     async def __aenter__(self) -> Self: ...
 
--- a/kelpfront/client/rest.py
+++ b/kelpfront/client/rest.py
@@ -1,4 +1,4 @@
-"""The disciplined client over REST.
+"""The client over REST, with retries.
 
 ```python
 from kelpfront.client import JobSpec
@@ -17,11 +17,11 @@
 
 from kelpfront.api.meta import JOBS, MACHINES, Object, Resource
 from kelpfront.client.client import Client
-from kelpfront.client.disciplined import DisciplinedClient, Marks
-from kelpfront.client.informer import Informer
+from kelpfront.client.informer import Informer, ObjectList
+from kelpfront.client.retrying import AttemptMarks, RetryingClient, WatchLine
 
 
-def _headers(marks: Marks) -> tuple[tuple[str, str], ...]:
+def _headers(marks: AttemptMarks) -> tuple[tuple[str, str], ...]:
     headers = [("kelpfront-sent-at", f"{marks.sent_at_ms:.3f}"), ("kelpfront-attempt", str(marks.attempt))]
     if marks.previous:
         headers.append(("kelpfront-previous", marks.previous))
@@ -29,33 +29,49 @@
 
 
 class RestTransport:
-    """Single tries at one placer."""
+    """Single attempts at one placer; see `retrying.Transport`."""
 
     def __init__(self, url: str) -> None:
         self.address = url
         self._client = Client(url)
 
-    async def create(self, namespace: str, body: Object, timeout_s: float, marks: Marks) -> Object:
+    async def create(self, namespace: str, body: Object, timeout_s: float, marks: AttemptMarks) -> Object:
+        """Submit a job."""
         path = self._client.path(JOBS, namespace)
         return await self._client.request("POST", path, body, headers=_headers(marks), timeout_s=timeout_s)
 
     async def read(
-        self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: Marks
+        self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: AttemptMarks
     ) -> Object:
+        """Return an object."""
         path = self._client.path(resource, namespace, name)
         return await self._client.request("GET", path, headers=_headers(marks), timeout_s=timeout_s)
 
     async def list_objects(
-        self, resource: Resource, namespace: str | None, timeout_s: float, marks: Marks
-    ) -> tuple[list[Object], str]:
+        self,
+        resource: Resource,
+        namespace: str | None,
+        timeout_s: float,  # noqa: ARG002 - the interface's; each page has the client's own timeout
+        marks: AttemptMarks,  # noqa: ARG002 - the interface's; lists are not marked over REST
+    ) -> ObjectList:
+        """Return all objects, read in pages."""
         return await self._client.list_objects(resource, namespace)
 
-    async def delete(self, namespace: str, name: str, timeout_s: float, marks: Marks) -> None:
+    async def delete(self, namespace: str, name: str, timeout_s: float, marks: AttemptMarks) -> None:
+        """Delete a job."""
         path = self._client.path(JOBS, namespace, name)
         await self._client.request("DELETE", path, headers=_headers(marks), timeout_s=timeout_s)
 
-    async def set_unschedulable(self, name: str, on: bool, timeout_s: float, marks: Marks) -> Object:
-        return await self._client.patch(MACHINES, None, name, {"spec": {"unschedulable": on}})
+    async def set_unschedulable(
+        self,
+        name: str,
+        timeout_s: float,  # noqa: ARG002 - the interface's; the request has the client's own timeout
+        marks: AttemptMarks,  # noqa: ARG002 - the interface's; patches are not marked over REST
+        *,
+        unschedulable: bool,
+    ) -> Object:
+        """Drain a machine, or let it accept work again."""
+        return await self._client.patch(MACHINES, None, name, {"spec": {"unschedulable": unschedulable}})
 
     async def watch(
         self,
@@ -64,21 +80,22 @@
         name: str | None,
         revision: str | None,
         on_open: Callable[[], None],
-    ) -> AsyncIterator[tuple[str, Object]]:
+    ) -> AsyncIterator[WatchLine]:
+        """Yield the lines of one watch, until it ends or breaks."""
         selectors = {} if name is None else {"fieldSelector": f"metadata.name={name}"}
         informer = Informer()
         informer.revision = revision
         async for data in self._client.watch_lines(resource, namespace, selectors, informer, on_open):
-            line: Any = data
-            yield line["type"], line["object"]
+            yield WatchLine(data["type"], data["object"])
 
     def close(self) -> None:
+        """Close the connections."""
         self._client.close()
 
 
-class RestClient(DisciplinedClient):
-    """See `PlacerClient`; `urls` are of one placer or of several."""
+class RestClient(RetryingClient):
+    """A `PlacerClient` over REST; `urls` are of one placer or of several, `options` of `RetryingClient`."""
 
-    def __init__(self, urls: str | Sequence[str], **discipline: Any) -> None:
-        its = [urls] if isinstance(urls, str) else urls
-        super().__init__([RestTransport(url) for url in its], **discipline)
+    def __init__(self, urls: str | Sequence[str], **options: Any) -> None:
+        all_urls = [urls] if isinstance(urls, str) else urls
+        super().__init__([RestTransport(url) for url in all_urls], **options)
--- /dev/null
+++ b/kelpfront/client/retrying.py
@@ -0,0 +1,474 @@
+"""A client of one or several placers that retries as `retry` says, over any transport.
+
+A transport makes one attempt at one address. Further attempts are decided here and in `retry`, once for both
+protocols.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+import time
+import uuid
+from collections import OrderedDict
+from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
+from dataclasses import dataclass, field
+from types import TracebackType
+from typing import Generic, NamedTuple, Protocol, Self, TypeVar
+
+from kelpfront.api.errors import ApiError
+from kelpfront.api.jobs import Job, JobSpec
+from kelpfront.api.machines import Machine
+from kelpfront.api.meta import JOBS, MACHINES, Object, Resource, name_of_token
+from kelpfront.client.events import all_answered, job_after, job_metadata
+from kelpfront.client.informer import Event, Informer, ObjectList
+from kelpfront.client.interface import ServerUnreachableError, UnknownOutcomeError
+from kelpfront.client.retry import (
+    Attempt,
+    Call,
+    GiveUp,
+    Outcome,
+    RetryBudget,
+    RetryPolicy,
+    outcome_of_error,
+    outcome_without_answer,
+)
+
+T = TypeVar("T")
+
+DEFAULT_DEADLINE_S = 30.0  # of calls whose caller names none and whose job has no patience
+MAX_REMEMBERED_JOBS = 100_000  # jobs of which it is remembered which placer has them
+MAX_RECORDED_RECONNECTS = 1_000
+MIN_PATIENCE_MS = 10.0  # the least that the API accepts
+MIN_REQUEST_TIMEOUT_S = 0.001  # of an attempt after a check that used up the deadline
+
+
+def _now_ms() -> float:
+    return time.time() * 1000.0
+
+
+@dataclass(slots=True)
+class AttemptMarks:
+    """What a request says of itself: which attempt it is, how the one before ended, and when it was sent."""
+
+    attempt: int
+    previous: str
+    sent_at_ms: float = field(default_factory=_now_ms)
+
+
+class WatchLine(NamedTuple):
+    """One event of a watch; of a BOOKMARK the object has the revision alone."""
+
+    type: str
+    object: Object
+
+
+class Transport(Protocol):
+    """One protocol to one address.
+
+    Methods raise ApiError for an error that the placer answered with, and ServerUnreachableError where it did
+    not answer. `marks` are sent with the request.
+    """
+
+    address: str
+
+    async def create(self, namespace: str, body: Object, timeout_s: float, marks: AttemptMarks) -> Object:
+        """Submit a job."""
+        ...
+
+    async def read(
+        self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: AttemptMarks
+    ) -> Object:
+        """Return an object."""
+        ...
+
+    async def list_objects(
+        self, resource: Resource, namespace: str | None, timeout_s: float, marks: AttemptMarks
+    ) -> ObjectList:
+        """Return all objects, read in pages."""
+        ...
+
+    async def delete(self, namespace: str, name: str, timeout_s: float, marks: AttemptMarks) -> None:
+        """Delete a job."""
+        ...
+
+    async def set_unschedulable(
+        self, name: str, timeout_s: float, marks: AttemptMarks, *, unschedulable: bool
+    ) -> Object:
+        """Drain a machine, or let it accept work again."""
+        ...
+
+    def watch(
+        self,
+        resource: Resource,
+        namespace: str | None,
+        name: str | None,
+        revision: str | None,
+        on_open: Callable[[], None],
+    ) -> AsyncIterator[WatchLine]:
+        """Yield the lines of one watch, until it ends or breaks; `on_open` is called once it is up."""
+        ...
+
+    def close(self) -> None:
+        """Close the connections."""
+
+
+Request = Callable[[Transport, float, AttemptMarks], Awaitable[T]]
+"""Makes one attempt over a transport, within seconds and with marks."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Operation(Generic[T]):
+    """A request, and how to find what an earlier attempt of it may have created."""
+
+    request: Request[T]
+    find_earlier: Request[T | None] | None = None
+
+
+class RetryingClient:
+    """A `PlacerClient` over transports. `clock` is in seconds and does not step.
+
+    Clients that a restarted placer cut come back over `spread_s`. `reconnects` are the latest times, by the
+    clock, when streams were up again.
+    """
+
+    def __init__(
+        self,
+        transports: Sequence[Transport],
+        *,
+        seed: int | None = None,
+        budget: RetryBudget | None = None,
+        spread_s: float = 5.0,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
+        self._transports = list(transports)
+        rng = random.Random(seed)
+        self.retry_policy = RetryPolicy(len(self._transports), rng, budget, spread_s * 1000.0)
+        self._clock = clock
+        self._address_of_job: OrderedDict[tuple[str, str], int] = OrderedDict()
+        self.reconnects: list[float] = []
+
+    async def __aenter__(self) -> Self:
+        return self
+
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.close()
+
+    def close(self) -> None:
+        """Close all connections."""
+        for transport in self._transports:
+            transport.close()
+
+    def _now(self) -> float:
+        return self._clock() * 1000.0
+
+    # ---- One call over its attempts -------------------------------------------------------------------
+
+    async def _run(self, call: Call, operation: _Operation[T]) -> T:
+        """Make a call with the attempts that the policy allows."""
+        policy = self.retry_policy
+        step = policy.first_attempt(self._now(), call)
+        last_error: Exception | None = None
+        while True:
+            if isinstance(step, GiveUp):
+                raise self._failure(step, call, last_error)
+            await asyncio.sleep(max(0.0, step.at - self._now()) / 1000.0)
+            remaining_s = (call.deadline - self._now()) / 1000.0
+            if remaining_s <= 0:  # the event loop was late
+                late = GiveUp("its deadline is over", call.outcome_unknown)
+                raise self._failure(late, call, last_error)
+            transport = self._transports[step.address]
+            try:
+                async with asyncio.timeout(remaining_s):
+                    result = await self._attempt(step, call, transport, remaining_s, operation)
+            except (ApiError, ServerUnreachableError) as error:
+                last_error = error
+                outcome = _outcome_of(error)
+            except TimeoutError:
+                last_error = ServerUnreachableError(
+                    f"{transport.address}: no answer in time", may_have_arrived=True
+                )
+                outcome = outcome_without_answer(may_have_arrived=True)
+            else:
+                policy.record_success(call)
+                return result
+            step = policy.next_attempt(self._now(), call, outcome)
+
+    async def _attempt(
+        self, step: Attempt, call: Call, transport: Transport, remaining_s: float, operation: _Operation[T]
+    ) -> T:
+        marks = AttemptMarks(step.number, step.previous)
+        if step.check_first and operation.find_earlier is not None:
+            found = await operation.find_earlier(transport, remaining_s, marks)
+            if found is not None:
+                return found
+            remaining_s = max(MIN_REQUEST_TIMEOUT_S, (call.deadline - self._now()) / 1000.0)
+        return await operation.request(transport, remaining_s, marks)
+
+    def _failure(self, step: GiveUp, call: Call, last_error: Exception | None) -> Exception:
+        if step.outcome_unknown:
+            address = self._transports[call.address or 0].address
+            message = f"{address}: {step.reason}; it may have been taken ({last_error})"
+            return UnknownOutcomeError(message, address)
+        if last_error is not None:
+            return last_error
+        return ServerUnreachableError(step.reason, may_have_arrived=False)
+
+    def _call(self, deadline_s: float | None, *, idempotent: bool, address: int | None = None) -> Call:
+        within_s = DEFAULT_DEADLINE_S if deadline_s is None else deadline_s
+        return Call(self._now() + within_s * 1000.0, idempotent, address, pinned=address is not None)
+
+    async def _run_at(self, address: int, request: Request[T]) -> T:
+        """Make an idempotent call to one placer, with the default deadline."""
+        return await self._run(self._call(None, idempotent=True, address=address), _Operation(request))
+
+    # ---- Jobs -----------------------------------------------------------------------------------------
+
+    async def submit(  # noqa: PLR0913 - fields of a job, all but two by keyword
+        self,
+        namespace: str,
+        spec: JobSpec,
+        *,
+        name: str | None = None,
+        labels: dict[str, str] | None = None,
+        annotations: dict[str, str] | None = None,
+        deadline_s: float | None = None,
+    ) -> Job:
+        """Submit a job, as `PlacerClient.submit` does."""
+        spec_data = spec.model_dump(by_alias=True, exclude_none=True)
+        # Without a token a second attempt would create a second job.
+        token = spec_data.setdefault("clientToken", str(uuid.uuid4()))
+        metadata = job_metadata(name, labels, annotations)
+        patience_ms = spec.patience_ms
+        if deadline_s is None and patience_ms is not None:
+            deadline_s = patience_ms / 1000.0
+        has_deadline = deadline_s is not None
+
+        async def request(transport: Transport, remaining_s: float, marks: AttemptMarks) -> Job:
+            sent = spec_data
+            if has_deadline:
+                sent = spec_data | {"patience": _remaining_patience(patience_ms, remaining_s)}
+            body = {"metadata": metadata, "spec": sent}
+            return Job.model_validate(await transport.create(namespace, body, remaining_s, marks))
+
+        async def find_earlier(transport: Transport, remaining_s: float, marks: AttemptMarks) -> Job | None:
+            job_name = name or name_of_token(token)
+            try:
+                found = await transport.read(JOBS, namespace, job_name, remaining_s, marks)
+            except ApiError as error:
+                if error.code == 404:
+                    return None
+                raise
+            return Job.model_validate(found) if found["spec"].get("clientToken") == token else None
+
+        call = self._call(deadline_s, idempotent=False)
+        job = await self._run(call, _Operation(request, find_earlier))
+        assert call.address is not None
+        self._remember(namespace, job.metadata.name or "", call.address)
+        return job
+
+    def _remember(self, namespace: str, name: str, address: int) -> None:
+        self._address_of_job[namespace, name] = address
+        self._address_of_job.move_to_end((namespace, name))
+        while len(self._address_of_job) > MAX_REMEMBERED_JOBS:
+            self._address_of_job.popitem(last=False)
+
+    async def _find_address(self, namespace: str, name: str) -> int:
+        """Return the placer that has a job; all are asked where it is not remembered."""
+        known = self._address_of_job.get((namespace, name))
+        if known is not None or len(self._transports) == 1:
+            return known or 0
+        missing: Exception | None = None
+        for address in range(len(self._transports)):
+            try:
+                await self._run_at(
+                    address,
+                    lambda transport, timeout_s, marks: transport.read(
+                        JOBS, namespace, name, timeout_s, marks
+                    ),
+                )
+            except (ApiError, ServerUnreachableError) as error:
+                if isinstance(error, ApiError) and error.code != 404:
+                    raise
+                # That a placer could not be asked weighs more than that another does not have the job.
+                missing = missing if isinstance(missing, ServerUnreachableError) else error
+            else:
+                self._remember(namespace, name, address)
+                return address
+        assert missing is not None
+        raise missing
+
+    async def get_job(self, namespace: str, name: str) -> Job:
+        """Return a job. Raises ApiError 404 where no placer that can be reached has it."""
+        address = await self._find_address(namespace, name)
+        found = await self._run_at(
+            address,
+            lambda transport, timeout_s, marks: transport.read(JOBS, namespace, name, timeout_s, marks),
+        )
+        return Job.model_validate(found)
+
+    async def list_jobs(self, namespace: str | None = None) -> list[Job]:
+        """Return the jobs of a namespace, or of all, of all placers."""
+        jobs = []
+        for address in range(len(self._transports)):
+            found = await self._run_at(
+                address,
+                lambda transport, timeout_s, marks: transport.list_objects(JOBS, namespace, timeout_s, marks),
+            )
+            jobs += [Job.model_validate(item) for item in found.items]
+        return jobs
+
+    async def delete_job(self, namespace: str, name: str) -> None:
+        """Remove a job and withdraw its tasks."""
+        address = await self._find_address(namespace, name)
+        call = self._call(None, idempotent=True, address=address)
+        try:
+            await self._run(
+                call,
+                _Operation(
+                    lambda transport, timeout_s, marks: transport.delete(namespace, name, timeout_s, marks)
+                ),
+            )
+        except ApiError as error:
+            is_done_by_earlier_attempt = error.code == 404 and call.attempt > 0
+            if not is_done_by_earlier_attempt:
+                raise
+        self._address_of_job.pop((namespace, name), None)
+
+    async def follow(self, job: Job) -> AsyncIterator[Job]:
+        """Yield the job as it is and after each change; ApiError 404 when it is deleted."""
+        namespace = job.metadata.namespace or ""
+        name = job.metadata.name or ""
+        address = await self._find_address(namespace, name)
+        async for event in self._watch(address, JOBS, namespace, name):
+            yield job_after(event, name)
+
+    async def wait_answers(self, job: Job, *, timeout_s: float | None = None) -> Job:
+        """Return the job once each of its tasks has its answer."""
+        async with asyncio.timeout(timeout_s):
+            async for state in self.follow(job):
+                if all_answered(state):
+                    return state
+        raise AssertionError("a watch does not end by itself")
+
+    async def watch_jobs(self, namespace: str | None = None) -> AsyncIterator[Event]:
+        """Yield the jobs of one placer, and every change of them."""
+        address = self.retry_policy.addresses.choose(self._now())
+        async for event in self._watch(address, JOBS, namespace, None):
+            yield event
+
+    # ---- Machines -------------------------------------------------------------------------------------
+
+    async def list_machines(self) -> list[Machine]:
+        """Return the machines as one placer sees them."""
+        found = await self._run(
+            self._call(None, idempotent=True),
+            _Operation(
+                lambda transport, timeout_s, marks: transport.list_objects(MACHINES, None, timeout_s, marks)
+            ),
+        )
+        return [Machine.model_validate(item) for item in found.items]
+
+    async def set_unschedulable(self, machine: str, *, unschedulable: bool) -> Machine:
+        """Drain a machine at every placer, or let it accept work again.
+
+        Raises the first error where one placer did not answer: it would go on to use the machine.
+        """
+
+        def request(transport: Transport, timeout_s: float, marks: AttemptMarks) -> Awaitable[Object]:
+            return transport.set_unschedulable(machine, timeout_s, marks, unschedulable=unschedulable)
+
+        answers = await asyncio.gather(
+            *(self._run_at(address, request) for address in range(len(self._transports))),
+            return_exceptions=True,
+        )
+        for answer in answers:
+            if isinstance(answer, BaseException):
+                raise answer
+        return Machine.model_validate(answers[0])
+
+    # ---- Watches --------------------------------------------------------------------------------------
+
+    async def _watch(
+        self, address: int, resource: Resource, namespace: str | None, name: str | None
+    ) -> AsyncIterator[Event]:
+        """Yield what is there, then every change, over reconnects."""
+        transport = self._transports[address]
+        informer = Informer()
+        failures = 0
+        was_cut = False
+
+        def on_open() -> None:
+            nonlocal failures, was_cut
+            if was_cut:
+                self.reconnects = [*self.reconnects[1 - MAX_RECORDED_RECONNECTS :], self._clock()]
+            failures = 0
+            was_cut = False
+
+        while True:
+            try:
+                if informer.revision is None:
+                    async for event in self._list(transport, informer, resource, namespace, name):
+                        yield event
+                revision = informer.revision
+                async for line in transport.watch(resource, namespace, name, revision, on_open):
+                    change = informer.apply_line({"type": line.type, "object": line.object})
+                    if change is not None:
+                        yield change
+                continue  # the server ended it, as it does after a while
+            except (ApiError, ServerUnreachableError, TimeoutError) as error:
+                if isinstance(error, ApiError) and error.code == 410:
+                    informer.revision = None
+                    continue
+                backoff_ms = self._stream_backoff_ms(error, failures)
+            failures += 1
+            was_cut = True
+            await asyncio.sleep(backoff_ms / 1000.0)
+
+    def _stream_backoff_ms(self, error: Exception, failures: int) -> float:
+        """Return how long to stay away after a stream ended with an error; raise it where that is no use."""
+        if not isinstance(error, ApiError):
+            return self.retry_policy.reconnect_backoff_ms(failures)
+        backoff_ms = self.retry_policy.stream_backoff_ms(failures, error.code, error.retry_after_s)
+        if backoff_ms is None:
+            raise error
+        return backoff_ms
+
+    async def _list(
+        self,
+        transport: Transport,
+        informer: Informer,
+        resource: Resource,
+        namespace: str | None,
+        name: str | None,
+    ) -> AsyncIterator[Event]:
+        marks = AttemptMarks(0, "")
+        if name is None:
+            found = await transport.list_objects(resource, namespace, DEFAULT_DEADLINE_S, marks)
+        else:
+            try:
+                one = await transport.read(resource, namespace or "", name, DEFAULT_DEADLINE_S, marks)
+            except ApiError as error:
+                if error.code != 404 or not informer.known:
+                    raise
+                found = ObjectList([], "0")
+            else:
+                found = ObjectList([one], one["metadata"]["resourceVersion"])
+        for event in informer.apply_list(found.items, found.revision):
+            yield event
+
+
+def _outcome_of(error: ApiError | ServerUnreachableError) -> Outcome:
+    if isinstance(error, ApiError):
+        return outcome_of_error(error.code, error.retry_after_s)
+    return outcome_without_answer(may_have_arrived=error.may_have_arrived)
+
+
+def _remaining_patience(patience_ms: float | None, remaining_s: float) -> str:
+    """Return the patience to send: what is left of the deadline, and no more than the job's own."""
+    remaining_ms = remaining_s * 1000.0
+    if patience_ms is not None:
+        remaining_ms = min(patience_ms, remaining_ms)
+    return f"{max(MIN_PATIENCE_MS, remaining_ms):.3f}ms"
--- a/kelpfront/client/sync.py
+++ b/kelpfront/client/sync.py
@@ -1,4 +1,4 @@
-"""The client libraries for programs without asyncio: the same calls, one after another.
+"""The client libraries for programs without asyncio: the same calls, which block.
 
 ```python
 from kelpfront.client import JobSpec
@@ -28,7 +28,10 @@
 
 
 class SyncClient:
-    """Runs a client of `make`, which is called in the loop's thread, on a loop of its own."""
+    """Runs a client on an event loop in a thread of its own, which `close` ends.
+
+    `make` returns the client; it is called in the loop's thread. Methods are those of `PlacerClient`.
+    """
 
     def __init__(self, make: Callable[[], PlacerClient]) -> None:
         self._loop = asyncio.new_event_loop()
@@ -48,12 +51,12 @@
         future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
             return future.result()
-        except BaseException:  # Ctrl-C among them: the call is not to go on behind its caller's back
+        except BaseException:  # also of Ctrl-C: the call must not go on after its caller has left
             future.cancel()
             raise
 
     def _iterate(self, stream: AsyncIterator[T]) -> Iterator[T]:
-        async def following() -> T:
+        async def next_item() -> T:
             return await anext(stream)
 
         async def close() -> None:
@@ -64,41 +67,50 @@
         try:
             while True:
                 try:
-                    yield self._run(following())
+                    yield self._run(next_item())
                 except StopAsyncIteration:
                     return
         finally:
             self._run(close())
 
-    def submit(self, namespace: str, spec: JobSpec, **more: Any) -> Job:
-        """As `PlacerClient.submit`."""
-        return self._run(self._client.submit(namespace, spec, **more))
+    def submit(self, namespace: str, spec: JobSpec, **options: Any) -> Job:
+        """Submit a job, as `PlacerClient.submit` does."""
+        return self._run(self._client.submit(namespace, spec, **options))
 
     def get_job(self, namespace: str, name: str) -> Job:
+        """Return a job."""
         return self._run(self._client.get_job(namespace, name))
 
     def list_jobs(self, namespace: str | None = None) -> list[Job]:
+        """Return the jobs of a namespace, or of all."""
         return self._run(self._client.list_jobs(namespace))
 
     def delete_job(self, namespace: str, name: str) -> None:
+        """Remove a job and withdraw its tasks."""
         self._run(self._client.delete_job(namespace, name))
 
     def follow(self, job: Job) -> Iterator[Job]:
+        """Yield the job as it is and after each change."""
         return self._iterate(self._client.follow(job))
 
     def wait_answers(self, job: Job, *, timeout_s: float | None = None) -> Job:
+        """Return the job once each of its tasks has its answer."""
         return self._run(self._client.wait_answers(job, timeout_s=timeout_s))
 
     def watch_jobs(self, namespace: str | None = None) -> Iterator[Event]:
+        """Yield the jobs of one placer, and every change of them."""
         return self._iterate(self._client.watch_jobs(namespace))
 
     def list_machines(self) -> list[Machine]:
+        """Return the machines as one placer sees them."""
         return self._run(self._client.list_machines())
 
-    def set_unschedulable(self, machine: str, on: bool) -> Machine:
-        return self._run(self._client.set_unschedulable(machine, on))
+    def set_unschedulable(self, machine: str, *, unschedulable: bool) -> Machine:
+        """Drain a machine at every placer, or let it accept work again."""
+        return self._run(self._client.set_unschedulable(machine, unschedulable=unschedulable))
 
     def close(self) -> None:
+        """Close the client, and end its loop and thread."""
         if self._thread.is_alive():
             self._run(self._client.__aexit__(None, None, None))
             self._end()
--- a/kelpfront/lab/badday.py
+++ b/kelpfront/lab/badday.py
@@ -292,7 +292,7 @@
                 if not on:  # told before it is asked: an offer may go out before the answer is back
                     self._recorder.write("drain-asked", placer=placer.name, machine=host, on=False)
                 try:
-                    await client.set_unschedulable(host, on)
+                    await client.set_unschedulable(host, unschedulable=on)
                 except Exception as error:
                     log.warning("drain not told", placer=placer.name, machine=host, error=str(error))
                     continue
--- a/kelpfront/lab/fronts.py
+++ b/kelpfront/lab/fronts.py
@@ -25,7 +25,7 @@
 from kelpfront.client import PlacerClient, ServerUnreachableError
 from kelpfront.client.grpc import GrpcClient
 from kelpfront.client.rest import RestClient
-from kelpfront.client.retry import Budget
+from kelpfront.client.retry import RetryBudget
 from kelpfront.clock import CommonClock
 from kelpfront.config.reader import parse_config
 from kelpfront.inventory import Inventory
@@ -288,7 +288,7 @@
     ) -> tuple[dict[str, End], list[float]]:
         seed, at_once = self.shape.seed, 1 if self.shape.level else IN_FLIGHT
         # What is turned away is not asked for again where a level is held: that would end alike, and late.
-        more: dict[str, Any] = {"budget": Budget(0.0, 0.0)} if self.shape.level else {}
+        more: dict[str, Any] = {"budget": RetryBudget(0.0, 0.0)} if self.shape.level else {}
         match way:
             case "rest":
                 async with RestClient(service.url, seed=seed, **more) as rest:
@@ -312,10 +312,10 @@
             service, recorder = await stack.enter_async_context(cluster(shape.seed + 1, shape.machines))
             more: dict[str, Any] = {"spread_s": 0.1}
             rest = await stack.enter_async_context(
-                RestClient(service.url, seed=1, budget=Budget(1.0, 1000.0), **more)
+                RestClient(service.url, seed=1, budget=RetryBudget(1.0, 1000.0), **more)
             )
             rpc = await stack.enter_async_context(
-                GrpcClient(service.grpc_target, seed=2, budget=Budget(1.0, 1000.0), **more)
+                GrpcClient(service.grpc_target, seed=2, budget=RetryBudget(1.0, 1000.0), **more)
             )
             turns = asyncio.Semaphore(IN_FLIGHT)
 
--- a/kelpfront/lab/reconnect.py
+++ b/kelpfront/lab/reconnect.py
@@ -21,10 +21,10 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.api.jobs import JobSpec
 from kelpfront.client import ServerUnreachableError
-from kelpfront.client.disciplined import DisciplinedClient
 from kelpfront.client.grpc import GrpcClient
 from kelpfront.client.rest import RestClient
-from kelpfront.client.retry import BURST, SHARE, even_share_worst
+from kelpfront.client.retry import RETRY_BURST, RETRY_SHARE, worst_window_share
+from kelpfront.client.retrying import RetryingClient
 from kelpfront.lab.fronts import SETTINGS
 from kelpfront.lab.process import Placer, Process, raise_file_limit, stand_in_machines
 from kelpfront.lab.setup import make_hosts
@@ -74,7 +74,7 @@
     def __init__(self, task: HerdTask) -> None:
         self._task, self._shape = task, task.shape
         self._rng = random.Random(f"reconnect/{task.shape.seed}/{task.first}")
-        self._clients: list[DisciplinedClient] = []
+        self._clients: list[RetryingClient] = []
         self._late = 0
         self._lost: list[str] = []
         self._jobs: set[asyncio.Task[None]] = set()
@@ -104,7 +104,7 @@
         return result
 
     def _counts(self) -> tuple[int, int]:
-        counts = [client.discipline.counts for client in self._clients]
+        counts = [client.retry_policy.counts for client in self._clients]
         return sum(c.first for c in counts), sum(c.retries for c in counts)
 
     def _spawn(self, coroutine: Any) -> None:
@@ -112,7 +112,7 @@
         self._jobs.add(task)
         task.add_done_callback(self._jobs.discard)
 
-    def _make(self, number: int) -> DisciplinedClient:
+    def _make(self, number: int) -> RetryingClient:
         more: dict[str, Any] = {"seed": number, "spread_s": self._shape.spread_s}
         if self._rng.random() < self._shape.grpc_share:
             return GrpcClient(self._task.grpc, **more)
@@ -144,7 +144,7 @@
 
         await asyncio.gather(*(one(self._task.first + n) for n in range(self._task.count)))
 
-    def _watch_deadlines(self, client: DisciplinedClient) -> None:
+    def _watch_deadlines(self, client: RetryingClient) -> None:
         """Counts tries that begin when no time is left, whatever the client itself thinks of it."""
         for transport in client._transports:
             create = transport.create
@@ -157,7 +157,7 @@
 
             transport.create = counted  # type: ignore[method-assign]
 
-    async def _follow(self, client: DisciplinedClient, job: Any, seen: asyncio.Event) -> None:
+    async def _follow(self, client: RetryingClient, job: Any, seen: asyncio.Event) -> None:
         runs = False
         try:
             async for state in client.follow(job):
@@ -168,7 +168,7 @@
             if runs:  # of the others a placer that starts anew knows nothing: nothing of them runs
                 self._lost.append(f"{job.metadata.name}: {error.message}")
 
-    async def _feed(self, client: DisciplinedClient, number: int) -> None:
+    async def _feed(self, client: RetryingClient, number: int) -> None:
         rng = random.Random(f"{self._shape.seed}/{number}")
         which = 0
         await asyncio.sleep(rng.uniform(0.0, BETWEEN_S))
@@ -237,7 +237,7 @@
         for t in back:
             bucket = f"{int(t / BUCKET_S) * BUCKET_S:g}"
             histogram[bucket] = histogram.get(bucket, 0) + 1
-        worst = even_share_worst([t * 1000.0 for t in back], shape.spread_s * 1000.0, WINDOW_MS)
+        worst = worst_window_share([t * 1000.0 for t in back], shape.spread_s * 1000.0, WINDOW_MS)
         interval_s = up_s + 2 * shape.spread_s
         return {
             "seed": shape.seed,
@@ -254,7 +254,7 @@
             "first_tries": first,
             "retries": retries,
             "amplification": round((first + retries) / first, 3) if first else None,
-            "budget": f"{SHARE:g} of first tries, {BURST:g} at once for each client",
+            "budget": f"{RETRY_SHARE:g} of first tries, {RETRY_BURST:g} at once for each client",
             "jobs_lost": len(lost),
             "examples": lost[:3],
         }
--- a/tests/client/test_clients.py
+++ b/tests/client/test_clients.py
@@ -1,4 +1,4 @@
-"""Both client libraries: the discipline without I/O, and each on real sockets through the same tests."""
+"""Both client libraries: the retry policy without I/O, and each on real sockets through the same tests."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.api.meta import JOBS
 from kelpfront.client import PlacerClient, ServerUnreachableError, UnknownOutcomeError
-from kelpfront.client.disciplined import DisciplinedClient
 from kelpfront.client.grpc import GrpcClient
 from kelpfront.client.rest import RestClient
 from kelpfront.client.retry import (
-    BURST,
-    EJECT_AFTER,
-    LEAST_LEFT_MS,
-    SHARE,
-    Addresses,
-    Budget,
+    EJECT_AFTER_FAILURES,
+    MIN_REMAINING_MS,
+    RETRY_BURST,
+    RETRY_SHARE,
+    AddressSelector,
+    Attempt,
     Call,
-    Discipline,
     GiveUp,
-    Kind,
     Outcome,
-    Try,
-    even_share_worst,
-    told,
-    untold,
+    OutcomeKind,
+    RetryBudget,
+    RetryPolicy,
+    outcome_of_error,
+    outcome_without_answer,
+    worst_window_share,
 )
+from kelpfront.client.retrying import RetryingClient
 from kelpfront.client.sync import SyncClient
 from kelpfront.rpc.limits import MAX_STREAM_JOBS
 from kelpfront.service.app import PlacerService
@@ -46,174 +46,187 @@
 SERVED = ("placer.grpc=127.0.0.1:0",)
 
 
-def discipline(addresses: int = 1, seed: int = 1, **more: Any) -> Discipline:
-    return Discipline(addresses, random.Random(seed), **more)
+def retry_policy(addresses: int = 1, seed: int = 1, **options: Any) -> RetryPolicy:
+    return RetryPolicy(addresses, random.Random(seed), **options)
 
 
-# ---- The discipline ----------------------------------------------------------------------------------------
+# ---- The retry policy --------------------------------------------------------------------------------------
 
 OUTCOMES = st.sampled_from(
     [
-        Outcome(Kind.REFUSED),
-        Outcome(Kind.REFUSED, 800.0),
-        Outcome(Kind.NOT_SENT),
-        Outcome(Kind.CUT),
-        Outcome(Kind.FINAL),
+        Outcome(OutcomeKind.REFUSED),
+        Outcome(OutcomeKind.REFUSED, 800.0),
+        Outcome(OutcomeKind.NOT_SENT),
+        Outcome(OutcomeKind.CUT),
+        Outcome(OutcomeKind.FINAL),
     ]
 )
 
 
 @given(
-    st.lists(OUTCOMES, max_size=30),
-    st.integers(1, 4),
-    st.booleans(),
-    st.floats(10.0, 20_000.0),
-    st.integers(0, 99),
+    outcomes=st.lists(OUTCOMES, max_size=30),
+    addresses=st.integers(1, 4),
+    idempotent=st.booleans(),
+    timeout_ms=st.floats(10.0, 20_000.0),
+    seed=st.integers(0, 99),
 )
 @settings(derandomize=True)
-def test_no_call_breaks_its_discipline(
-    outcomes: list[Outcome], addresses: int, repeatable: bool, patience: float, seed: int
+def test_no_call_breaks_the_retry_policy(
+    *, outcomes: list[Outcome], addresses: int, idempotent: bool, timeout_ms: float, seed: int
 ) -> None:
-    its = discipline(addresses, seed)
+    policy = retry_policy(addresses, seed)
     now = 1000.0
-    call = Call(now + patience, repeatable)
-    step = its.first(now, call)
+    call = Call(now + timeout_ms, idempotent)
+    step = policy.first_attempt(now, call)
     may_have_arrived_at: int | None = None
     for outcome in outcomes:
-        assert isinstance(step, Try) and step.at < call.deadline
-        if may_have_arrived_at is not None and not repeatable:
-            assert step.address == may_have_arrived_at and step.look_first
+        assert isinstance(step, Attempt)
+        assert step.at < call.deadline
+        if may_have_arrived_at is not None and not idempotent:
+            assert step.address == may_have_arrived_at
+            assert step.check_first
         now = step.at
-        if outcome.kind is Kind.CUT and not repeatable:
+        if outcome.kind is OutcomeKind.CUT and not idempotent:
             may_have_arrived_at = step.address
-        before, step = step, its.after(now, call, outcome)
+        before, step = step, policy.next_attempt(now, call, outcome)
         if isinstance(step, GiveUp):
-            settled = outcome.kind is Kind.FINAL
-            assert step.unknown == (may_have_arrived_at is not None and not settled)
-            assert outcome.kind is Kind.FINAL or "deadline" in step.why or "budget" in step.why
+            settled = outcome.kind is OutcomeKind.FINAL
+            assert step.outcome_unknown == (may_have_arrived_at is not None and not settled)
+            assert outcome.kind is OutcomeKind.FINAL or "deadline" in step.reason or "budget" in step.reason
             return
-        assert outcome.kind is not Kind.FINAL
-        assert step.attempt == before.attempt + 1 and step.previous == outcome.kind.value
+        assert outcome.kind is not OutcomeKind.FINAL
+        assert step.number == before.number + 1
+        assert step.previous == outcome.kind.value
         assert step.at >= now + outcome.retry_after_ms
-        assert step.at + LEAST_LEFT_MS <= call.deadline
-    assert its.counts.retries <= BURST + SHARE
+        assert step.at + MIN_REMAINING_MS <= call.deadline
+    assert policy.counts.retries <= RETRY_BURST + RETRY_SHARE
 
 
-def test_retries_stay_a_share_of_first_tries() -> None:
-    its = discipline()
+def test_retries_stay_a_share_of_first_attempts() -> None:
+    policy = retry_policy()
     for _ in range(5000):
-        call = Call(1e9, True)
-        its.first(0.0, call)
+        call = Call(1e9, idempotent=True)
+        policy.first_attempt(0.0, call)
         for _ in range(5):
-            if isinstance(its.after(0.0, call, Outcome(Kind.REFUSED)), GiveUp):
+            if isinstance(policy.next_attempt(0.0, call, Outcome(OutcomeKind.REFUSED)), GiveUp):
                 break
-    assert its.counts.retries <= SHARE * its.counts.first + BURST + 1
-    assert its.counts.given_up["the retry budget is used up"] > 1000
-
-
-def test_after_a_cut_nothing_goes_to_another_whatever_comes_then() -> None:
-    """The try that was cut may still wait in its placer's line while a look finds nothing there."""
-    its = discipline(3)
-    call = Call(1e9, False)
-    first = its.first(0.0, call)
-    assert isinstance(first, Try)
-    step: Try | GiveUp = its.after(0.0, call, Outcome(Kind.CUT))
-    for outcome in (Outcome(Kind.REFUSED), Outcome(Kind.NOT_SENT)):
-        assert isinstance(step, Try) and step.address == first.address and step.look_first
-        step = its.after(0.0, call, outcome)
+    assert policy.counts.retries <= RETRY_SHARE * policy.counts.first + RETRY_BURST + 1
+    assert policy.counts.given_up["the retry budget is used up"] > 1000
+
+
+def test_after_a_cut_no_attempt_goes_to_another_address() -> None:
+    """The attempt that was cut may still wait in its placer's queue while a check finds nothing there."""
+    policy = retry_policy(3)
+    call = Call(1e9, idempotent=False)
+    first = policy.first_attempt(0.0, call)
+    assert isinstance(first, Attempt)
+    step: Attempt | GiveUp = policy.next_attempt(0.0, call, Outcome(OutcomeKind.CUT))
+    for outcome in (Outcome(OutcomeKind.REFUSED), Outcome(OutcomeKind.NOT_SENT)):
+        assert isinstance(step, Attempt)
+        assert step.address == first.address
+        assert step.check_first
+        step = policy.next_attempt(0.0, call, outcome)
     assert isinstance(step, GiveUp) or step.address == first.address
-    settled = its.after(0.0, call, Outcome(Kind.FINAL))
-    assert isinstance(settled, GiveUp) and not settled.unknown
-    other = Call(1e9, False)
-    begun = its.first(0.0, other)
-    its.budget.first()
-    refused = its.after(0.0, other, Outcome(Kind.REFUSED))
-    assert isinstance(begun, Try) and (isinstance(refused, GiveUp) or refused.address != begun.address)
-
-
-def test_an_ended_stream_is_opened_again_only_where_that_can_help() -> None:
-    its = discipline(spread_ms=100.0)
-    pause = its.stream_pause_ms(0, 503, 2)
-    assert pause is not None and 2000.0 <= pause <= 2100.0
-    assert its.stream_pause_ms(0, 404) is None
-    broken = its.stream_pause_ms(0, 500)
-    assert broken is not None and broken <= 100.0
-
-
-def test_what_an_error_means_for_the_next_try() -> None:
-    assert told(503, 2) == Outcome(Kind.REFUSED, 2000.0) and told(422, 0).kind is Kind.FINAL
-    assert (untold(True).kind, untold(False).kind) == (Kind.CUT, Kind.NOT_SENT)
-
-
-def test_an_address_that_fails_in_a_row_is_avoided_but_never_most_of_them() -> None:
-    addresses = Addresses(4, random.Random(1))
-    for bad in (0, 1, 2):
-        for _ in range(EJECT_AFTER):
-            addresses.failed(0.0, bad)
-    assert addresses.avoided(1.0) == [0, 1]
+    settled = policy.next_attempt(0.0, call, Outcome(OutcomeKind.FINAL))
+    assert isinstance(settled, GiveUp)
+    assert not settled.outcome_unknown
+    other = Call(1e9, idempotent=False)
+    begun = policy.first_attempt(0.0, other)
+    policy.budget.record_first_attempt()
+    refused = policy.next_attempt(0.0, other, Outcome(OutcomeKind.REFUSED))
+    assert isinstance(begun, Attempt)
+    assert isinstance(refused, GiveUp) or refused.address != begun.address
+
+
+def test_an_ended_stream_is_opened_again_only_after_errors_that_pass() -> None:
+    policy = retry_policy(spread_ms=100.0)
+    backoff_ms = policy.stream_backoff_ms(0, 503, 2)
+    assert backoff_ms is not None
+    assert 2000.0 <= backoff_ms <= 2100.0
+    assert policy.stream_backoff_ms(0, 404) is None
+    broken = policy.stream_backoff_ms(0, 500)
+    assert broken is not None
+    assert broken <= 100.0
+
+
+def test_an_error_decides_whether_there_is_another_attempt() -> None:
+    assert outcome_of_error(503, 2) == Outcome(OutcomeKind.REFUSED, 2000.0)
+    assert outcome_of_error(422, 0).kind is OutcomeKind.FINAL
+    assert outcome_without_answer(may_have_arrived=True).kind is OutcomeKind.CUT
+    assert outcome_without_answer(may_have_arrived=False).kind is OutcomeKind.NOT_SENT
+
+
+def test_an_address_that_fails_repeatedly_is_ejected_but_never_more_than_half() -> None:
+    addresses = AddressSelector(4, random.Random(1))
+    for failing in (0, 1, 2):
+        for _ in range(EJECT_AFTER_FAILURES):
+            addresses.record_failure(0.0, failing)
+    assert addresses.ejected(1.0) == [0, 1]
     assert {addresses.choose(1.0) for _ in range(20)} == {2, 3}
     assert {addresses.choose(1e6) for _ in range(20)} == {0, 1, 2, 3}
-    addresses.worked(0)
-    assert 0 not in addresses.avoided(1.0)
+    addresses.record_success(0)
+    assert 0 not in addresses.ejected(1.0)
 
 
-def test_clients_that_begin_together_begin_at_different_addresses() -> None:
-    firsts = [Addresses(5, random.Random(seed)).choose(0.0) for seed in range(200)]
+def test_clients_that_start_together_start_at_different_addresses() -> None:
+    firsts = [AddressSelector(5, random.Random(seed)).choose(0.0) for seed in range(200)]
     assert all(25 <= firsts.count(address) <= 60 for address in range(5))
 
 
-def test_those_that_were_cut_together_come_back_over_the_interval() -> None:
-    its = [discipline(seed=seed, spread_ms=5000.0) for seed in range(1000)]
-    times = [one.reconnect_ms(0) for one in its]
-    assert min(times) >= 0 and max(times) <= 5000.0
-    assert even_share_worst(times, 5000.0, 100.0) < 3.0
-    assert even_share_worst([100.0] * 50, 5000.0, 100.0) == 50.0
+def test_clients_that_were_cut_together_come_back_spread_over_the_interval() -> None:
+    policies = [retry_policy(seed=seed, spread_ms=5000.0) for seed in range(1000)]
+    times = [policy.reconnect_backoff_ms(0) for policy in policies]
+    assert min(times) >= 0
+    assert max(times) <= 5000.0
+    assert worst_window_share(times, 5000.0, 100.0) < 3.0
+    assert worst_window_share([100.0] * 50, 5000.0, 100.0) == 50.0
 
 
-def test_a_budget_refills_by_first_tries_only_and_holds_no_more_than_its_burst() -> None:
-    budget = Budget(0.5, 2.0)
-    assert [budget.take() for _ in range(3)] == [True, True, False]
-    budget.first()
-    assert not budget.take()
+def test_a_budget_refills_by_first_attempts_only_up_to_its_burst() -> None:
+    budget = RetryBudget(0.5, 2.0)
+    assert [budget.try_retry() for _ in range(3)] == [True, True, False]
+    budget.record_first_attempt()
+    assert not budget.try_retry()
     for _ in range(100):
-        budget.first()
+        budget.record_first_attempt()
     assert budget.tokens == 2.0
 
 
 # ---- Each library on sockets -------------------------------------------------------------------------------
 
 
-def client_of(protocol: str, *services: PlacerService, **more: Any) -> DisciplinedClient:
-    more = {"seed": 1, "spread_s": 0.3, **more}
+def client_of(protocol: str, *services: PlacerService, **options: Any) -> RetryingClient:
+    options = {"seed": 1, "spread_s": 0.3, **options}
     if protocol == "rest":
-        return RestClient([service.url for service in services], **more)
-    return GrpcClient([service.grpc_target for service in services], **more)
+        return RestClient([service.url for service in services], **options)
+    return GrpcClient([service.grpc_target for service in services], **options)
 
 
 @asynccontextmanager
 async def served(
-    protocol: str, machines: int = 2, **more: Any
-) -> AsyncIterator[tuple[TestCluster, PlacerService, DisciplinedClient]]:
+    protocol: str, machines: int = 2, **options: Any
+) -> AsyncIterator[tuple[TestCluster, PlacerService, RetryingClient]]:
     async with (
         cluster(machines, *SERVED) as (its, service, _),
-        client_of(protocol, service, **more) as client,
+        client_of(protocol, service, **options) as client,
     ):
         yield its, service, client
 
 
 @BOTH
-async def test_the_same_calls_by_either_library(protocol: str) -> None:
+async def test_either_library_makes_all_calls(protocol: str) -> None:
     async with served(protocol) as (_, service, client):
-        its_interface: PlacerClient = client
-        job = await its_interface.submit("climate", spec(count=2), labels={"a": "b"}, deadline_s=10.0)
+        interface: PlacerClient = client
+        job = await interface.submit("climate", spec(count=2), labels={"a": "b"}, deadline_s=10.0)
         job = await client.wait_answers(job, timeout_s=20)
-        assert job.status is not None and {task.answer for task in job.status.tasks} == {"Placed"}
+        assert job.status is not None
+        assert {task.answer for task in job.status.tasks} == {"Placed"}
         assert job.metadata.labels == {"a": "b"}
         name = job.metadata.name or ""
         assert (await client.get_job("climate", name)).metadata.uid == job.metadata.uid
         assert [one.metadata.name for one in await client.list_jobs("climate")] == [name]
         assert {machine.metadata.name for machine in await client.list_machines()} == {"n0", "n1"}
-        assert (await client.set_unschedulable("n0", True)).spec.unschedulable
+        assert (await client.set_unschedulable("n0", unschedulable=True)).spec.unschedulable
         seen = []
         async for event in client.watch_jobs("climate"):
             seen.append(event.kind)
@@ -231,7 +244,7 @@
 
 
 @BOTH
-async def test_a_refusal_that_allows_it_is_tried_again_as_a_marked_retry(protocol: str) -> None:
+async def test_a_refusal_that_allows_it_is_retried_and_marked_as_a_retry(protocol: str) -> None:
     async with served(protocol) as (_, service, client):
         service.operations.closed = "busy"
         submitting = asyncio.create_task(client.submit("climate", spec(), deadline_s=20.0))
@@ -239,11 +252,11 @@
         service.operations.closed = ""
         assert (await submitting).metadata.uid
         assert (service.operations.first_tries, service.operations.retries) == (1, 1)
-        assert client.discipline.counts.retries == 1
+        assert client.retry_policy.counts.retries == 1
 
 
 @BOTH
-async def test_no_try_is_made_that_its_deadline_would_cut_short(protocol: str) -> None:
+async def test_no_attempt_is_made_beyond_the_deadline(protocol: str) -> None:
     async with served(protocol) as (_, service, client):
         service.operations.closed = "busy"
         loop = asyncio.get_running_loop()
@@ -256,19 +269,21 @@
 
 
 @BOTH
-async def test_the_deadline_is_what_the_placer_gives_the_tasks(protocol: str) -> None:
+async def test_the_deadline_is_sent_as_the_patience_of_the_job(protocol: str) -> None:
     async with served(protocol) as (_, _service, client):
         job = await client.submit("climate", spec(cores=90_000.0), deadline_s=0.8)
-        assert job.spec.patience_ms is not None and 300.0 < job.spec.patience_ms <= 800.0
+        assert job.spec.patience_ms is not None
+        assert 300.0 < job.spec.patience_ms <= 800.0
         done = await client.wait_answers(job, timeout_s=20)
-        assert done.status is not None and done.status.tasks[0].answer in ("Refused", "Failed")
+        assert done.status is not None
+        assert done.status.tasks[0].answer in ("Refused", "Failed")
 
 
-def client_at(protocol: str, *addresses: str, **more: Any) -> DisciplinedClient:
+def client_at(protocol: str, *addresses: str, **options: Any) -> RetryingClient:
     """Of addresses HOST:PORT."""
     if protocol == "rest":
-        return RestClient([f"http://{address}" for address in addresses], seed=1, **more)
-    return GrpcClient(addresses, seed=1, **more)
+        return RestClient([f"http://{address}" for address in addresses], seed=1, **options)
+    return GrpcClient(addresses, seed=1, **options)
 
 
 def address_of(protocol: str, service: PlacerService) -> str:
@@ -276,7 +291,7 @@
 
 
 @BOTH
-async def test_after_a_cut_it_looks_and_finds_the_job_that_the_first_try_made(protocol: str) -> None:
+async def test_after_a_cut_the_job_of_the_first_attempt_is_found(protocol: str) -> None:
     async with cluster(2, *SERVED) as (its, service, _):
         port = int(address_of(protocol, service).rpartition(":")[2])
         async with proxy(port) as between, client_at(protocol, f"127.0.0.1:{between.port}") as client:
@@ -287,51 +302,52 @@
             between.swallow_answers = False
             between.cut()
             job = await submitting
-            assert client.discipline.counts.retries >= 1
+            assert client.retry_policy.counts.retries >= 1
             await client.wait_answers(job, timeout_s=20)
         assert service.operations.first_tries + service.operations.retries == 1, "it was not sent again"
         assert len(its.events("start")) == 1
 
 
 @BOTH
-async def test_where_the_look_is_not_possible_the_outcome_is_told_as_unknown(protocol: str) -> None:
+async def test_where_the_job_cannot_be_looked_up_the_outcome_is_unknown(protocol: str) -> None:
     async with cluster(2, *SERVED) as (its, service, _):
         other = await its.placer()
         port = int(address_of(protocol, service).rpartition(":")[2])
         async with proxy(port) as between:
             addresses = f"127.0.0.1:{between.port}", address_of(protocol, other)
             async with client_at(protocol, *addresses) as client:
-                client.discipline.addresses._next = 0
+                client.retry_policy.addresses._next = 0
                 await client.list_machines()
-                client.discipline.addresses._next = 0
+                client.retry_policy.addresses._next = 0
                 between.swallow_answers = True
                 began = asyncio.get_running_loop().time()
                 with pytest.raises(UnknownOutcomeError) as caught:  # its deadline ends during the attempt
                     await client.submit("climate", spec("blend"), deadline_s=1.5)
                 assert 1.0 < asyncio.get_running_loop().time() - began < 3.0
                 assert str(between.port) in caught.value.address
-        assert service.store.count(JOBS) == 1 and other.store.count(JOBS) == 0
+        assert service.store.count(JOBS) == 1
+        assert other.store.count(JOBS) == 0
 
 
 @BOTH
-async def test_a_placer_that_is_gone_is_passed_over(protocol: str) -> None:
+async def test_a_placer_that_has_stopped_is_ejected(protocol: str) -> None:
     async with cluster(2, *SERVED) as (its, service, _):
         second = await its.placer()
-        gone = address_of(protocol, service)
-        async with client_of(protocol, service, second, budget=Budget(1.0, 50.0)) as client:
+        stopped = address_of(protocol, service)
+        async with client_of(protocol, service, second, budget=RetryBudget(1.0, 50.0)) as client:
             await service.close()
             for number in range(8):
                 job = await client.submit("climate", spec(client_token=f"t{number}"), deadline_s=10.0)
                 assert job.metadata.name
             assert second.operations.first_tries + second.operations.retries == 8
-            assert client.discipline.addresses.avoided(client._now()) == [0]
+            assert client.retry_policy.addresses.ejected(client._now()) == [0]
             with pytest.raises(ServerUnreachableError):
-                async with client_at(protocol, gone, budget=Budget(1.0, 3.0)) as alone:
+                async with client_at(protocol, stopped, budget=RetryBudget(1.0, 3.0)) as alone:
                     await alone.submit("climate", spec(), deadline_s=2.0)
 
 
 @BOTH
-async def test_a_client_that_left_is_back_by_the_other_protocol(protocol: str) -> None:
+async def test_a_job_is_found_again_over_the_other_protocol(protocol: str) -> None:
     other = "grpc" if protocol == "rest" else "rest"
     async with served(protocol) as (its, service, client):
         made = spec("blend", client_token="mine")
@@ -341,12 +357,13 @@
             again = await back.submit("climate", made)
             assert again.metadata.uid == job.metadata.uid
             done = await back.wait_answers(again, timeout_s=20)
-            assert done.status is not None and done.status.tasks[0].answer == "Placed"
+            assert done.status is not None
+            assert done.status.tasks[0].answer == "Placed"
         assert len(its.events("start")) == 1
 
 
 @BOTH
-async def test_a_watch_goes_on_over_a_restart_of_its_placer(protocol: str) -> None:
+async def test_a_watch_continues_over_a_restart_of_its_placer(protocol: str) -> None:
     async with cluster(2, *SERVED) as (its, service, _):
         address = service.url.removeprefix("http://")
         target = service.grpc_target
@@ -356,7 +373,7 @@
 
             async def follow() -> None:
                 async for state in client.follow(job):
-                    states.append(state)
+                    states.append(state)  # noqa: PERF401 - read while the watch goes on
 
             following = asyncio.create_task(follow())
             await until(lambda: states and states[-1].status.counts.running == 1)
@@ -364,7 +381,8 @@
             count = len(states)
             second = await its.placer(f"placer.listen={address}", f"placer.grpc={target}")
             await until(lambda: len(states) > count)
-            assert states[-1].metadata.uid == job.metadata.uid and states[-1].status.tasks[0].found
+            assert states[-1].metadata.uid == job.metadata.uid
+            assert states[-1].status.tasks[0].found
             await until(lambda: client.reconnects)
             await client.delete_job("climate", job.metadata.name or "")
             with pytest.raises(ApiError):
@@ -372,7 +390,7 @@
             assert second.heart.store.count(JOBS) == 0
 
 
-async def test_a_stream_of_the_library_resumes_and_what_is_withdrawn_in_a_cut_is_gone() -> None:
+async def test_a_bindings_stream_resumes_and_a_job_withdrawn_during_a_cut_is_removed() -> None:
     async with cluster(2, *SERVED) as (its, service, _):
         port = int(service.grpc_target.rpartition(":")[2])
         async with (
@@ -385,34 +403,35 @@
                     stream.submit(ref, spec("blend", client_token=ref))
                 with pytest.raises(ValueError, match="already"):
                     stream.submit("stays", spec("blend", client_token="other"))
-                told: list[tuple[str, str | None]] = []
+                events: list[tuple[str, str | None]] = []
 
                 async def read() -> None:
                     async for event in stream:
-                        told.append((event.ref, event.WhichOneof("event")))
+                        events.append((event.ref, event.WhichOneof("event")))  # noqa: PERF401 - read meanwhile
 
                 reading = asyncio.create_task(read())
-                await until(lambda: sum(kind == "bound" for _, kind in told) == 2)
+                await until(lambda: sum(kind == "bound" for _, kind in events) == 2)
                 between.cut()
                 await stream.withdraw("goes")
                 await until(lambda: service.store.count(JOBS) == 1)
                 await until(lambda: stream.cuts >= 1)
                 machines = list(its.fleet.machines.values())
 
-                def held() -> list[str]:
+                def running() -> list[str]:
                     return [task for machine in machines for task in machine.node.tasks]
 
-                await until(lambda: len(held()) == 1)
-                (uid,) = held()
+                await until(lambda: len(running()) == 1)
+                (uid,) = running()
                 machine = next(machine for machine in machines if uid in machine.node.tasks)
                 stream.done()
                 machine._exit(uid)
                 await asyncio.wait_for(reading, 20)
-                assert told.count(("stays", "bound")) == 1 and told[-1] == ("stays", "over")
+                assert events.count(("stays", "bound")) == 1
+                assert events[-1] == ("stays", "over")
         assert len(its.events("start")) == 2
 
 
-def test_a_stream_takes_no_more_jobs_than_its_placer_would() -> None:
+def test_a_bindings_stream_accepts_no_more_jobs_than_its_placer() -> None:
     async def run() -> None:
         async with GrpcClient("127.0.0.1:1") as client:
             stream = client.bindings("climate")
@@ -427,7 +446,7 @@
 
 
 @BOTH
-async def test_without_asyncio(protocol: str) -> None:
+async def test_a_program_without_asyncio_makes_the_same_calls(protocol: str) -> None:
     async with cluster(2, *SERVED) as (_, service, _client):
 
         def program() -> list[str]:
@@ -441,7 +460,8 @@
                 client.delete_job("climate", job.metadata.name or "")
                 with pytest.raises(ApiError):
                     client.get_job("climate", job.metadata.name or "")
-                assert client.list_jobs() == [] and len(client.list_machines()) == 2
+                assert client.list_jobs() == []
+                assert len(client.list_machines()) == 2
                 return states
 
         assert (await asyncio.to_thread(program))[0] in ("Placed", "Running")
--- a/tests/fronts/test_rest.py
+++ b/tests/fronts/test_rest.py
@@ -208,7 +208,7 @@
 
 async def test_only_unschedulable_of_a_machine_can_be_changed() -> None:
     async with cluster(2) as (_, service, client):
-        machine = await client.set_unschedulable("n0", True)
+        machine = await client.set_unschedulable("n0", unschedulable=True)
         assert machine.status is not None
         assert (machine.spec.unschedulable, machine.status.state) == (True, "Draining")
         with pytest.raises(ApiError) as error:
--- a/tests/lab/test_lab_fronts.py
+++ b/tests/lab/test_lab_fronts.py
@@ -11,8 +11,8 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.api.jobs import JobSpec
 from kelpfront.api.meta import Object
-from kelpfront.client.disciplined import DisciplinedClient
-from kelpfront.client.retry import Discipline, even_share_worst
+from kelpfront.client.retry import RetryPolicy, worst_window_share
+from kelpfront.client.retrying import RetryingClient
 from kelpfront.controller.admission import LEAST_LEFT_TICKS
 from kelpfront.controller.controller import Controller
 from kelpfront.fronts.grpc import session
@@ -112,12 +112,12 @@
 
 
 async def test_a_client_that_sends_again_without_its_token_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = DisciplinedClient.submit
+    right = RetryingClient.submit
 
-    async def wrong(self: DisciplinedClient, namespace: str, spec: JobSpec, **more: Any) -> Any:
+    async def wrong(self: RetryingClient, namespace: str, spec: JobSpec, **more: Any) -> Any:
         return await right(self, namespace, spec.model_copy(update={"client_token": None}), **more)
 
-    monkeypatch.setattr(DisciplinedClient, "submit", wrong)
+    monkeypatch.setattr(RetryingClient, "submit", wrong)
     figures = await Fronts(FrontsShape(seed=5, tasks=4, machines=6, both=20), quiet).run()
     assert figures["double_starts"] > 0
 
@@ -137,9 +137,9 @@
 def test_a_herd_that_comes_back_at_once_is_seen_as_one(monkeypatch: pytest.MonkeyPatch) -> None:
     import random
 
-    monkeypatch.setattr(Discipline, "reconnect_ms", lambda self, failures: 50.0)
-    times = [Discipline(1, random.Random(n)).reconnect_ms(0) for n in range(1000)]
-    assert even_share_worst(times, 5000.0, 100.0) > 3.0
+    monkeypatch.setattr(RetryPolicy, "reconnect_backoff_ms", lambda self, failures: 50.0)
+    times = [RetryPolicy(1, random.Random(n)).reconnect_backoff_ms(0) for n in range(1000)]
+    assert worst_window_share(times, 5000.0, 100.0) > 3.0
 
 
 async def test_the_measurement_of_protocols_runs(tmp_path: Path) -> None:
--- a/tests/project/test_layers.py
+++ b/tests/project/test_layers.py
@@ -101,7 +101,7 @@
 """Parts that do no I/O and read no clock."""
 PURE_FILES = {
     "agent": {"orphans", "recovery", "usage"},
-    "client": {"informer", "retry"},
+    "client": {"events", "informer", "retry"},
     "fronts": {"session"},
     "platform": {
         "attempts",
