--- a/kelpfront/client/grpc.py
+++ b/kelpfront/client/grpc.py
@@ -23,7 +23,8 @@
 from kelpfront.client.bindings import BindingsClient
 from kelpfront.client.informer import ObjectList
 from kelpfront.client.interface import ServerUnreachableError
-from kelpfront.client.retrying import AttemptMarks, RetryingClient, WatchLine
+from kelpfront.client.retrying import RetryingClient
+from kelpfront.client.transport import AttemptMarks, WatchLine
 from kelpfront.rpc.jobs import job_object, spec_message
 from kelpfront.rpc.machines import machine_object
 from kelpfront.rpc.status import error_of
@@ -66,7 +67,7 @@
 
 
 class GrpcTransport:
-    """Single attempts at one placer; see `retrying.Transport`."""
+    """Single attempts at one placer; see `transport.Transport`."""
 
     def __init__(self, target: str) -> None:
         self.address = target
--- a/kelpfront/client/rest.py
+++ b/kelpfront/client/rest.py
@@ -18,7 +18,8 @@
 from kelpfront.api.meta import JOBS, MACHINES, Object, Resource
 from kelpfront.client.client import Client
 from kelpfront.client.informer import Informer, ObjectList
-from kelpfront.client.retrying import AttemptMarks, RetryingClient, WatchLine
+from kelpfront.client.retrying import RetryingClient
+from kelpfront.client.transport import AttemptMarks, WatchLine
 
 
 def _headers(marks: AttemptMarks) -> tuple[tuple[str, str], ...]:
@@ -29,7 +30,7 @@
 
 
 class RestTransport:
-    """Single attempts at one placer; see `retrying.Transport`."""
+    """Single attempts at one placer; see `transport.Transport`."""
 
     def __init__(self, url: str) -> None:
         self.address = url
--- a/kelpfront/client/retrying.py
+++ b/kelpfront/client/retrying.py
@@ -12,9 +12,9 @@
 import uuid
 from collections import OrderedDict
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from types import TracebackType
-from typing import Generic, NamedTuple, Protocol, Self, TypeVar
+from typing import Generic, Self, TypeVar
 
 from kelpfront.api.errors import ApiError
 from kelpfront.api.jobs import Job, JobSpec
@@ -33,6 +33,7 @@
     outcome_of_error,
     outcome_without_answer,
 )
+from kelpfront.client.transport import AttemptMarks, Transport
 
 T = TypeVar("T")
 
@@ -43,76 +44,6 @@
 MIN_REQUEST_TIMEOUT_S = 0.001  # of an attempt after a check that used up the deadline
 
 
-def _now_ms() -> float:
-    return time.time() * 1000.0
-
-
-@dataclass(slots=True)
-class AttemptMarks:
-    """What a request says of itself: which attempt it is, how the one before ended, and when it was sent."""
-
-    attempt: int
-    previous: str
-    sent_at_ms: float = field(default_factory=_now_ms)
-
-
-class WatchLine(NamedTuple):
-    """One event of a watch; of a BOOKMARK the object has the revision alone."""
-
-    type: str
-    object: Object
-
-
-class Transport(Protocol):
-    """One protocol to one address.
-
-    Methods raise ApiError for an error that the placer answered with, and ServerUnreachableError where it did
-    not answer. `marks` are sent with the request.
-    """
-
-    address: str
-
-    async def create(self, namespace: str, body: Object, timeout_s: float, marks: AttemptMarks) -> Object:
-        """Submit a job."""
-        ...
-
-    async def read(
-        self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: AttemptMarks
-    ) -> Object:
-        """Return an object."""
-        ...
-
-    async def list_objects(
-        self, resource: Resource, namespace: str | None, timeout_s: float, marks: AttemptMarks
-    ) -> ObjectList:
-        """Return all objects, read in pages."""
-        ...
-
-    async def delete(self, namespace: str, name: str, timeout_s: float, marks: AttemptMarks) -> None:
-        """Delete a job."""
-        ...
-
-    async def set_unschedulable(
-        self, name: str, timeout_s: float, marks: AttemptMarks, *, unschedulable: bool
-    ) -> Object:
-        """Drain a machine, or let it accept work again."""
-        ...
-
-    def watch(
-        self,
-        resource: Resource,
-        namespace: str | None,
-        name: str | None,
-        revision: str | None,
-        on_open: Callable[[], None],
-    ) -> AsyncIterator[WatchLine]:
-        """Yield the lines of one watch, until it ends or breaks; `on_open` is called once it is up."""
-        ...
-
-    def close(self) -> None:
-        """Close the connections."""
-
-
 Request = Callable[[Transport, float, AttemptMarks], Awaitable[T]]
 """Makes one attempt over a transport, within seconds and with marks."""
 
