--- a/kelpfront/controller/attempts.py
+++ b/kelpfront/controller/attempts.py
@@ -12,7 +12,7 @@
 from kelpfront.controller.answers import TaskAnswers
 from kelpfront.controller.context import ControllerContext
 from kelpfront.controller.intents import AbandonOffer
-from kelpfront.controller.machine_registry import MachineRecord
+from kelpfront.controller.machine_record import MachineRecord
 from kelpfront.controller.orphans import OrphanHandler
 from kelpfront.controller.tasks import Attempt, OrphanedInstance, Task
 from kelpfront.machine import messages as wire
--- a/kelpfront/controller/load_reports.py
+++ b/kelpfront/controller/load_reports.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from kelpfront.controller.cluster import Cluster
-from kelpfront.controller.machine_registry import MachineRecord
+from kelpfront.controller.machine_record import MachineRecord
 from kelpfront.controller.scheduler_driver import SchedulerDriver
 from kelpfront.machine import messages as wire
 from kelpfront.scheduling.events import HealthCheckCompleted, LoadReport
--- a/kelpfront/controller/machine_monitor.py
+++ b/kelpfront/controller/machine_monitor.py
@@ -10,7 +10,8 @@
 from kelpfront.controller.context import ControllerContext
 from kelpfront.controller.endpoint_publisher import EndpointPublisher
 from kelpfront.controller.load_reports import HealthCheckResult, LoadReports
-from kelpfront.controller.machine_registry import MachineChanges, MachineRecord
+from kelpfront.controller.machine_record import MachineRecord
+from kelpfront.controller.machine_registry import MachineChanges
 from kelpfront.controller.reconciliation import Reconciler
 from kelpfront.inventory.model import Inventory
 from kelpfront.machine import messages as wire
--- a/kelpfront/controller/orphans.py
+++ b/kelpfront/controller/orphans.py
@@ -13,7 +13,7 @@
 from kelpfront.api.jobs import Answer, TaskState
 from kelpfront.controller.answers import TaskAnswers
 from kelpfront.controller.context import ControllerContext
-from kelpfront.controller.machine_registry import MachineRecord
+from kelpfront.controller.machine_record import MachineRecord
 from kelpfront.controller.tasks import Attempt, OrphanedInstance, Task
 from kelpfront.numbers import service_number
 from kelpfront.scheduling.events import TaskFound, TaskWithdrawn
--- a/kelpfront/controller/reconciliation.py
+++ b/kelpfront/controller/reconciliation.py
@@ -8,7 +8,7 @@
 
 from kelpfront.controller.attempts import END_MEANINGS, AttemptEnd, AttemptTracker, InstanceEnd
 from kelpfront.controller.context import ControllerContext
-from kelpfront.controller.machine_registry import MachineRecord
+from kelpfront.controller.machine_record import MachineRecord
 from kelpfront.controller.orphans import OrphanHandler
 from kelpfront.controller.recovery import TaskRecovery
 from kelpfront.controller.tasks import Attempt
--- a/kelpfront/controller/recovery.py
+++ b/kelpfront/controller/recovery.py
@@ -13,7 +13,7 @@
 from kelpfront.controller.context import ControllerContext
 from kelpfront.controller.intents import LogLine
 from kelpfront.controller.jobs import JobManager
-from kelpfront.controller.machine_registry import MachineRecord
+from kelpfront.controller.machine_record import MachineRecord
 from kelpfront.controller.offers import restore_job
 from kelpfront.controller.orphans import OrphanHandler
 from kelpfront.controller.tasks import Job, Task
--- a/kelpfront/controller/status_publisher.py
+++ b/kelpfront/controller/status_publisher.py
@@ -9,7 +9,8 @@
 import math
 
 from kelpfront.api.meta import JOBS, MACHINES
-from kelpfront.controller.machine_registry import MachineRecord, MachineRegistry
+from kelpfront.controller.machine_record import MachineRecord
+from kelpfront.controller.machine_registry import MachineRegistry
 from kelpfront.controller.tasks import Job
 from kelpfront.store import ResourceStore
 
@@ -89,7 +90,7 @@
         for entry in list(self._registry.entries.values()):
             if entry.removed and not entry.task_count and not entry.link_up:
                 self._drop_machine(entry)
-            elif self._registry.status_due(now, entry, period_factor):
+            elif entry.status_due(now, period_factor):
                 self._machines[entry] = None
 
     def _drop_machine(self, entry: MachineRecord) -> None:
@@ -105,7 +106,7 @@
         entry.published_at = now
         entry.published_task_count = entry.task_count
         key = "", entry.name
-        body = self._registry.to_api(entry)
+        body = entry.to_api()
         if self._store.find(MACHINES, key) is None:
             self._store.create(MACHINES, key, body)
         else:
