--- a/kelpfront/controller/answers.py
+++ b/kelpfront/controller/answers.py
@@ -48,7 +48,7 @@
         task.retry_after_ms = retry_after_ms
         self.answer(now, task, state)
         context.log.info(FINAL_ANSWER_EVENTS[state], task, reason=task.reason)
-        context.job_table.check_finished(now, task.job)
+        context.job_table.check_finished(task.job)
         if task.open_attempt is None and not task.possibly_executed:
             context.task_table.remove(task)
         else:
--- a/kelpfront/controller/attempts.py
+++ b/kelpfront/controller/attempts.py
@@ -157,7 +157,7 @@
         )
         self.close(now, attempt, closed)
         context.task_table.remove(task)
-        context.job_table.check_finished(now, task.job)
+        context.job_table.check_finished(task.job)
 
     def _record_final_state(self, now: float, attempt: Attempt, lost_reason: str) -> None:
         task = attempt.task
--- a/kelpfront/controller/job_table.py
+++ b/kelpfront/controller/job_table.py
@@ -53,11 +53,10 @@
         """Count a job as not finished: it has tasks to place or to run again."""
         self._finished.pop(job.key, None)
 
-    def check_finished(self, now: float, job: Job) -> None:
+    def check_finished(self, job: Job) -> None:
         """Count a job as finished where it is, and forget the oldest such jobs beyond the limit."""
         if job.deleted or job.phase is not Phase.FINISHED:
             return
-        job.finished_at = now
         self._finished[job.key] = None
         self._finished.move_to_end(job.key)
         while len(self._finished) > self._max_finished:
--- a/kelpfront/controller/jobs.py
+++ b/kelpfront/controller/jobs.py
@@ -230,11 +230,10 @@
             job.generation += 1
         if added_count > 0:
             context.job_table.mark_active(job)
-            job.finished_at = None
             self._add_tasks(job, added_count, update.received_at)
         else:
             self._withdraw_newest(now, job, -added_count)
-        context.job_table.check_finished(now, job)
+        context.job_table.check_finished(job)
         context.publisher.job_changed(job)
         self._arrivals.hand_over_some(now)
         context.publisher.flush(now)
--- a/kelpfront/controller/tasks.py
+++ b/kelpfront/controller/tasks.py
@@ -242,7 +242,6 @@
     tasks: dict[int, Task] = field(default_factory=dict)
     state_counts: Counter[TaskState] = field(default_factory=Counter)
     unanswered_count: int = 0
-    finished_at: float | None = None
     deleted: bool = False
 
     @property
--- a/kelpfront/lab/capacitypage.py
+++ b/kelpfront/lab/capacitypage.py
@@ -21,8 +21,6 @@
 FLEETS = (4, 6, 8, 12, 16, 24, 32)  # placers that the table of seats compares
 _TABLE = re.compile(r"(<!-- table: ([a-z-]+) -->\n).*?(<!-- end -->)", re.DOTALL)
 
-Ledger = Sequence[tuple[Need, Sum | None, float | None]]
-
 
 def load(folder: Path) -> Capacity:
     """What is in docs/capacity/, worked out; CapacityError where a file is missing or cannot be summed."""
--- a/kelpfront/lab/fleet/lists.py
+++ b/kelpfront/lab/fleet/lists.py
@@ -16,7 +16,6 @@
 
 SEEN_MOST = 200_000  # lines that are remembered
 WAITING_MOST = 10_000  # requests in line; beyond, 503 at once
-HEAD_S = 10.0
 
 
 @dataclass(slots=True)
--- a/kelpfront/lab/fleet/scale/shape.py
+++ b/kelpfront/lab/fleet/scale/shape.py
@@ -237,10 +237,6 @@
     return f"{0x8000 | placer:04x}{number:012x}"
 
 
-def placer_of_call(call: str) -> int:
-    return int(call[:4], 16) & 0x7FFF
-
-
 def seen_by(body: bytes, placer: int) -> bytes:
     """A list as one placer sees it: machines at its own addresses."""
     return body.replace(b'"127.%d.' % NET, b'"127.%d.' % (NET + placer))
--- a/kelpfront/lab/placersim.py
+++ b/kelpfront/lab/placersim.py
@@ -371,7 +371,6 @@
         self._running = False
         self._timer_at = float("inf")
         self._uids = itertools.count(1)
-        self._delivered: dict[tuple[str, int], None] = {}
 
     # ---- Life -----------------------------------------------------------------------------------------
 
--- a/kelpfront/lab/timeline/network.py
+++ b/kelpfront/lab/timeline/network.py
@@ -217,7 +217,6 @@
             return
         self._lost = True
         self._inbox.clear()
-        self._network.open_ends -= 1
         self._protocol.connection_lost(error)
 
 
@@ -226,7 +225,6 @@
 
     def __init__(self, seed: int) -> None:
         self.listeners: dict[tuple[str, int], Listener] = {}
-        self.open_ends = 0
         self.connections = 0
         self.bytes = 0
         self.usual = Link()
@@ -303,7 +301,6 @@
         near = MemoryTransport(self, here, own, (host, port), contextvars.copy_context())
         far = MemoryTransport(self, host, (host, port), own, listener.context.copy())
         near._peer, far._peer = far, near
-        self.open_ends += 2
         self.connections += 1
         await self._pass(host, here)
         protocol = factory()
--- a/tests/scheduling/test_scheduling_slow_start.py
+++ b/tests/scheduling/test_scheduling_slow_start.py
@@ -99,10 +99,6 @@
         """The most offers that any machine may see in any window."""
         return max((max_in_a_window(offers) for offers in self.offers.values()), default=0)
 
-    def excess(self) -> float:
-        """The excess of the worst window over the limit, in square roots of the limit."""
-        return (self.worst() - self.limit) / math.sqrt(self.limit)
-
 
 def max_in_a_window(offers: list[tuple[float, float]]) -> int:
     """Each offer falls anywhere in its interval; windows are half open."""
