--- a/kelpfront/agent/__init__.py
+++ b/kelpfront/agent/__init__.py
@@ -1,6 +1,6 @@
-"""The node agent: runs tasks as processes of its host and knows them after its own restart.
+"""The node agent: runs tasks as processes of its host and recognises them after its own restart.
 
-`recovery`, `usage` and `orphans` decide, without I/O. `supervisor` and `forkserver` are the small processes
-that outlive the agent and import the standard library only. `state` is what survives a power cut; `folders`
-is what the agent and its supervisors tell each other. `service` is the agent as it runs.
+`recovery`, `usage` and `orphans` decide without I/O. `supervisor` and `forkserver` are small processes that
+outlive the agent; they and what they import use the standard library only. `state` is what survives a power
+failure, `task_folder` is what the agent and its supervisors exchange, and `service` is the running agent.
 """
--- a/kelpfront/agent/evidence.py
+++ b/kelpfront/agent/evidence.py
@@ -1,101 +1,158 @@
-"""What a task's folder and the host say of it: the evidence that `recovery` judges."""
+"""Gathers what a task's folder and the host say of it, and reads and writes the folder's task record.
+
+What the evidence means is left to `recovery`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import cast
 
 import msgspec
 
-from kelpfront.agent import folders
-from kelpfront.agent.folders import Record, UnreadableError
-from kelpfront.agent.process import Identity, alive
-from kelpfront.agent.recovery import Claim, Evidence
-from kelpfront.machine.messages import OfferRequest
+from kelpfront.agent import task_folder
+from kelpfront.agent.process import ProcessIdentity, is_running
+from kelpfront.agent.recovery import ClaimState, Evidence
+from kelpfront.agent.task_folder import Record, UnreadableRecordError
+from kelpfront.agent.task_records import ExitRecord, StopRecord, agent_claim, is_void_claim
+from kelpfront.machine.messages import GoneCause, OfferRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """One folder, read. `supervisor` is who looks after it, if anybody was to; `stop` why it is to stop."""
+class FolderInspection:
+    """One folder, read.
+
+    Attributes:
+        evidence: what was found, to be classified.
+        supervisor: the last supervisor, if any was claimed or recorded.
+        process: the task's first process, if it was recorded.
+        stop: why the task is to stop, if it is.
+        exit: how the task ended, if that is recorded.
+    """
 
     evidence: Evidence
-    supervisor: Identity | None = None
-    process: Identity | None = None
-    stop: Record | None = None
-    exit: Record | None = None
+    supervisor: ProcessIdentity | None = None
+    process: ProcessIdentity | None = None
+    stop: StopRecord | None = None
+    exit: ExitRecord | None = None
+
+    @property
+    def stop_cause(self) -> GoneCause | None:
+        """Why the task is to stop, if it is; an agent has written one of the protocol's causes."""
+        return None if self.stop is None else cast("GoneCause", self.stop.cause)
+
+
+@dataclass(frozen=True, slots=True)
+class OutputLimits:
+    """Bounds of a task's output: bytes of one file, and the number of full files kept before it."""
+
+    file_bytes: int
+    older_files: int
+
 
+class _FolderReader:
+    """Reads records of one folder, and remembers whether one of them was damaged."""
 
-def look(folder: Path, boot: str, intent_boot: str) -> Found:
-    """Reads a folder; `intent_boot` is the boot of the host in which the start was intended."""
-    damaged = False
+    def __init__(self, folder: Path) -> None:
+        self._folder = folder
+        self.damaged = False
 
-    def get(name: str) -> Record | None:
-        nonlocal damaged
+    def read(self, name: str) -> Record | None:
+        """Return a record; None where it does not exist or is damaged."""
         try:
-            return folders.read(folder, name)
-        except UnreadableError:
-            damaged = True
+            return task_folder.read_record(self._folder, name)
+        except UnreadableRecordError:
+            self.damaged = True
             return None
 
-    its_exit = get(folders.EXIT)
-    claim: Claim = "none"
-    try:
-        claimed = folders.read(folder, folders.CLAIM)
-        if claimed is not None:
-            claim = "void" if claimed.get("by") == "agent" else "supervisor"
-    except UnreadableError:
-        claimed, claim = None, "unreadable"
-    started = get(folders.STARTED)
-    try:
-        _, watch = folders.last_watch(folder)
-    except UnreadableError:
-        watch, damaged = None, True
-    supervisor = _identity(watch) or _identity(claimed)
+    def read_last_replacement(self) -> Record | None:
+        """Return the record of the last supervisor that replaced one; None where none did."""
+        try:
+            return task_folder.last_replacement(self._folder).record
+        except UnreadableRecordError:
+            self.damaged = True
+            return None
+
+
+def inspect_folder(folder: Path, boot_id: str, intent_boot_id: str) -> FolderInspection:
+    """Read a folder.
+
+    `boot_id` is the host's current boot, `intent_boot_id` that in which the start was intended.
+    """
+    reader = _FolderReader(folder)
+    exit_record = reader.read(task_folder.EXIT)
+    claim_state, claim = _read_claim(folder)
+    started = reader.read(task_folder.STARTED)
+    replacement = reader.read_last_replacement()
+    supervisor = _identity(replacement) or _identity(claim)
     process = _identity(started)
+    running = reader.read(task_folder.RUNNING)
+    exit_found = None if exit_record is None else ExitRecord.from_record(exit_record)
     evidence = Evidence(
-        same_boot=intent_boot == boot,
-        claim=claim,
+        same_boot=intent_boot_id == boot_id,
+        claim=claim_state,
         started=started is not None,
-        running=get(folders.RUNNING) is not None,
-        exit_ran=None if its_exit is None else bool(its_exit.get("ran", True)),
-        supervisor_alive=supervisor is not None and alive(supervisor, boot),
-        process_alive=process is not None and alive(process, boot),
-        damaged=damaged,
+        running=running is not None,
+        exit_ran=None if exit_found is None else exit_found.ran,
+        supervisor_runs=supervisor is not None and is_running(supervisor, boot_id),
+        process_runs=process is not None and is_running(process, boot_id),
+        damaged=reader.damaged,
     )
-    return Found(evidence, supervisor, process, get(folders.STOP), its_exit)
+    # A damaged stop record is no evidence of whether the task ran: it is read after the evidence is complete.
+    stop_record = reader.read(task_folder.STOP)
+    stop = None if stop_record is None else StopRecord.from_record(stop_record)
+    return FolderInspection(evidence, supervisor, process, stop, exit_found)
 
 
-def _identity(record: Record | None) -> Identity | None:
+def _read_claim(folder: Path) -> tuple[ClaimState, Record | None]:
     try:
-        return None if record is None else Identity(record["pid"], record["ticks"], record["boot"])
+        claim = task_folder.read_record(folder, task_folder.CLAIM)
+    except UnreadableRecordError:
+        return "unreadable", None
+    if claim is None:
+        return "none", None
+    return ("void" if is_void_claim(claim) else "supervisor"), claim
+
+
+def _identity(record: Record | None) -> ProcessIdentity | None:
+    if record is None:
+        return None
+    try:
+        return ProcessIdentity.from_record(record)
     except KeyError:
         return None
 
 
 def void_start(folder: Path) -> bool:
-    """Claims a start so that no supervisor can; False where one has."""
+    """Claim a start so that no supervisor can; return False where one has. Raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
-    return folders.write_once(folder, folders.CLAIM, {"by": "agent"})
+    return task_folder.write_once(folder, task_folder.CLAIM, agent_claim())
+
 
+def encode_task_record(
+    request: OfferRequest, boot_id: str, since: float, env: dict[str, str], output: OutputLimits
+) -> Record:
+    """Return what a supervisor needs of a task, and a later agent that has lost its state.
 
-def task_record(request: OfferRequest, boot: str, since: float, env: dict[str, str], log: Any) -> Record:
-    """What a supervisor needs of a task, and a later agent that has lost its state."""
-    run = request.offer.run
-    assert run is not None
+    `since` is the time of the intent, in milliseconds of the cluster's clock.
+    """
+    command = request.offer.run
+    assert command is not None
     return {
         "request": msgspec.to_builtins(request),
-        "boot": boot,
+        "boot": boot_id,
         "since": since,
-        "run": {"argv": list(run.argv), "workdir": run.workdir, "grace_ms": run.grace_ms},
+        "run": {"argv": list(command.argv), "workdir": command.workdir, "grace_ms": command.grace_ms},
         "env": env,
-        **log,
+        "log_bytes": output.file_bytes,
+        "log_files": output.older_files,
     }
 
 
-def request_of(record: Record) -> OfferRequest:
-    """The offer that a task was started for; UnreadableError where it is not to be had."""
+def decode_task_request(record: Record) -> OfferRequest:
+    """Return the offer that a task was started for. Raises UnreadableRecordError."""
     try:
         return msgspec.convert(record["request"], OfferRequest)
     except (KeyError, msgspec.ValidationError) as error:
-        raise UnreadableError(f"task record: {error}") from None
+        raise UnreadableRecordError(f"task record: {error}") from error
--- a/kelpfront/agent/orphans.py
+++ b/kelpfront/agent/orphans.py
@@ -1,9 +1,9 @@
-"""Tasks whose placer does not come back. Pure.
+"""Detects placers that do not come back for their tasks. Pure.
 
-A placer may be away for long, and its tasks are to run on when it dies: so says the protocol. But a placer
-that was taken out of the cluster never comes back for its tasks, and they would hold their room for ever.
-The rule: a placer that has had no stream here for `after_ms` in a row has left its tasks; they are stopped,
-once, as lost. Time in which the agent itself was away does not count.
+A placer may be disconnected for long, and by the protocol its tasks run on when it dies. But a placer that
+was taken out of the cluster never comes back, and its tasks would hold their capacity for ever. So the tasks
+of a placer that has had no stream here for a timeout without interruption are orphaned. Time in which the
+agent itself was down does not count. Stopping the tasks is left to the service.
 """
 
 from __future__ import annotations
@@ -14,21 +14,24 @@
 
 
 @dataclass(slots=True)
-class Orphans:
-    """`after_ms` is infinite where tasks of placers that are away are kept for ever."""
+class OrphanDetector:
+    """Follows the placers that own tasks here; with an infinite `timeout_ms` none ever expires."""
 
-    after_ms: float
-    _away_since: dict[str, float] = field(default_factory=dict)
+    timeout_ms: float
+    _disconnected_since: dict[str, float] = field(default_factory=dict)
 
-    def left(self, now: float, owners: Iterable[str], connected: Iterable[str]) -> list[str]:
-        """Placers with tasks here that have been away for too long."""
-        present = set(connected)
-        owning = set(owners)
-        for placer in list(self._away_since):
-            if placer in present or placer not in owning:
-                del self._away_since[placer]
-        for placer in owning - present:
-            self._away_since.setdefault(placer, now)
-        if math.isinf(self.after_ms):
+    def expired_placers(self, now: float, owners: Iterable[str], connected: Iterable[str]) -> list[str]:
+        """Return the owners that have been disconnected for the timeout; `now` in milliseconds."""
+        connected_placers = set(connected)
+        owning_placers = set(owners)
+        disconnected_owners = owning_placers - connected_placers
+        for placer in list(self._disconnected_since):
+            if placer not in disconnected_owners:
+                del self._disconnected_since[placer]
+        for placer in disconnected_owners:
+            self._disconnected_since.setdefault(placer, now)
+        if math.isinf(self.timeout_ms):
             return []
-        return sorted(p for p, since in self._away_since.items() if now - since >= self.after_ms)
+        return sorted(
+            placer for placer, since in self._disconnected_since.items() if now - since >= self.timeout_ms
+        )
--- a/kelpfront/agent/process.py
+++ b/kelpfront/agent/process.py
@@ -1,8 +1,8 @@
-"""Processes of this host, known by pid, start time and the host's boot together. Standard library only.
+"""Processes of this host, identified by pid, start time and boot together. Standard library only.
 
-A pid is given out again; together with the time at which its process started, in clock ticks since the boot
-(field 22 of /proc/PID/stat, proc(5)), and the boot's id it names one process for ever. Ticks since the boot
-do not move when the wall clock is set, which times of day made from them do.
+A pid is reused. Together with the time at which its process started, in clock ticks since the boot (field 22
+of /proc/PID/stat, proc(5)), and the id of the boot it identifies one process for ever. Ticks since the boot
+do not change when the wall clock is set; times of day derived from them do.
 """
 
 from __future__ import annotations
@@ -11,50 +11,67 @@
 import signal
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
+from typing import Any
 
-DEAD_STATES = frozenset("ZXx")
+ENDED_STATES = frozenset("ZXx")
+"""States in /proc/PID/stat of a process that has ended and was not waited for, or is being removed."""
+
+INIT_PID = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Identity:
-    """One process for ever."""
+class ProcessIdentity:
+    """One process for ever; `start_ticks` are clock ticks from the boot to its start."""
 
     pid: int
-    ticks: int  # since the boot, at which it started
-    boot: str
+    start_ticks: int
+    boot_id: str
+
+    def to_record(self) -> dict[str, Any]:
+        """Return the form in which task folders hold an identity."""
+        return {"pid": self.pid, "ticks": self.start_ticks, "boot": self.boot_id}
+
+    @classmethod
+    def from_record(cls, record: dict[str, Any]) -> ProcessIdentity:
+        """Read an identity from a record of a task folder. Raises KeyError where a field is missing."""
+        return cls(record["pid"], record["ticks"], record["boot"])
 
 
 @dataclass(frozen=True, slots=True)
-class Stat:
-    """A line of /proc/PID/stat, as far as it is needed."""
+class ProcessStat:
+    """The fields of /proc/PID/stat that are needed here."""
 
     pid: int
     state: str
-    ppid: int
-    session: int
-    ticks: int
+    parent_pid: int
+    session_id: int
+    start_ticks: int
 
 
-def boot_id() -> str:
-    """One boot of the host."""
+def read_boot_id() -> str:
+    """Return the id of the host's current boot."""
     with open("/proc/sys/kernel/random/boot_id") as file:
         return file.read().strip()
 
 
-def uptime_s() -> float:
-    """Seconds since the host's boot, with those that it slept."""
+def read_uptime_s() -> float:
+    """Return the seconds since the host's boot, including those in which it was suspended."""
     with open("/proc/uptime") as file:
         return float(file.read().split()[0])
 
 
-def parse_stat(pid: int, line: str) -> Stat:
-    """The program's name, in parentheses, may itself have spaces and parentheses: what counts is after."""
+def parse_stat(pid: int, line: str) -> ProcessStat:
+    """Parse a line of /proc/PID/stat.
+
+    The program's name is in parentheses and may itself contain spaces and parentheses, so that only what
+    follows the last one can be split into fields.
+    """
     fields = line.rpartition(")")[2].split()
-    return Stat(pid, fields[0], int(fields[1]), int(fields[3]), int(fields[19]))
+    return ProcessStat(pid, fields[0], int(fields[1]), int(fields[3]), int(fields[19]))
 
 
-def read_stat(pid: int) -> Stat | None:
-    """What /proc says of a process; None where there is none."""
+def read_stat(pid: int) -> ProcessStat | None:
+    """Return what /proc says of a process; None where there is none."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             return parse_stat(pid, file.read())
@@ -62,44 +79,42 @@
         return None
 
 
-def identify(pid: int, boot: str) -> Identity | None:
-    """The process that has this pid now."""
+def identify(pid: int, boot_id: str) -> ProcessIdentity | None:
+    """Return the identity of the process that has this pid now; None where there is none."""
     stat = read_stat(pid)
-    return None if stat is None else Identity(pid, stat.ticks, boot)
+    return None if stat is None else ProcessIdentity(pid, stat.start_ticks, boot_id)
 
 
-def is_alive(identity: Identity, boot: str, stat: Stat | None) -> bool:
-    """Whether `stat`, what has the identity's pid now, is the same process and has not ended."""
-    return (
-        stat is not None
-        and identity.boot == boot
-        and stat.pid == identity.pid
-        and stat.ticks == identity.ticks
-        and stat.state not in DEAD_STATES
-    )
+def is_same_running_process(identity: ProcessIdentity, boot_id: str, stat: ProcessStat | None) -> bool:
+    """Return whether `stat`, of the process that has the identity's pid now, is that process and it runs."""
+    if stat is None or identity.boot_id != boot_id:
+        return False
+    is_same_process = stat.pid == identity.pid and stat.start_ticks == identity.start_ticks
+    return is_same_process and stat.state not in ENDED_STATES
 
 
-def alive(identity: Identity, boot: str) -> bool:
-    return is_alive(identity, boot, read_stat(identity.pid))
+def is_running(identity: ProcessIdentity, boot_id: str) -> bool:
+    """Return whether a process has not ended; `boot_id` is the host's current boot."""
+    return is_same_running_process(identity, boot_id, read_stat(identity.pid))
 
 
-def open_pidfd(identity: Identity, boot: str) -> int | None:
-    """A descriptor of just this process, which turns readable at its end; None where it has ended.
+def open_pidfd(identity: ProcessIdentity, boot_id: str) -> int | None:
+    """Open a descriptor of exactly this process, which turns readable when it ends; None where it has ended.
 
-    The identity is looked at after the descriptor was had: from then on the pid cannot mean another.
+    The identity is checked after the descriptor is open: from then on the pid cannot be another process's.
     """
     try:
-        fd = os.pidfd_open(identity.pid)
+        descriptor = os.pidfd_open(identity.pid)
     except OSError:
         return None
-    if alive(identity, boot):
-        return fd
-    os.close(fd)
+    if is_running(identity, boot_id):
+        return descriptor
+    os.close(descriptor)
     return None
 
 
 def send_signal(pidfd: int, number: int) -> bool:
-    """False where the process has ended."""
+    """Send a signal to the process of a descriptor; return False where it has ended."""
     try:
         signal.pidfd_send_signal(pidfd, number)
     except ProcessLookupError:
@@ -107,34 +122,43 @@
     return True
 
 
-def all_stats() -> Iterator[Stat]:
+def all_stats() -> Iterator[ProcessStat]:
+    """Yield the state of each process of this host."""
     for name in os.listdir("/proc"):
-        if name.isdigit() and (stat := read_stat(int(name))) is not None:
+        if not name.isdigit():
+            continue
+        stat = read_stat(int(name))
+        if stat is not None:
             yield stat
 
 
-def below(stats: Iterable[Stat], root: int | None, sessions: frozenset[int] = frozenset()) -> list[int]:
-    """Living processes below `root`, and those of some sessions with all below them; without `root` itself.
+def select_descendants(
+    stats: Iterable[ProcessStat], root: int | None, sessions: frozenset[int] = frozenset()
+) -> list[int]:
+    """Return the pids of running processes below `root`, and of those in `sessions` with all below them.
 
-    Pure. Without a root only the sessions count: nothing is ever taken for a child of nobody.
+    The root itself is not among them. Without a root only the sessions count: no process counts as a child
+    of nobody. Pure.
     """
     children: dict[int, list[int]] = {}
     found: dict[int, None] = {}
     for stat in stats:
-        if stat.state in DEAD_STATES or stat.pid <= 1:
+        if stat.state in ENDED_STATES or stat.pid <= INIT_PID:
             continue
-        children.setdefault(stat.ppid, []).append(stat.pid)
-        if stat.session in sessions and stat.pid != root:
+        children.setdefault(stat.parent_pid, []).append(stat.pid)
+        if stat.session_id in sessions and stat.pid != root:
             found[stat.pid] = None
-    todo = [*([root] if root is not None and root > 1 else []), *found]
-    while todo:
-        for pid in children.get(todo.pop(), ()):
+    to_visit = list(found)
+    if root is not None and root > INIT_PID:
+        to_visit.insert(0, root)
+    while to_visit:
+        for pid in children.get(to_visit.pop(), ()):
             if pid not in found and pid != root:
                 found[pid] = None
-                todo.append(pid)
+                to_visit.append(pid)
     return list(found)
 
 
-def descendants(root: int | None, sessions: frozenset[int] = frozenset()) -> list[int]:
-    """`below` of all processes of this host."""
-    return below(all_stats(), root, sessions)
+def find_descendants(root: int | None, sessions: frozenset[int] = frozenset()) -> list[int]:
+    """Return `select_descendants` of all processes of this host."""
+    return select_descendants(all_stats(), root, sessions)
--- /dev/null
+++ b/kelpfront/agent/supervision.py
@@ -0,0 +1,133 @@
+"""Follows the supervisors of tasks, and finds out what became of a task whose supervisor has ended.
+
+A supervisor's end is seen at once by a descriptor of its process. What it means is classified by `recovery`;
+the node is told by `task_completion`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+import structlog
+
+from kelpfront.agent.evidence import FolderInspection, inspect_folder, void_start
+from kelpfront.agent.forkserver_client import ForkedSupervisor, ForkServerError
+from kelpfront.agent.process import ProcessIdentity, open_pidfd
+from kelpfront.agent.recovery import RecoveredState, classify
+from kelpfront.agent.runtime_context import RuntimeContext
+from kelpfront.agent.supervisor import request_stop_check
+from kelpfront.agent.task_completion import TaskCompletion, stop_watching
+from kelpfront.agent.task_run import NO_PIDFD, TaskRun
+
+log = structlog.get_logger("kelpfront.agent")
+
+RETRY_INTERVAL_S = 0.5  # between attempts at what a full disk or a lack of processes prevents
+
+
+class Supervision:
+    """Of the runs of one node."""
+
+    def __init__(self, context: RuntimeContext, completion: TaskCompletion) -> None:
+        self._context = context
+        self._completion = completion
+        self._closed = False
+
+    def close(self) -> None:
+        """Begin nothing more."""
+        self._closed = True
+
+    async def watch_forked(self, run: TaskRun, forked: ForkedSupervisor) -> None:
+        """Follow a supervisor that the fork server has made."""
+        await self.watch(run, ProcessIdentity(forked.pid, forked.start_ticks, self._context.boot_id))
+
+    async def watch(self, run: TaskRun, supervisor: ProcessIdentity) -> None:
+        """Follow a supervisor until its end."""
+        run.supervisor = supervisor
+        pidfd = open_pidfd(supervisor, self._context.boot_id)
+        if pidfd is None:
+            await self.settle(run)
+            return
+        run.pidfd = pidfd
+        asyncio.get_running_loop().add_reader(pidfd, self._on_supervisor_ended, run)
+        if run.stop_cause is not None and not request_stop_check(pidfd):
+            self._on_supervisor_ended(run)
+        else:
+            self.check_running(run)
+
+    def _on_supervisor_ended(self, run: TaskRun) -> None:
+        stop_watching(run)
+        self._context.checkpoint("exit-seen")
+        self._context.background.spawn(self.settle(run))
+
+    def check_running(self, run: TaskRun) -> None:
+        """Read a task's folder for whether it runs: the supervisor's notice may be lost."""
+        if run.over or run.running:
+            return
+        if self._inspect(run).evidence.running:
+            self._completion.report_running(run)
+
+    def _inspect(self, run: TaskRun) -> FolderInspection:
+        return inspect_folder(run.folder, self._context.boot_id, run.record.boot_id)
+
+    async def settle(self, run: TaskRun) -> None:
+        """Find out what became of a task whose supervisor is not followed, and go on from that.
+
+        Cancelled while it waits it leaves the folder as it is, which the next agent classifies again.
+        """
+        while not (run.over or self._closed):
+            inspection = self._inspect(run)
+            state = classify(inspection.evidence)
+            if state is RecoveredState.UNCLAIMED:
+                if self._void_start(run):
+                    continue  # whoever has the claim now decides
+            elif state is RecoveredState.UNSUPERVISED:
+                if await self._replace_supervisor(run):
+                    return
+            else:
+                await self._act_on(run, inspection, state)
+                return
+            await asyncio.sleep(RETRY_INTERVAL_S)
+
+    async def _act_on(self, run: TaskRun, inspection: FolderInspection, state: RecoveredState) -> None:
+        """Report a task that is over, or follow the supervisor of one that goes on."""
+        match state:
+            case RecoveredState.NOT_EXECUTED:
+                reason = "" if inspection.exit is None else inspection.exit.error
+                self._completion.report_not_executed(run, reason or "its start was not begun")
+            case RecoveredState.ENDED | RecoveredState.ENDED_UNOBSERVED:
+                program_loaded = state is RecoveredState.ENDED or inspection.evidence.running
+                self._completion.report_ended(run, inspection, program_loaded=program_loaded)
+            case _:
+                assert inspection.supervisor is not None
+                if inspection.evidence.running:
+                    self._completion.report_running(run)
+                if run.pidfd == NO_PIDFD:
+                    await self.watch(run, inspection.supervisor)
+
+    def _void_start(self, run: TaskRun) -> bool:
+        """Void a start that nobody has claimed; return whether its claim is written, by whomever."""
+        try:
+            void_start(run.folder)
+        except OSError as error:
+            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+                "start not voided", task=run.task, error=str(error), retry_s=RETRY_INTERVAL_S
+            )
+            return False
+        return True
+
+    async def _replace_supervisor(self, run: TaskRun) -> bool:
+        """Have another supervisor take the place of one that died; return whether one is followed now."""
+        self._completion.report_running(run)
+        log.warning("supervisor died", task=run.task, replacements=run.replacements)
+        if run.replacements:
+            await asyncio.sleep(RETRY_INTERVAL_S)  # whatever ends them must not make this a busy loop
+        run.replacements += 1
+        try:
+            forked = await self._context.forkserver.replace_supervisor(run.folder)
+        except ForkServerError as error:
+            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+                "supervisor not replaced", task=run.task, error=str(error), retry_s=RETRY_INTERVAL_S
+            )
+            return False
+        await self.watch_forked(run, forked)
+        return True
--- a/kelpfront/cli/agent.py
+++ b/kelpfront/cli/agent.py
@@ -53,7 +53,8 @@
 
     The line with its URL goes to standard output, the log to standard error.
     """
-    from kelpfront.agent.service import AgentError, AgentService
+    from kelpfront.agent.errors import AgentError
+    from kelpfront.agent.service import AgentService
     from kelpfront.logs import configure_logs
 
     its = load(config_path, overrides)
--- a/kelpfront/cli/serve.py
+++ b/kelpfront/cli/serve.py
@@ -105,7 +105,7 @@
     protocol: Literal["http", "grpc"],
 ) -> None:
     """Run stand-in machines, for rehearsal: the real protocol, simulated tasks, scripted faults."""
-    from kelpfront.agent.copies import FileCopies
+    from kelpfront.agent.idempotency_records import FileIdempotencyRecords
     from kelpfront.clock import CommonClock
     from kelpfront.inventory import Inventory
     from kelpfront.lab.recording import Recorder
@@ -135,7 +135,7 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
         recorder = Recorder("machines", record)
-        board = None if copies is None else FileCopies(copies)
+        board = None if copies is None else FileIdempotencyRecords(copies)
         fleet = Fleet(its, hosts, model, seed, CommonClock().now, recorder, board, protocol)
         ports = None
         if write_inventory is None:
--- a/kelpfront/lab/agentcost.py
+++ b/kelpfront/lab/agentcost.py
@@ -16,8 +16,9 @@
 import msgspec
 import psutil
 
-from kelpfront.agent import folders
-from kelpfront.agent.spawner import Spawner
+from kelpfront.agent import task_folder
+from kelpfront.agent.forkserver_client import ForkServerClient
+from kelpfront.agent.task_records import agent_claim
 from kelpfront.http.client import HttpConnection
 from kelpfront.lab.agents import AgentTask
 from kelpfront.lab.figures import latencies
@@ -290,17 +291,17 @@
 
 async def fork_starts(work: Path) -> dict[str, Any]:
     """A supervisor by the forkserver: milliseconds until it is there. What it has for itself is in `held`."""
-    spawner = Spawner(work)
-    await spawner.open()
+    forkserver = ForkServerClient(work)
+    await forkserver.open()
     took = []
     try:
         for number in range(PYTHON_STARTS):
             folder = work / f"fork-{number}"
             folder.mkdir()
-            folders.write_once(folder, folders.CLAIM, {"by": "agent"})  # voided: it forks, and ends
+            task_folder.write_once(folder, task_folder.CLAIM, agent_claim())  # voided: it forks, and ends
             began = time.perf_counter()
-            await spawner.start(folder)
+            await forkserver.start_supervisor(folder)
             took.append((time.perf_counter() - began) * 1000.0)
     finally:
-        await spawner.close()
+        await forkserver.close()
     return {"start_ms": latencies(took)}
--- a/kelpfront/lab/agents.py
+++ b/kelpfront/lab/agents.py
@@ -18,8 +18,10 @@
 
 import msgspec
 
+from kelpfront.agent.errors import AgentError
+from kelpfront.agent.node_setup import HostFacts
 from kelpfront.agent.server import AgentServer
-from kelpfront.agent.service import AgentError, AgentService, HostFacts
+from kelpfront.agent.service import AgentService
 from kelpfront.clock import CommonClock
 from kelpfront.config.agent import read_agent_config
 from kelpfront.http.messages import Request
@@ -132,7 +134,7 @@
     config = read_agent_config(Path(its.config), its.overrides)
     configure_logs(config.log.level, config.log.format, machine=config.agent.name)
     real = HostFacts.read()
-    facts = HostFacts(its.boot or real.boot, real.uptime_ms if its.uptime_ms is None else its.uptime_ms)
+    facts = HostFacts(its.boot or real.boot_id, real.uptime_ms if its.uptime_ms is None else its.uptime_ms)
     clock = CommonClock(stepping_wall(its.wall_ahead_s, its.wall_steps))
     death = Death(its.kill_at)
     recorder = Recorder("agent", Path(its.record), at_once=True) if its.record else None
@@ -140,7 +142,7 @@
     if recorder is not None:
         RecordedServer.recorder = recorder
         kind = RecordedAgent
-    service = kind(config, clock=clock, facts=facts, at=death.at)
+    service = kind(config, clock=clock, host=facts, checkpoint=death.at)
     await service.start()
     if recorder is not None and its.records_boot:
         slow_start, settings = service.node.settings.slow_start, service.node.settings
--- a/kelpfront/lab/reap.py
+++ b/kelpfront/lab/reap.py
@@ -20,7 +20,7 @@
         with contextlib.suppress(ValueError, KeyError, OSError):
             found = json.loads(path.read_bytes())
             stat = read_stat(found["pid"])
-            if stat is None or stat.ticks != found["ticks"]:
+            if stat is None or stat.start_ticks != found["ticks"]:
                 continue
             count += 1
             if path.stem == "started":
--- a/kelpfront/lab/wrongagents.py
+++ b/kelpfront/lab/wrongagents.py
@@ -2,70 +2,79 @@
 
 from __future__ import annotations
 
+import dataclasses
 from pathlib import Path
 
-from kelpfront.agent.evidence import Found
-from kelpfront.agent.runtime import Run, Runtime
+from kelpfront.agent.adoption import TaskAdoption
+from kelpfront.agent.evidence import FolderInspection
+from kelpfront.agent.runtime import Runtime
 from kelpfront.agent.service import AgentService
-from kelpfront.agent.state import End, Opened, Recorded
-from kelpfront.agent.takeup import TakeUp
+from kelpfront.agent.state_records import StoredState, TaskEnd, TaskRecord
+from kelpfront.agent.task_completion import TaskCompletion
+from kelpfront.agent.task_run import TaskRun
 from kelpfront.machine.effects import StartTask
 from kelpfront.machine.model import Phase
 from kelpfront.machine.restoration import RestoredTask
 
 
-class _ForgetfulTakeUp(TakeUp):
-    def run(self, now: float, opened: Opened) -> None:
+class _ForgetfulAdoption(TaskAdoption):
+    def adopt_all(self, now: float, stored: StoredState) -> None:
         pass
 
 
 class Forgets(AgentService):
     """Starts with an empty memory."""
 
-    takeup_class = _ForgetfulTakeUp
+    adoption_class = _ForgetfulAdoption
 
 
-class _EagerTakeUp(TakeUp):
-    def take_up(self, now: float, record: Recorded, folder: Path, doubtful: bool) -> None:
-        super().take_up(now, record, folder, doubtful)
+class _EagerAdoption(TaskAdoption):
+    def adopt(self, now: float, record: TaskRecord, folder: Path, *, is_doubtful: bool) -> None:
+        super().adopt(now, record, folder, is_doubtful=is_doubtful)
         if record.end is None and record.request.offer.task in self.node.tasks:
-            run = Run(record, folder.with_name(f"{folder.name}.again"))
-            self._runtime._spawn(self._runtime._start(run))
+            run = TaskRun(record, folder.with_name(f"{folder.name}.again"))
+            self.runtime.launch(run)
 
 
 class StartsAgain(AgentService):
     """Starts what it finds running, as if only the intent counted."""
 
-    takeup_class = _EagerTakeUp
+    adoption_class = _EagerAdoption
 
 
-class _SilentTakeUp(TakeUp):
-    def end(self, record: Recorded, folder: Path, end: End) -> None:
+class _SilentAdoption(TaskAdoption):
+    def record_end(self, record: TaskRecord, folder: Path, end: TaskEnd) -> None:
         pass
 
 
 class DropsExits(AgentService):
     """Does not tell of exits that came while it was away."""
 
-    takeup_class = _SilentTakeUp
+    adoption_class = _SilentAdoption
 
 
-class _DenyingTakeUp(TakeUp):
-    def take_up(self, now: float, record: Recorded, folder: Path, doubtful: bool) -> None:
-        self.end(record, folder, End("failed", False, message="never ran"))
+class _DenyingAdoption(TaskAdoption):
+    def adopt(self, now: float, record: TaskRecord, folder: Path, *, is_doubtful: bool) -> None:
+        self.record_end(record, folder, TaskEnd("failed", False, message="never ran"))
 
 
 class TakesRunningForNeverRun(AgentService):
     """Says of what it finds running that it never ran."""
 
-    takeup_class = _DenyingTakeUp
+    adoption_class = _DenyingAdoption
+
+
+class _HalfCompletion(TaskCompletion):
+    def report_ended(self, run: TaskRun, inspection: FolderInspection, *, program_loaded: bool) -> None:
+        exited = inspection.exit
+        if exited is not None and exited.cpu_s:
+            halved = dataclasses.replace(exited, cpu_s=exited.cpu_s * 0.5)
+            inspection = dataclasses.replace(inspection, exit=halved)
+        super().report_ended(run, inspection, program_loaded=program_loaded)
 
 
 class _HalfRuntime(Runtime):
-    def _over(self, run: Run, found: Found, seen: bool) -> None:
-        if found.exit is not None and found.exit.get("cpu_s"):
-            found.exit["cpu_s"] *= 0.5
-        super()._over(run, found, seen)
+    completion_class = _HalfCompletion
 
 
 class HalvesUse(AgentService):
@@ -74,34 +83,38 @@
     runtime_class = _HalfRuntime
 
 
-class _DeafRuntime(Runtime):
-    def _over(self, run: Run, found: Found, seen: bool) -> None:
+class _DeafCompletion(TaskCompletion):
+    def report_ended(self, run: TaskRun, inspection: FolderInspection, *, program_loaded: bool) -> None:
         if hash_of(run.task) % 3:
-            super()._over(run, found, seen)
+            super().report_ended(run, inspection, program_loaded=program_loaded)
+
+
+class _DeafRuntime(Runtime):
+    completion_class = _DeafCompletion
 
 
-class _DeafTakeUp(TakeUp):
-    def end(self, record: Recorded, folder: Path, end: End) -> None:
-        if end.ran and not hash_of(record.key[0]) % 3:
+class _DeafAdoption(TaskAdoption):
+    def record_end(self, record: TaskRecord, folder: Path, end: TaskEnd) -> None:
+        if end.ran and not hash_of(record.key.task) % 3:
             restored = RestoredTask(record.request, Phase.RUNNING, record.since)
             self.node.restore(record.since, restored)
         else:
-            super().end(record, folder, end)
+            super().record_end(record, folder, end)
 
 
 class MissesExits(AgentService):
     """Does not see the exits of some tasks, and after a restart shows them as running still."""
 
     runtime_class = _DeafRuntime
-    takeup_class = _DeafTakeUp
+    adoption_class = _DeafAdoption
 
 
 class _DoubleRuntime(Runtime):
     def start_task(self, start: StartTask) -> None:
         super().start_task(start)
-        run = self.runs[start.offer.task]
-        twin = Run(run.record, run.folder.with_name(f"{run.folder.name}.twin"))
-        self._spawn(self._start(twin))
+        run = self.runs.get(start.offer.task)
+        assert run is not None
+        self.launch(TaskRun(run.record, run.folder.with_name(f"{run.folder.name}.twin")))
 
 
 class StartsTwice(AgentService):
@@ -113,11 +126,10 @@
 class Unsynced(AgentService):
     """Does not wait for the disk: what a durable start costs is the difference."""
 
-    def _open_state(self) -> Opened:
-        opened = super()._open_state()
-        assert self._state._db is not None
-        self._state._db.execute("PRAGMA synchronous=OFF")
-        return opened
+    def _open_state(self) -> StoredState:
+        stored = super()._open_state()
+        self._state.database.connection.execute("PRAGMA synchronous=OFF")
+        return stored
 
 
 def hash_of(text: str) -> int:
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -409,7 +409,7 @@
 def _children(pid: int) -> list[int]:
     from kelpfront.agent.process import all_stats
 
-    return [stat.pid for stat in all_stats() if stat.ppid == pid]
+    return [stat.pid for stat in all_stats() if stat.parent_pid == pid]
 
 
 # ---- State ------------------------------------------------------------------------------------------------
@@ -506,7 +506,7 @@
         db.close()
         await its.start(overrides=few)
         assert not (its.state / "trash").exists()
-        assert "passed over" in its.log.read_text()
+        assert "invalid task record ignored" in its.log.read_text()
         assert set(await snapshot(its)) == {"t9", "t10", "t11"}, "t9 by its folder"
         assert kind(await its.offer("new", START + "sleep 60")) == ("running", "")
 
--- a/tests/agent/test_agent_decisions.py
+++ b/tests/agent/test_agent_decisions.py
@@ -13,14 +13,24 @@
 from hypothesis import strategies as st
 from machines import NodeDriver, offer, request
 
-from kelpfront.agent.copies import FileCopies, NoCopies
-from kelpfront.agent.evidence import look, void_start
-from kelpfront.agent.folders import EXIT, STARTED, folder_name, read, write_once
-from kelpfront.agent.orphans import Orphans
-from kelpfront.agent.process import Identity, Stat, below, boot_id, identify, is_alive, parse_stat
-from kelpfront.agent.recovery import Claim, Evidence, Fate, cause_of, judge
-from kelpfront.agent.state import End, Recorded, State, StateError
-from kelpfront.agent.usage import ProcessSample, Smoothing, TreeSample, next_period_ms, trees
+from kelpfront.agent.idempotency_records import FileIdempotencyRecords, LocalIdempotencyRecords
+from kelpfront.agent.evidence import inspect_folder, void_start
+from kelpfront.agent.task_folder import EXIT, STARTED, folder_name, read_record, write_once
+from kelpfront.agent.orphans import OrphanDetector
+from kelpfront.agent.process import (
+    ProcessIdentity,
+    ProcessStat,
+    identify,
+    is_same_running_process,
+    parse_stat,
+    read_boot_id,
+    select_descendants,
+)
+from kelpfront.agent.recovery import ClaimState, Evidence, RecoveredState, classify, end_cause
+from kelpfront.agent.state import AgentState
+from kelpfront.agent.state_database import StateDatabase, StateError, write_record
+from kelpfront.agent.state_records import TaskEnd, TaskKey, TaskRecord
+from kelpfront.agent.usage import ProcessSample, TaskSample, UsageSmoother, next_period_ms, sum_by_task
 from kelpfront.machine.effects import SupersedeAttempt
 from kelpfront.machine.messages import Gone, Hello, OfferRequest, Snapshot, Taken, TaskReport
 from kelpfront.machine.model import Phase
@@ -29,7 +39,7 @@
 
 # ---- Fates ------------------------------------------------------------------------------------------------
 
-CLAIMS: tuple[Claim, ...] = ("none", "supervisor", "void", "unreadable")
+CLAIMS: tuple[ClaimState, ...] = ("none", "supervisor", "void", "unreadable")
 ALL_EVIDENCE = [
     Evidence(boot, claim, started, running, exit_ran, supervisor, process, damaged)
     for boot, claim, started, running, exit_ran, supervisor, process, damaged in itertools.product(
@@ -58,90 +68,100 @@
         or evidence.running
         or evidence.damaged
         or evidence.claim == "unreadable"
-        or evidence.supervisor_alive
-        or evidence.process_alive
+        or evidence.supervisor_runs
+        or evidence.process_runs
     )
 
 
 def test_what_may_have_run_is_never_told_as_never_run_nor_started_again() -> None:
     for evidence in ALL_EVIDENCE:
-        fate = judge(evidence)
+        fate = classify(evidence)
         if may_have_run(evidence):
-            assert fate not in (Fate.NEVER_RAN, Fate.UNCLAIMED), evidence
-        if fate is Fate.UNCLAIMED:
+            assert fate not in (RecoveredState.NOT_EXECUTED, RecoveredState.UNCLAIMED), evidence
+        if fate is RecoveredState.UNCLAIMED:
             assert evidence.same_boot and evidence.claim == "none" and not evidence.started
 
 
 def test_a_fate_that_goes_on_needs_something_that_lives() -> None:
     for evidence in ALL_EVIDENCE:
-        fate = judge(evidence)
-        if fate in (Fate.STARTING, Fate.RUNNING):
-            assert evidence.supervisor_alive and evidence.exit_ran is None and evidence.same_boot
-        if fate is Fate.UNWATCHED:
-            assert evidence.process_alive and not evidence.supervisor_alive
+        fate = classify(evidence)
+        if fate in (RecoveredState.STARTING, RecoveredState.RUNNING):
+            assert evidence.supervisor_runs and evidence.exit_ran is None and evidence.same_boot
+        if fate is RecoveredState.UNSUPERVISED:
+            assert evidence.process_runs and not evidence.supervisor_runs
 
 
 @pytest.mark.parametrize(
     ("evidence", "fate"),
     [
-        (Evidence(True, "none"), Fate.UNCLAIMED),
-        (Evidence(True, "void"), Fate.NEVER_RAN),
-        (Evidence(True, "supervisor"), Fate.NEVER_RAN),  # it died before it wrote the process down
-        (Evidence(True, "supervisor", supervisor_alive=True), Fate.STARTING),
-        (Evidence(True, "supervisor", True, True, None, True, True), Fate.RUNNING),
-        (Evidence(True, "supervisor", True, True, None, False, True), Fate.UNWATCHED),
-        (Evidence(True, "supervisor", True, True), Fate.ENDED_UNSEEN),
-        (Evidence(True, "supervisor", True, True, True), Fate.ENDED),
-        (Evidence(True, "supervisor", True, False, False), Fate.NEVER_RAN),
-        (Evidence(False, "none"), Fate.ENDED_UNSEEN),
-        (Evidence(False, "supervisor", True, True, True), Fate.ENDED),
+        (Evidence(True, "none"), RecoveredState.UNCLAIMED),
+        (Evidence(True, "void"), RecoveredState.NOT_EXECUTED),
+        (
+            Evidence(True, "supervisor"),
+            RecoveredState.NOT_EXECUTED,
+        ),  # it died before it wrote the process down
+        (Evidence(True, "supervisor", supervisor_runs=True), RecoveredState.STARTING),
+        (Evidence(True, "supervisor", True, True, None, True, True), RecoveredState.RUNNING),
+        (Evidence(True, "supervisor", True, True, None, False, True), RecoveredState.UNSUPERVISED),
+        (Evidence(True, "supervisor", True, True), RecoveredState.ENDED_UNOBSERVED),
+        (Evidence(True, "supervisor", True, True, True), RecoveredState.ENDED),
+        (Evidence(True, "supervisor", True, False, False), RecoveredState.NOT_EXECUTED),
+        (Evidence(False, "none"), RecoveredState.ENDED_UNOBSERVED),
+        (Evidence(False, "supervisor", True, True, True), RecoveredState.ENDED),
     ],
 )
-def test_fates_by_example(evidence: Evidence, fate: Fate) -> None:
-    assert judge(evidence) is fate
+def test_fates_by_example(evidence: Evidence, fate: RecoveredState) -> None:
+    assert classify(evidence) is fate
 
 
 def test_why_a_task_is_over_that_ended_unseen() -> None:
-    assert cause_of(None, True, True) == "ended" and cause_of("evicted", True, False) == "evicted"
-    assert cause_of("stopped", False, False) == "lost", "its host went down"
-    assert cause_of("stopped", False, True) == "stopped", "it had ended before"
+    assert (
+        end_cause(None, same_boot=True, exit_known=True) == "ended"
+        and end_cause("evicted", same_boot=True, exit_known=False) == "evicted"
+    )
+    assert end_cause("stopped", same_boot=False, exit_known=False) == "lost", "its host went down"
+    assert end_cause("stopped", same_boot=False, exit_known=True) == "stopped", "it had ended before"
 
 
 # ---- Processes --------------------------------------------------------------------------------------------
 
 
 def test_a_process_is_known_by_pid_start_and_boot() -> None:
-    identity = Identity(70, 1000, "a")
-    assert is_alive(identity, "a", Stat(70, "S", 1, 70, 1000))
-    assert not is_alive(identity, "a", None)
-    assert not is_alive(identity, "a", Stat(70, "S", 1, 70, 1001)), "a pid given out again"
-    assert not is_alive(identity, "b", Stat(70, "S", 1, 70, 1000)), "another boot"
-    assert not is_alive(identity, "a", Stat(70, "Z", 1, 70, 1000)), "ended, not waited for"
-    me = identify(os.getpid(), boot_id())
+    identity = ProcessIdentity(70, 1000, "a")
+    assert is_same_running_process(identity, "a", ProcessStat(70, "S", 1, 70, 1000))
+    assert not is_same_running_process(identity, "a", None)
+    assert not is_same_running_process(identity, "a", ProcessStat(70, "S", 1, 70, 1001)), (
+        "a pid given out again"
+    )
+    assert not is_same_running_process(identity, "b", ProcessStat(70, "S", 1, 70, 1000)), "another boot"
+    assert not is_same_running_process(identity, "a", ProcessStat(70, "Z", 1, 70, 1000)), (
+        "ended, not waited for"
+    )
+    me = identify(os.getpid(), read_boot_id())
     assert me is not None and me.pid == os.getpid()
 
 
 def test_a_program_named_like_a_stat_line_is_read_right() -> None:
     line = "70 (a) R 1 2 (3) S 5 70 70 0 -1 0 0 0 0 0 1 2 3 4 20 0 1 0 424242 1 1"
-    assert parse_stat(70, line) == Stat(70, "S", 5, 70, 424242)
+    assert parse_stat(70, line) == ProcessStat(70, "S", 5, 70, 424242)
 
 
 def test_what_is_below_a_process_never_takes_in_the_whole_host() -> None:
     host = [
-        Stat(1, "S", 0, 1, 0),
-        Stat(2, "S", 0, 0, 0),
-        Stat(10, "S", 1, 10, 5),
-        Stat(11, "S", 10, 11, 6),
-        Stat(12, "S", 11, 11, 7),
-        Stat(13, "Z", 11, 11, 8),
-        Stat(14, "S", 1, 11, 9),  # forked away: only its session tells
-        Stat(15, "S", 14, 15, 9),
-        Stat(99, "S", 1, 99, 9),
+        ProcessStat(1, "S", 0, 1, 0),
+        ProcessStat(2, "S", 0, 0, 0),
+        ProcessStat(10, "S", 1, 10, 5),
+        ProcessStat(11, "S", 10, 11, 6),
+        ProcessStat(12, "S", 11, 11, 7),
+        ProcessStat(13, "Z", 11, 11, 8),
+        ProcessStat(14, "S", 1, 11, 9),  # forked away: only its session tells
+        ProcessStat(15, "S", 14, 15, 9),
+        ProcessStat(99, "S", 1, 99, 9),
     ]
-    assert sorted(below(host, 10)) == [11, 12]
-    assert sorted(below(host, None, frozenset({11}))) == [11, 12, 14, 15]
+    assert sorted(select_descendants(host, 10)) == [11, 12]
+    assert sorted(select_descendants(host, None, frozenset({11}))) == [11, 12, 14, 15]
     for root in (None, 0, 1, -1):
-        assert below(host, root) == []
+        assert select_descendants(host, root) == []
 
 
 # ---- Use --------------------------------------------------------------------------------------------------
@@ -154,26 +174,26 @@
         ProcessSample(12, 11, 0.25, 0.0, 20.0),
         ProcessSample(20, 1, 5.0, 5.0, 500.0),
     ]
-    assert trees(samples, {"t": 10, "gone": 77}) == {"t": TreeSample(3.75, 50.0, 2)}
+    assert sum_by_task(samples, {"t": 10, "gone": 77}) == {"t": TaskSample(3.75, 50.0, 2)}
 
 
 @given(st.lists(st.tuples(st.floats(1.0, 1e4), st.floats(0.0, 4.0)), min_size=1, max_size=30))
 @settings(derandomize=True)
 def test_smoothed_cores_stay_between_the_least_and_the_most(steps: list[tuple[float, float]]) -> None:
-    smoothing, now, cpu_s = Smoothing(1000.0), 0.0, 0.0
-    smoothing.take(now, TreeSample(0.0, 1.0, 1))
+    smoothing, now, cpu_s = UsageSmoother(1000.0), 0.0, 0.0
+    smoothing.add(now, TaskSample(0.0, 1.0, 1))
     most = 0.0
     for ms, cores in steps:
         now, cpu_s, most = now + ms, cpu_s + cores * ms / 1000.0, max(most, cores)
-        use = smoothing.take(now, TreeSample(cpu_s, 1.0, 1))
+        use = smoothing.add(now, TaskSample(cpu_s, 1.0, 1))
         assert -1e-9 <= use.cores <= most + 1e-6 and use.cpu_s == pytest.approx(cpu_s)
 
 
 def test_cpu_time_that_seems_to_go_back_and_clocks_that_stand_are_borne() -> None:
-    smoothing = Smoothing(0.0)
-    smoothing.take(1000.0, TreeSample(5.0, 1.0, 1))
-    assert smoothing.take(2000.0, TreeSample(4.0, 1.0, 1)).cpu_s == 5.0
-    again = smoothing.take(2000.0, TreeSample(7.0, 1.0, 1))
+    smoothing = UsageSmoother(0.0)
+    smoothing.add(1000.0, TaskSample(5.0, 1.0, 1))
+    assert smoothing.add(2000.0, TaskSample(4.0, 1.0, 1)).cpu_s == 5.0
+    again = smoothing.add(2000.0, TaskSample(7.0, 1.0, 1))
     assert again.cpu_s == 7.0 and again.cores == 0.0
 
 
@@ -186,14 +206,14 @@
 
 
 def test_a_placer_is_gone_only_after_all_its_time_in_a_row() -> None:
-    orphans = Orphans(1000.0)
-    assert orphans.left(0.0, {"a", "b"}, {"a"}) == []
-    assert orphans.left(900.0, {"a", "b"}, {"a"}) == []
-    assert orphans.left(950.0, {"a", "b"}, {"a", "b"}) == []  # b is back, for an instant
-    assert orphans.left(1500.0, {"a", "b"}, {"a"}) == []
-    assert orphans.left(2500.0, {"a", "b"}, {"a"}) == ["b"]
-    assert orphans.left(2600.0, {"a"}, {"a"}) == []
-    assert Orphans(float("inf")).left(1e18, {"a"}, ()) == []
+    orphans = OrphanDetector(1000.0)
+    assert orphans.expired_placers(0.0, {"a", "b"}, {"a"}) == []
+    assert orphans.expired_placers(900.0, {"a", "b"}, {"a"}) == []
+    assert orphans.expired_placers(950.0, {"a", "b"}, {"a", "b"}) == []  # b is back, for an instant
+    assert orphans.expired_placers(1500.0, {"a", "b"}, {"a"}) == []
+    assert orphans.expired_placers(2500.0, {"a", "b"}, {"a"}) == ["b"]
+    assert orphans.expired_placers(2600.0, {"a"}, {"a"}) == []
+    assert OrphanDetector(float("inf")).expired_placers(1e18, {"a"}, ()) == []
 
 
 # ---- The node over restarts -------------------------------------------------------------------------------
@@ -294,16 +314,16 @@
 def test_a_record_is_written_once_and_the_other_sees_it(tmp_path: Path) -> None:
     assert write_once(tmp_path, STARTED, {"pid": 1})
     assert not write_once(tmp_path, STARTED, {"pid": 2})
-    assert read(tmp_path, STARTED) == {"pid": 1}
+    assert read_record(tmp_path, STARTED) == {"pid": 1}
     assert [path.name for path in tmp_path.iterdir()] == ["started.json"]
 
 
 def test_only_one_of_agent_and_supervisor_has_a_start(tmp_path: Path) -> None:
     folder = tmp_path / "t@0"
-    assert judge(look(folder, "b", "b").evidence) is Fate.UNCLAIMED
+    assert classify(inspect_folder(folder, "b", "b").evidence) is RecoveredState.UNCLAIMED
     assert void_start(folder)
     assert not write_once(folder, "claim", {"by": "supervisor", "pid": 1, "ticks": 1, "boot": "b"})
-    assert judge(look(folder, "b", "b").evidence) is Fate.NEVER_RAN
+    assert classify(inspect_folder(folder, "b", "b").evidence) is RecoveredState.NOT_EXECUTED
 
 
 def test_records_that_cannot_be_read_are_taken_for_what_they_may_have_said(tmp_path: Path) -> None:
@@ -312,16 +332,16 @@
     folder.mkdir()
     write_once(folder, "claim", {"by": "supervisor", "pid": 2**22 + 1, "ticks": 1, "boot": "b"})
     (folder / f"{EXIT}.json").write_text('{"ran": tr')
-    assert judge(look(folder, "b", "b").evidence) is Fate.ENDED_UNSEEN
+    assert classify(inspect_folder(folder, "b", "b").evidence) is RecoveredState.ENDED_UNOBSERVED
     (folder / "claim.json").write_text("[]")
-    assert look(folder, "b", "b").evidence.claim == "unreadable"
+    assert inspect_folder(folder, "b", "b").evidence.claim == "unreadable"
 
 
 # ---- Copies -----------------------------------------------------------------------------------------------
 
 
 def test_one_copy_of_a_key_stands_among_agents(tmp_path: Path) -> None:
-    one, two = FileCopies(tmp_path), FileCopies(tmp_path)
+    one, two = FileIdempotencyRecords(tmp_path), FileIdempotencyRecords(tmp_path)
     assert one.claim("hall", "k", "n1", "t1") is None
     assert one.claim("hall", "k", "n1", "t1") is None, "its own"
     assert two.claim("hall", "k", "n2", "t9") == ("n1", "t1") == two.holder("hall", "k")
@@ -335,14 +355,14 @@
 
 
 def test_a_key_whose_entry_cannot_be_read_is_held_by_somebody(tmp_path: Path) -> None:
-    copies = FileCopies(tmp_path)
+    copies = FileIdempotencyRecords(tmp_path)
     copies.claim("hall", "k", "n1", "t1")
     next(tmp_path.glob("*.copy")).write_text("{")
     assert copies.claim("hall", "k", "n2", "t2") is not None
 
 
 def test_without_a_shared_folder_only_the_machine_itself_is_a_group() -> None:
-    copies = NoCopies("hall/rack/n1")
+    copies = LocalIdempotencyRecords("hall/rack/n1")
     assert copies.claim("hall", "k", "n1", "t1") is not None and copies.holder("hall", "k") is not None
     assert copies.claim("hall/rack/n1", "k", "n1", "t1") is None
     assert copies.claim("hall/rack/n1", "k", "n1", "t2") == ("n1", "t1")
@@ -353,55 +373,53 @@
 # ---- State ------------------------------------------------------------------------------------------------
 
 
-def recorded(task: str, **changes: object) -> Recorded:
-    return Recorded(OfferRequest("p0", "life", offer(task)), "boot", 1.0, 0, **changes)  # type: ignore[arg-type]
+def recorded(task: str, **changes: object) -> TaskRecord:
+    return TaskRecord(OfferRequest("p0", "life", offer(task)), "boot", 1.0, 0, **changes)  # type: ignore[arg-type]
 
 
 async def test_what_is_written_is_read_again_and_writes_share_a_transaction(tmp_path: Path) -> None:
-    state = State(tmp_path)
+    state = AgentState(tmp_path)
     assert state.open().records == []
     state.start()
-    await asyncio.gather(*(state.intend(recorded(f"t{n}")) for n in range(200)))
-    ended = recorded("t0", end=End("ended", True, 7, 1.5), seq=9)
-    await state.ended(ended)
-    await state.heard([("t0", 0)])
-    await state.forget([("t1", 0)])
-    await state.set_meta("seq", "5")
+    await asyncio.gather(*(state.record_intent(recorded(f"t{n}")) for n in range(200)))
+    ended = recorded("t0", end=TaskEnd("ended", True, 7, 1.5), end_seq=9)
+    await state.record_end(ended)
+    await state.record_acknowledged([TaskKey("t0", 0)])
+    await state.delete([TaskKey("t1", 0)])
+    await state.set_metadata("seq", "5")
     assert state.writes == 204 and state.transactions < 60
     await state.close()
-    found = State(tmp_path).open()
-    by_task = {record.key[0]: record for record in found.records}
-    assert len(by_task) == 199 and found.meta["seq"] == "5"
-    ended.heard = True
+    found = AgentState(tmp_path).open()
+    by_task = {record.key.task: record for record in found.records}
+    assert len(by_task) == 199 and found.metadata["seq"] == "5"
+    ended.end_acknowledged = True
     assert by_task["t0"] == ended
     report = by_task["t0"].report()
     assert isinstance(report, TaskReport) and (report.exit_code, report.cpu_s) == (7, 1.5)
 
 
 async def test_a_write_that_fails_says_so_and_others_of_its_batch_are_made(tmp_path: Path) -> None:
-    state = State(tmp_path, 64 << 10)
+    state = AgentState(tmp_path, 64 << 10)
     state.open()
     state.start()
-    writes = [state.intend(recorded(f"t{n}")) for n in range(2000)]
+    writes = [state.record_intent(recorded(f"t{n}")) for n in range(2000)]
     outcomes = await asyncio.gather(*writes, return_exceptions=True)
     failed = [outcome for outcome in outcomes if isinstance(outcome, StateError)]
     assert failed and "full" in str(failed[0])
     kept = {f"t{n}" for n, outcome in enumerate(outcomes) if outcome is None}
     await state.close()
-    assert {record.key[0] for record in State(tmp_path).open().records} == kept and kept
+    assert {record.key.task for record in AgentState(tmp_path).open().records} == kept and kept
 
 
 def test_rows_that_are_readable_are_taken_over_from_a_damaged_state(tmp_path: Path) -> None:
     db = sqlite3.connect(tmp_path / "state.db")
-    state = State(tmp_path)
-    state.open()
-    state._discard()
+    database = StateDatabase(tmp_path)
+    database.open()
+    database.close()
     db.close()
     db = sqlite3.connect(tmp_path / "state.db")
-    from kelpfront.agent.state import _insert
-
     for number in range(2000):
-        _insert(db, recorded(f"t{number:04}"))
+        write_record(db, recorded(f"t{number:04}"))
     db.commit()
     db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     db.close()
@@ -410,7 +428,7 @@
     place = len(data) * 9 // 10 // 4096 * 4096
     data[place : place + 4096] = bytes(4096)
     path.write_bytes(data)
-    opened = State(tmp_path).open()
-    assert opened.set_aside is not None and opened.damage
+    opened = AgentState(tmp_path).open()
+    assert opened.quarantine is not None and opened.damage
     assert 100 < len(opened.records) < 2000
-    assert (opened.set_aside / "state.db").read_bytes() == bytes(data)
+    assert (opened.quarantine / "state.db").read_bytes() == bytes(data)
--- a/tests/surfaces/surface_folders.py
+++ b/tests/surfaces/surface_folders.py
@@ -12,8 +12,10 @@
 from surface_golden import BOOT, GOLDEN, SEED, as_json
 from surface_machines import OFFER, PLAIN_OFFER
 
-from kelpfront.agent import evidence, folders
-from kelpfront.agent import state as agent_state
+from kelpfront.agent import evidence, task_folder
+from kelpfront.agent.evidence import FolderInspection, OutputLimits
+from kelpfront.agent.state import AgentState
+from kelpfront.agent.state_records import TaskEnd, TaskRecord
 from kelpfront.machine import messages as machine
 from kelpfront.store.log_directory import HostDirectory
 from kelpfront.store.write_ahead_log import WriteAheadLog
@@ -58,29 +60,29 @@
     ended, running = folder / "tasks" / "uid-a-2@1", folder / "tasks" / "uid-b-0@0"
     identity = {"pid": 4_000_001, "ticks": 77, "boot": BOOT}
     request = machine.OfferRequest("p0", "life-1", OFFER)
-    log = {"log_bytes": 4096, "log_files": 1}
-    folders.write_once(ended, folders.TASK, evidence.task_record(request, BOOT, 1e9, {"PATH": "/bin"}, log))
-    folders.write_once(ended, folders.CLAIM, {"by": "supervisor", **identity})
-    folders.write_once(ended, folders.STARTED, {**identity, "at": 1e9})
-    folders.write_once(ended, folders.RUNNING, {"at": 1e9})
-    folders.write_once(ended, folders.watch_name(1), identity)
-    folders.write_once(ended, folders.STOP, {"cause": "evicted", "grace_ms": 2500.0})
-    folders.write_once(ended, folders.EXIT, {"ran": True, "at": 1e9, "code": 3, "cpu_s": 0.25})
+    record = evidence.encode_task_record(request, BOOT, 1e9, {"PATH": "/bin"}, OutputLimits(4096, 1))
+    task_folder.write_once(ended, task_folder.TASK, record)
+    task_folder.write_once(ended, task_folder.CLAIM, {"by": "supervisor", **identity})
+    task_folder.write_once(ended, task_folder.STARTED, {**identity, "at": 1e9})
+    task_folder.write_once(ended, task_folder.RUNNING, {"at": 1e9})
+    task_folder.write_once(ended, task_folder.replacement_name(1), identity)
+    task_folder.write_once(ended, task_folder.STOP, {"cause": "evicted", "grace_ms": 2500.0})
+    task_folder.write_once(ended, task_folder.EXIT, {"ran": True, "at": 1e9, "code": 3, "cpu_s": 0.25})
     evidence.void_start(running)
 
 
 async def _write_state(folder: Path) -> None:
-    state = agent_state.State(folder)
+    state = AgentState(folder)
     state.open()
     state.start()
-    ended = agent_state.Recorded(machine.OfferRequest("p0", "life-1", OFFER), BOOT, 1e9, 1)
-    await state.intend(ended)
-    ended.end = agent_state.End("failed", True, 3, 0.25, "exit status 3")
-    ended.seq = 13
-    await state.ended(ended)
-    await state.heard([ended.key])
-    await state.intend(agent_state.Recorded(machine.OfferRequest("p1", "life-2", PLAIN_OFFER), BOOT, 2e9, 0))
-    await state.set_meta("unschedulable", "1")
+    ended = TaskRecord(machine.OfferRequest("p0", "life-1", OFFER), BOOT, 1e9, 1)
+    await state.record_intent(ended)
+    ended.end = TaskEnd("failed", True, 3, 0.25, "exit status 3")
+    ended.end_seq = 13
+    await state.record_end(ended)
+    await state.record_acknowledged([ended.key])
+    await state.record_intent(TaskRecord(machine.OfferRequest("p1", "life-2", PLAIN_OFFER), BOOT, 2e9, 0))
+    await state.set_metadata("unschedulable", "1")
     await state.close()
 
 
@@ -95,13 +97,26 @@
 
 def read_agent_state(folder: Path) -> bytes:
     """All that an agent that comes up makes of such a folder, which is changed by it: give it a copy."""
-    state = agent_state.State(folder)
-    opened = state.open()
+    state = AgentState(folder)
+    stored = state.open()
     asyncio.run(state.close())
-    found = [evidence.look(path, "boot-2", BOOT) for path in sorted((folder / "tasks").iterdir())]
-    task = folders.read(folder / "tasks" / "uid-a-2@1", folders.TASK)
+    paths = sorted((folder / "tasks").iterdir())
+    inspections = [_stored_forms(evidence.inspect_folder(path, "boot-2", BOOT)) for path in paths]
+    task = task_folder.read_record(folder / "tasks" / "uid-a-2@1", task_folder.TASK)
     assert task is not None
-    return as_json([opened, found, evidence.request_of(task)])
+    return as_json([stored, inspections, evidence.decode_task_request(task)])
+
+
+def _stored_forms(inspection: FolderInspection) -> list[object]:
+    """An inspection with the records of the stop and the exit as they are stored, to the last key."""
+    stop, exited = inspection.stop, inspection.exit
+    return [
+        inspection.evidence,
+        inspection.supervisor,
+        inspection.process,
+        None if stop is None else stop.to_record(),
+        None if exited is None else exited.to_record(),
+    ]
 
 
 def journal_read() -> bytes:
