--- a/tests/agent/test_agent_decisions.py
+++ b/tests/agent/test_agent_decisions.py
@@ -13,9 +13,8 @@
 from hypothesis import strategies as st
 from machines import NodeDriver, offer, request
 
-from kelpfront.agent.idempotency_records import FileIdempotencyRecords, LocalIdempotencyRecords
 from kelpfront.agent.evidence import inspect_folder, void_start
-from kelpfront.agent.task_folder import EXIT, STARTED, folder_name, read_record, write_once
+from kelpfront.agent.idempotency_records import FileIdempotencyRecords, LocalIdempotencyRecords
 from kelpfront.agent.orphans import OrphanDetector
 from kelpfront.agent.process import (
     ProcessIdentity,
@@ -30,6 +29,7 @@
 from kelpfront.agent.state import AgentState
 from kelpfront.agent.state_database import StateDatabase, StateError, write_record
 from kelpfront.agent.state_records import TaskEnd, TaskKey, TaskRecord
+from kelpfront.agent.task_folder import EXIT, STARTED, folder_name, read_record, write_once
 from kelpfront.agent.usage import ProcessSample, TaskSample, UsageSmoother, next_period_ms, sum_by_task
 from kelpfront.machine.effects import SupersedeAttempt
 from kelpfront.machine.messages import Gone, Hello, OfferRequest, Snapshot, Taken, TaskReport
