--- a/kelpfront/agent/recovery.py
+++ b/kelpfront/agent/recovery.py
@@ -35,7 +35,7 @@
 ClaimState = Literal["none", "supervisor", "void", "unreadable"]
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(frozen=True, slots=True, kw_only=True)
 class Evidence:
     """What is known of one attempt of a task.
 
--- a/tests/agent/test_agent_cluster.py
+++ b/tests/agent/test_agent_cluster.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from agents import Agent, agent
+from agents import AgentProcess, running_agent
 from click.testing import CliRunner
 from clusters import SETTINGS
 from waiting import until
@@ -27,7 +27,7 @@
 
 
 class AgentCluster:
-    def __init__(self, agents: list[Agent]) -> None:
+    def __init__(self, agents: list[AgentProcess]) -> None:
         self.agents = agents
         self.placers: list[PlacerService] = []
         self.clients: list[Client] = []
@@ -56,7 +56,9 @@
             place = folder / f"n{number}"
             place.mkdir()
             agents.append(
-                await stack.enter_async_context(agent(place, overrides=(*OVERRIDES, f"agent.name=n{number}")))
+                await stack.enter_async_context(
+                    running_agent(place, overrides=(*OVERRIDES, f"agent.name=n{number}"))
+                )
             )
         cluster = AgentCluster(agents)
         try:
@@ -68,6 +70,10 @@
                 await service.close()
 
 
+def _ignore_text(_text: str) -> None:
+    """Progress is not shown."""
+
+
 def spec(script: str, cls: str = "web", **changes: Any) -> JobSpec:
     plain = {"class": cls, "service": "front", "cores": 1.0, "memory": 1.0}
     return JobSpec.model_validate({**plain, "command": ["sh", "-c", script], **changes})
@@ -88,15 +94,16 @@
 
 
 async def test_a_job_runs_its_command_and_its_output_is_read_through_the_api(tmp_path: Path) -> None:
-    async with agent_cluster(tmp_path) as its:
-        _, client = await its.placer()
+    async with agent_cluster(tmp_path) as cluster:
+        _, client = await cluster.placer()
         made = spec(
             'echo "$GREETING from $KELPFRONT_JOB"; pwd; exit 3', env={"GREETING": "hello"}, workdir="/tmp"
         )
         await client.submit("climate", made, name="front")
         task = await until_state(client, "front", "Ended")
         assert (task.answer, task.exit_code, task.machine) == ("Placed", 3, "n0")
-        assert task.cpu_seconds is not None and task.cpu_seconds >= 0
+        assert task.cpu_seconds is not None
+        assert task.cpu_seconds >= 0
         assert await client.logs("climate", "front") == b"hello from climate/front\n/tmp\n"
         assert await client.logs("climate", "front", 0, attempt=0, tail_bytes=5) == b"/tmp\n"
         for wrong in ({"task": 7}, {"task": 0, "attempt": 3}):
@@ -104,16 +111,16 @@
                 await client.logs("climate", "front", **wrong)
             assert caught.value.code == 404
         runner = CliRunner()
-        url = its.placers[0].url
+        url = cluster.placers[0].url
         shown = await asyncio.to_thread(
             runner.invoke, main, ["logs", "--server", url, "-n", "climate", "front", "0"]
         )
         assert shown.output == "hello from climate/front\n/tmp\n", shown.output
 
 
-async def test_a_command_that_does_not_exist_is_refused_with_the_machines_words(tmp_path: Path) -> None:
-    async with agent_cluster(tmp_path) as its:
-        _, client = await its.placer()
+async def test_a_command_that_does_not_exist_is_refused_with_the_machines_message(tmp_path: Path) -> None:
+    async with agent_cluster(tmp_path) as cluster:
+        _, client = await cluster.placer()
         made = JobSpec.model_validate(
             {
                 "class": "blend",
@@ -130,24 +137,24 @@
         assert "no-such-program: No such file" in (task.attempts[0].message or "")
 
 
-async def test_a_deleted_job_is_stopped_with_its_grace(tmp_path: Path) -> None:
-    async with agent_cluster(tmp_path) as its:
-        _, client = await its.placer()
-        out = its.agents[0].out
+async def test_a_deleted_job_is_stopped_with_its_grace_period(tmp_path: Path) -> None:
+    async with agent_cluster(tmp_path) as cluster:
+        _, client = await cluster.placer()
+        out = cluster.agents[0].out
         made = spec(
             f"trap 'echo term >> {out}/terms; exit 0' TERM; echo >> {out}/up; while :; do sleep 0.02; done",
             stop_grace="5s",
         )
         await client.submit("climate", made, name="front")
-        await its.agents[0].until_lines("up", 1)
+        await cluster.agents[0].until_lines("up", 1)
         await client.delete_job("climate", "front")
-        assert await its.agents[0].until_lines("terms", 1) == ["term"]
+        assert await cluster.agents[0].until_lines("terms", 1) == ["term"]
 
 
-async def test_tasks_outlive_their_agent_and_its_placer_hears_how_they_ended(tmp_path: Path) -> None:
-    async with agent_cluster(tmp_path) as its:
-        _, client = await its.placer()
-        (machine,) = its.agents
+async def test_tasks_survive_their_agent_and_its_placer_receives_how_they_ended(tmp_path: Path) -> None:
+    async with agent_cluster(tmp_path) as cluster:
+        _, client = await cluster.placer()
+        (machine,) = cluster.agents
         for name, script in (
             ("stays", "sleep 60"),
             ("ends", f"sleep 0.5; echo x >> {machine.out}/ends; exit 9"),
@@ -161,35 +168,40 @@
         task = await until_state(client, "ends", "Ended", "Lost")
         assert (task.state, task.exit_code) == ("Ended", 9)
         task = await until_state(client, "stays", "Running", "Lost")
-        assert task.state == "Running" and len(task.attempts) == 1
+        assert task.state == "Running"
+        assert len(task.attempts) == 1
 
 
-async def test_a_placer_that_was_killed_finds_its_tasks_by_the_agents(tmp_path: Path) -> None:
-    async with agent_cluster(tmp_path, 2) as its:
-        first, client = await its.placer()
+async def test_a_placer_that_was_killed_recovers_its_tasks_from_the_agents(tmp_path: Path) -> None:
+    async with agent_cluster(tmp_path, 2) as cluster:
+        first, client = await cluster.placer()
         made = spec("sleep 60", "blend", count=4, stop_grace="1s", client_token="again")
         await client.submit("climate", made, name="front")
         first_job = await client.wait_answers(await client.get_job("climate", "front"), timeout_s=30)
-        assert first_job.status is not None and first_job.status.counts.running == 4, first_job
+        assert first_job.status is not None, first_job
+        assert first_job.status.counts.running == 4, first_job
         await first.close()
-        _, client = await its.placer()
+        _, client = await cluster.placer()
         job = await client.get_job("climate", "front")
-        assert job.status is not None and len(job.status.tasks) == 4
+        assert job.status is not None
+        assert len(job.status.tasks) == 4
         assert {task.state.value for task in job.status.tasks} == {"Running"}
-        assert job.spec.command == ["sh", "-c", "sleep 60"] and job.spec.stop_grace == "1s"
+        assert job.spec.command == ["sh", "-c", "sleep 60"]
+        assert job.spec.stop_grace == "1s"
         again = await client.submit("climate", made)
         assert again.metadata.uid == job.metadata.uid
         await client.delete_job("climate", "front")
         async with asyncio.timeout(30):
-            while any([await machine.tasks() for machine in its.agents]):  # noqa: ASYNC110
+            while any([await machine.tasks() for machine in cluster.agents]):  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
 
 
-async def test_agents_killed_under_load_lose_nothing_and_start_nothing_twice(tmp_path: Path) -> None:
+async def test_agents_killed_under_load_lose_no_task_and_start_none_twice(tmp_path: Path) -> None:
     """The laboratory's experiment, short, with a fixed seed."""
     shape = RestartsShape(seed=7, restarts=6, rate=20.0, seconds=6.0)
-    figures = await Restarts(shape, tmp_path / "run", lambda text: None).run()
-    assert figures["placed"] > 20 and figures["starts"] >= figures["placed"]
+    figures = await Restarts(shape, tmp_path / "run", _ignore_text).run()
+    assert figures["placed"] > 20
+    assert figures["starts"] >= figures["placed"]
     wrong = {name: figures[name] for name in ("lost", "duplicated", "unreported_exits", "violations")}
     assert not any(wrong.values()), figures
 
@@ -206,12 +218,12 @@
         ("halves-use", "use_error"),
     ],
 )
-async def test_the_experiment_finds_an_agent_that_is_wrong(tmp_path: Path, wrong: str, found_as: str) -> None:
+async def test_the_experiment_detects_a_faulty_agent(tmp_path: Path, wrong: str, found_as: str) -> None:
     """On one of three short days: which tasks a kill meets is the host's chance."""
     found = []
     for seed in (7, 8, 9):
         shape = RestartsShape(seed=seed, restarts=5, rate=20.0, seconds=5.0, wrong=wrong)
-        figures = await Restarts(shape, tmp_path / f"run-{seed}", lambda text: None).run()
+        figures = await Restarts(shape, tmp_path / f"run-{seed}", _ignore_text).run()
         found.append(figures[found_as])
         if figures[found_as] > (0.05 if found_as == "use_error" else 0):
             return
--- /dev/null
+++ b/tests/agent/test_usage.py
@@ -0,0 +1,46 @@
+"""The use of cores and memory from samples of processes."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from kelpfront.agent.usage import ProcessSample, TaskSample, UsageSmoother, next_period_ms, sum_by_task
+
+
+def test_use_is_the_sum_over_the_process_tree_with_children_that_ended() -> None:
+    samples = [
+        ProcessSample(10, 1, 9.0, 2.0, 100.0),  # the supervisor: its own is not the task's, 2 s it waited for
+        ProcessSample(11, 10, 1.0, 0.5, 30.0),
+        ProcessSample(12, 11, 0.25, 0.0, 20.0),
+        ProcessSample(20, 1, 5.0, 5.0, 500.0),
+    ]
+    assert sum_by_task(samples, {"t": 10, "gone": 77}) == {"t": TaskSample(3.75, 50.0, 2)}
+
+
+@given(st.lists(st.tuples(st.floats(1.0, 1e4), st.floats(0.0, 4.0)), min_size=1, max_size=30))
+@settings(derandomize=True)
+def test_smoothed_cores_stay_within_the_range_of_the_samples(steps: list[tuple[float, float]]) -> None:
+    smoothing, now, cpu_s = UsageSmoother(1000.0), 0.0, 0.0
+    smoothing.add(now, TaskSample(0.0, 1.0, 1))
+    most = 0.0
+    for ms, cores in steps:
+        now, cpu_s, most = now + ms, cpu_s + cores * ms / 1000.0, max(most, cores)
+        use = smoothing.add(now, TaskSample(cpu_s, 1.0, 1))
+        assert -1e-9 <= use.cores <= most + 1e-6
+        assert use.cpu_s == pytest.approx(cpu_s)
+
+
+def test_cpu_time_that_decreases_and_a_clock_that_stands_are_tolerated() -> None:
+    smoothing = UsageSmoother(0.0)
+    smoothing.add(1000.0, TaskSample(5.0, 1.0, 1))
+    assert smoothing.add(2000.0, TaskSample(4.0, 1.0, 1)).cpu_s == 5.0
+    again = smoothing.add(2000.0, TaskSample(7.0, 1.0, 1))
+    assert again.cpu_s == 7.0
+    assert again.cores == 0.0
+
+
+def test_expensive_sampling_is_done_less_often() -> None:
+    assert next_period_ms(1000.0, 3.0) == 1000.0
+    assert next_period_ms(1000.0, 100.0) == pytest.approx(5000.0)
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -22,9 +22,12 @@
 from kelpfront.machine.messages import (
     Answer,
     Command,
+    Hello,
     OfferRequest,
+    Snapshot,
     StopRequest,
     StreamMessage,
+    TaskReport,
     decode_answer,
     decode_stream_message,
     encode,
@@ -59,7 +62,7 @@
     return Command(("sh", "-c", script), **{"grace_ms": 300.0, **changes})
 
 
-class Agent:
+class AgentProcess:
     """The agent of one state folder, over its lives."""
 
     def __init__(self, folder: Path) -> None:
@@ -73,7 +76,7 @@
         self.log = folder / "agent.log"
 
     async def launch(self, **task: Any) -> asyncio.subprocess.Process:
-        its = AgentTask(str(self.config), **task)
+        settings = AgentTask(str(self.config), **task)
         with self.log.open("ab") as errors:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -84,7 +87,7 @@
                 stderr=errors,
             )
         assert process.stdin is not None
-        process.stdin.write(msgspec.json.encode(its))
+        process.stdin.write(msgspec.json.encode(settings))
         process.stdin.close()
         return process
 
@@ -207,11 +210,42 @@
 
 
 @asynccontextmanager
-async def agent(folder: Path, start: bool = True, **task: Any) -> AsyncIterator[Agent]:
-    its = Agent(folder)
+async def running_agent(folder: Path, *, start: bool = True, **task: Any) -> AsyncIterator[AgentProcess]:
+    process = AgentProcess(folder)
     try:
         if start:
-            await its.start(**task)
-        yield its
+            await process.start(**task)
+        yield process
     finally:
-        await its.end_all()
+        await process.end_all()
+
+
+START = "echo $KELPFRONT_TASK >> $OUT/starts; "
+"""Begins the script of a task that leaves a line with its uid in the file `starts`."""
+
+
+def answer_and_reason(answer: Answer | None) -> tuple[str, str]:
+    assert answer is not None
+    return answer.answer, answer.reason
+
+
+async def read_snapshot(agent: AgentProcess, query: str = "") -> dict[str, TaskReport]:
+    """What a placer that connects for the first time is told of its tasks."""
+    messages = await agent.read_stream(query=query)
+    assert isinstance(messages[0], Hello)
+    (snapshot,) = [message for message in messages if isinstance(message, Snapshot)]
+    return {report.offer.task: report for report in snapshot.tasks}
+
+
+async def until_ended(agent: AgentProcess, task: str) -> None:
+    """Until the agent no longer holds a task."""
+    async with asyncio.timeout(30):
+        while task in await agent.tasks():  # noqa: ASYNC110 - of another process
+            await asyncio.sleep(0.02)
+
+
+async def until_empty(agent: AgentProcess) -> None:
+    """Until the agent holds no task."""
+    async with asyncio.timeout(30):
+        while await agent.tasks():  # noqa: ASYNC110 - of another process
+            await asyncio.sleep(0.02)
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -10,7 +10,7 @@
 
 import grpc
 import pytest
-from agents import agent
+from agents import running_agent
 from clusters import TestCluster, cluster, spec
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -233,7 +233,7 @@
 
 async def test_an_agent_by_grpc_runs_tasks_and_gives_their_output(tmp_path: Path) -> None:
     more = ("agent.grpc=127.0.0.1:0", "host.cores=24", "host.memory=48", "agent.name=n0")
-    async with agent(tmp_path, overrides=more) as its:
+    async with running_agent(tmp_path, overrides=more) as its:
         target = its.grpc
         async with cluster(1) as (base, _, _client):
             base.inventory = Inventory(
--- a/tests/surfaces/test_surface_folders.py
+++ b/tests/surfaces/test_surface_folders.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from agents import agent
+from agents import running_agent
 from surface_folders import AGENT_STATE, JOURNAL, dump_state, files_of, write_agent_state, write_journal
 from surface_golden import golden
 from surface_samples import SAMPLES
@@ -46,7 +46,7 @@
 
 
 async def test_the_records_of_a_task_have_the_keys_that_later_agents_look_for(tmp_path: Path) -> None:
-    async with agent(tmp_path) as its:
+    async with running_agent(tmp_path) as its:
         await its.offer("t1")
         assert await its.stop("t1") in ("stopped", "stopping")
         await until(lambda: its.record("t1", "exit"))
