--- a/kelpfront/agent/status.py
+++ b/kelpfront/agent/status.py
@@ -24,7 +24,7 @@
     name: str
     kind: str
     rack: str
-    room: str
+    zone: str = msgspec.field(name="room")
     pid: int
     boot: str
     state: str
@@ -92,7 +92,7 @@
             name=its.name,
             kind=its.kind,
             rack=its.rack,
-            room=its.room,
+            zone=its.room,
             pid=os.getpid(),
             boot=node.boot,
             state="draining" if node.draining else "ready",
--- a/kelpfront/agent/supervisor.py
+++ b/kelpfront/agent/supervisor.py
@@ -23,6 +23,7 @@
 from kelpfront.agent.process import ProcessIdentity, identify, send_signal
 from kelpfront.agent.program_launch import ProgramNotLoadedError, launch
 from kelpfront.agent.rotated_output import RotatedOutput
+from kelpfront.agent.signal_wakeup import SignalWakeup
 from kelpfront.agent.supervised_processes import SupervisedProcesses
 from kelpfront.agent.task_records import (
     EXIT_STATUS_UNKNOWN,
@@ -39,37 +40,12 @@
 EXIT_NOTICE = "exit"
 PR_SET_CHILD_SUBREAPER = 36  # prctl(2)
 READ_BYTES = 65_536  # what a FIFO holds at most by default, pipe(7)
-WAKEUP_READ_BYTES = 4096
 KILL_INTERVAL_S = 0.05  # between SIGKILLs to the processes that are left, which may fork meanwhile
 WRITE_RETRY_S = 0.5  # between attempts to record an exit on a full disk
 NOTICE_TIMEOUT_S = 1.0  # an agent that does not read its socket must not stop a supervisor
 SIGNALLED_CODE_BASE = 128  # an exit code over it is 128 and the number of the signal, as shells have it
 
 
-class SignalWakeup:
-    """Turns signals into a readable descriptor; `terminated` is whether SIGTERM was among them."""
-
-    def __init__(self) -> None:
-        self.terminated = False
-        self.descriptor, writer = os.pipe()
-        for descriptor in (self.descriptor, writer):
-            os.set_blocking(descriptor, False)
-        signal.set_wakeup_fd(writer, warn_on_full_buffer=False)
-        for number in (signal.SIGCHLD, signal.SIGUSR1, signal.SIGTERM):
-            signal.signal(number, self._on_signal)
-        for number in (signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, signal.SIG_IGN)
-
-    def _on_signal(self, number: int, _frame: object) -> None:
-        if number == signal.SIGTERM:  # the host goes down
-            self.terminated = True
-
-    def clear(self) -> None:
-        """Read what is in the descriptor."""
-        with contextlib.suppress(BlockingIOError):
-            os.read(self.descriptor, WAKEUP_READ_BYTES)
-
-
 class Supervisor:
     """The supervisor of one folder: `start` or `replace`, then `run` until the task is over."""
 
--- a/tests/agent/test_agent_operation.py
+++ b/tests/agent/test_agent_operation.py
@@ -12,7 +12,7 @@
     AgentProcess,
     answer_and_reason,
     command,
-    is_gone,
+    has_ended,
     read_snapshot,
     running_agent,
     until_empty,
@@ -82,7 +82,7 @@
         reading = asyncio.create_task(agent.read_stream(seconds=20.0, placer="p0"))
         await until(lambda: agent.record("left", "exit"))
         await until_ended(agent, "left")
-        assert not is_gone(agent.pid("kept"))
+        assert not has_ended(agent.pid("kept"))
         reading.cancel()
         report = {
             r.offer.task: r
@@ -155,7 +155,7 @@
             agent.process.terminate()
             assert await asyncio.wait_for(agent.process.wait(), 30) == 0
         assert agent.lines("starts") == ["t1"]
-        assert not is_gone(agent.pid("t1"))
+        assert not has_ended(agent.pid("t1"))
     finally:
         await agent.end_all()
 
@@ -166,7 +166,7 @@
         await asyncio.sleep(0.6)
         assert agent.process is not None
         agent.process.terminate()
-        await agent.gone()
+        await agent.wait_ended()
         answers = await asyncio.gather(*waiting)
         ran = [answer for answer in answers if answer is not None and answer.answer == "running"]
         await agent.start()
--- a/tests/agent/test_agent_restarts.py
+++ b/tests/agent/test_agent_restarts.py
@@ -78,7 +78,7 @@
         answer = await agent.offer("t1", script, effect="unsafe")
         died = answer is None
         if died:
-            await agent.gone()
+            await agent.wait_ended()
             await agent.start()
         reports = await read_snapshot(agent)
         if point in ("intent", "intent-durable", "folder"):
@@ -96,9 +96,9 @@
         stopped = await agent.stop("t1")
         if stopped is None:
             died = True
-            await agent.gone()
+            await agent.wait_ended()
             await agent.start()
-            if point == "stop":  # it died before the stop was written down: its placer has no answer
+            if point == "stop":  # it died before the stop was on record: its placer has no answer
                 assert await agent.stop("t1") == "stopping"
         exited = await survives_end_of(agent, "t1")
         if not exited:
@@ -123,7 +123,7 @@
                 await asyncio.sleep(0.2)  # the last points come right after this
                 return agent.process.returncode is None
         except Exception:
-            await agent.gone()
+            await agent.wait_ended()
         await asyncio.sleep(0.02)
     return False
 
@@ -135,7 +135,7 @@
         )
         await agent.until_lines("starts", 1)
         assert await agent.stop("t1") is None
-        await agent.gone()
+        await agent.wait_ended()
         await agent.start()
         await until(lambda: agent.record("t1", "exit"))
         assert agent.lines("terms") == ["term"]
--- a/tests/agent/test_idempotency_records.py
+++ b/tests/agent/test_idempotency_records.py
@@ -8,7 +8,8 @@
 
 
 def test_one_task_of_a_key_runs_among_agents(tmp_path: Path) -> None:
-    one, two = FileIdempotencyRecords(tmp_path), FileIdempotencyRecords(tmp_path)
+    one = FileIdempotencyRecords(tmp_path)
+    two = FileIdempotencyRecords(tmp_path)
     assert one.claim("hall", "k", "n1", "t1") is None
     assert one.claim("hall", "k", "n1", "t1") is None, "its own"
     assert two.claim("hall", "k", "n2", "t9") == ("n1", "t1") == two.holder("hall", "k")
@@ -23,17 +24,17 @@
 
 
 def test_a_key_whose_record_is_unreadable_counts_as_held(tmp_path: Path) -> None:
-    copies = FileIdempotencyRecords(tmp_path)
-    copies.claim("hall", "k", "n1", "t1")
+    records = FileIdempotencyRecords(tmp_path)
+    records.claim("hall", "k", "n1", "t1")
     next(tmp_path.glob("*.copy")).write_text("{")
-    assert copies.claim("hall", "k", "n2", "t2") is not None
+    assert records.claim("hall", "k", "n2", "t2") is not None
 
 
 def test_without_a_shared_directory_only_the_machine_itself_is_a_scope() -> None:
-    copies = LocalIdempotencyRecords("hall/rack/n1")
-    assert copies.claim("hall", "k", "n1", "t1") is not None
-    assert copies.holder("hall", "k") is not None
-    assert copies.claim("hall/rack/n1", "k", "n1", "t1") is None
-    assert copies.claim("hall/rack/n1", "k", "n1", "t2") == ("n1", "t1")
-    copies.remove("hall/rack/n1", "k", "n1", "t1")
-    assert copies.holder("hall/rack/n1", "k") is None
+    records = LocalIdempotencyRecords("hall/rack/n1")
+    assert records.claim("hall", "k", "n1", "t1") is not None
+    assert records.holder("hall", "k") is not None
+    assert records.claim("hall/rack/n1", "k", "n1", "t1") is None
+    assert records.claim("hall/rack/n1", "k", "n1", "t2") == ("n1", "t1")
+    records.remove("hall/rack/n1", "k", "n1", "t1")
+    assert records.holder("hall/rack/n1", "k") is None
--- a/tests/agent/test_node_restoration.py
+++ b/tests/agent/test_node_restoration.py
@@ -28,8 +28,8 @@
     assert driver.stop("t1") == "stopping"
     assert [halt.task for halt in driver.stops] == ["t1"]
     node.exited(driver.now, "t2", 143, 1.5)
-    told = node.outbox("p0").messages_from(1)
-    assert [message.task for message in told] == ["t1", "t2"]
+    messages = node.outbox("p0").messages_from(1)
+    assert [message.task for message in messages] == ["t1", "t2"]
 
 
 def test_a_non_idempotent_task_that_ran_here_is_answered_with_an_error_not_a_refusal() -> None:
@@ -56,27 +56,27 @@
         seqs.append(node.outbox("p0").next_seq - 1)
     assert node.acknowledge("p0", seqs[0] + 1) == ["t1"]
     assert node.acknowledge("other", 99) == []
-    shown = node.snapshot("p0")
-    assert isinstance(shown, Snapshot)
-    assert [report.offer.task for report in shown.tasks] == ["t2"]
+    snapshot = node.snapshot("p0")
+    assert isinstance(snapshot, Snapshot)
+    assert [report.offer.task for report in snapshot.tasks] == ["t2"]
 
 
 def test_a_stream_is_resumed_only_after_the_last_message_that_was_read() -> None:
-    position = StreamOffset()
-    assert position.resume is None
-    assert position.accept(Hello("b1", 0.0, "small", 500.0, resumed=False, next_seq=7))
-    assert position.resume is None, "its snapshot is not here yet"
-    assert position.accept(Snapshot(6, ()))
-    assert position.resume == ("b1", 7)
-    assert position.accept(Taken(7, "t", 0, running=True))
-    assert not position.accept(Taken(7, "t", 0, running=True))
-    assert position.resume == ("b1", 8)
+    offset = StreamOffset()
+    assert offset.resume is None
+    assert offset.accept(Hello("b1", 0.0, "small", 500.0, resumed=False, next_seq=7))
+    assert offset.resume is None, "its snapshot is not here yet"
+    assert offset.accept(Snapshot(6, ()))
+    assert offset.resume == ("b1", 7)
+    assert offset.accept(Taken(7, "t", 0, running=True))
+    assert not offset.accept(Taken(7, "t", 0, running=True))
+    assert offset.resume == ("b1", 8)
     with pytest.raises(ValueError, match="message 10 came where 8"):
-        position.accept(Gone(10, "t", 0, "ended", ran=True))
-    assert position.accept(Hello("b1", 0.0, "small", 500.0, resumed=True, next_seq=8))
-    assert position.resume == ("b1", 8)
-    assert position.accept(Hello("b2", 0.0, "small", 500.0, resumed=False, next_seq=1))
-    assert position.resume is None
+        offset.accept(Gone(10, "t", 0, "ended", ran=True))
+    assert offset.accept(Hello("b1", 0.0, "small", 500.0, resumed=True, next_seq=8))
+    assert offset.resume == ("b1", 8)
+    assert offset.accept(Hello("b2", 0.0, "small", 500.0, resumed=False, next_seq=1))
+    assert offset.resume is None
 
 
 def test_a_later_attempt_supersedes_an_instance_only_once_that_is_recorded() -> None:
--- a/tests/agent/test_state_faults.py
+++ b/tests/agent/test_state_faults.py
@@ -51,7 +51,7 @@
                 "empty": b"",
             }[damage]
         )
-        kept = path.read_bytes()
+        damaged = path.read_bytes()
         await agent.start()
         reports = await read_snapshot(agent)
         assert {report.phase for report in reports.values()} == {"running"}
@@ -63,7 +63,7 @@
         assert len(agent.lines("starts")) == 30
         if damage != "empty":  # an empty file is a state without records, not a damaged one
             assert "damaged" in agent.log.read_text()
-            assert (agent.state / "damaged" / "1" / "state.db").read_bytes() == kept, "nothing is deleted"
+            assert (agent.state / "damaged" / "1" / "state.db").read_bytes() == damaged, "nothing is deleted"
 
 
 async def test_when_the_state_is_full_offers_are_refused_and_running_tasks_go_on(tmp_path: Path) -> None:
--- a/tests/agent/test_supervisors.py
+++ b/tests/agent/test_supervisors.py
@@ -10,7 +10,7 @@
 from agents import (
     START,
     answer_and_reason,
-    is_gone,
+    has_ended,
     read_snapshot,
     running_agent,
     until_ended,
@@ -48,10 +48,10 @@
         await until(lambda: agent.record("t1", "watch-1"))
         assert await agent.stop("t1") == "stopping"
         await until(lambda: agent.record("t1", "exit"))
-        assert is_gone(agent.pid("t1"))
-        assert is_gone(int(child))
-        assert not is_gone(os.getpid())
-        assert not is_gone(1)
+        assert has_ended(agent.pid("t1"))
+        assert has_ended(int(child))
+        assert not has_ended(os.getpid())
+        assert not has_ended(1)
 
 
 async def test_a_reused_pid_is_not_taken_for_the_task(tmp_path: Path) -> None:
@@ -62,7 +62,7 @@
         claim, started = agent.pid("t1", "claim"), agent.pid("t1")
         os.kill(claim, signal.SIGKILL)
         os.killpg(started, signal.SIGKILL)
-        await until(lambda: is_gone(claim) and is_gone(started))
+        await until(lambda: has_ended(claim) and has_ended(started))
         folder = agent.state / "tasks" / "t1@0"
         for name in ("claim", "started"):
             record = agent.record("t1", name)
@@ -74,7 +74,7 @@
         await agent.start()
         report = (await read_snapshot(agent))["t1"]
         assert (report.phase, report.ran, report.exit_code) == ("ended", True, None)
-        assert not is_gone(os.getpid())
+        assert not has_ended(os.getpid())
 
 
 async def test_a_fork_server_that_is_killed_is_replaced_and_starts_go_on(tmp_path: Path) -> None:
--- a/tests/agent/test_task_execution.py
+++ b/tests/agent/test_task_execution.py
@@ -12,7 +12,7 @@
     START,
     answer_and_reason,
     command,
-    is_gone,
+    has_ended,
     read_snapshot,
     running_agent,
     until_ended,
@@ -108,10 +108,10 @@
         script = f"(setsid sh -c '{burn}; echo $$ > '$OUT'/away; exec sleep 60' &); sleep 60"
         await agent.offer("t1", script)
         (pid,) = await agent.until_lines("away", 1)
-        assert not is_gone(int(pid))
+        assert not has_ended(int(pid))
         await agent.stop("t1")
         await until(lambda: agent.record("t1", "exit"))
-        assert is_gone(int(pid))
+        assert has_ended(int(pid))
         found = agent.record("t1", "exit")
         assert found is not None
         assert found["cpu_s"] > 0.02
@@ -125,7 +125,7 @@
         found = agent.record("t1", "exit")
         assert found is not None
         assert found["code"] == 3
-        assert is_gone(int(pid))
+        assert has_ended(int(pid))
 
 
 async def test_output_is_bounded_and_its_end_is_retained(tmp_path: Path) -> None:
@@ -144,4 +144,4 @@
         assert sum(path.stat().st_size for path in folder.glob("output.log*")) <= 3 * 8192
         status, output = await agent.call("GET", "/v1/logs?task=t1&tailBytes=14")
         assert (status, output) == (200, b"199999\n200000\n")
-        assert not is_gone(agent.pid("t1"))
+        assert not has_ended(agent.pid("t1"))
--- a/tests/agent/test_usage.py
+++ b/tests/agent/test_usage.py
@@ -22,21 +22,25 @@
 @given(st.lists(st.tuples(st.floats(1.0, 1e4), st.floats(0.0, 4.0)), min_size=1, max_size=30))
 @settings(derandomize=True)
 def test_smoothed_cores_stay_within_the_range_of_the_samples(steps: list[tuple[float, float]]) -> None:
-    smoothing, now, cpu_s = UsageSmoother(1000.0), 0.0, 0.0
-    smoothing.add(now, TaskSample(0.0, 1.0, 1))
-    most = 0.0
+    smoother = UsageSmoother(1000.0)
+    now = 0.0
+    cpu_s = 0.0
+    smoother.add(now, TaskSample(0.0, 1.0, 1))
+    max_cores = 0.0
     for ms, cores in steps:
-        now, cpu_s, most = now + ms, cpu_s + cores * ms / 1000.0, max(most, cores)
-        use = smoothing.add(now, TaskSample(cpu_s, 1.0, 1))
-        assert -1e-9 <= use.cores <= most + 1e-6
+        now += ms
+        cpu_s += cores * ms / 1000.0
+        max_cores = max(max_cores, cores)
+        use = smoother.add(now, TaskSample(cpu_s, 1.0, 1))
+        assert -1e-9 <= use.cores <= max_cores + 1e-6
         assert use.cpu_s == pytest.approx(cpu_s)
 
 
 def test_cpu_time_that_decreases_and_a_clock_that_stands_are_tolerated() -> None:
-    smoothing = UsageSmoother(0.0)
-    smoothing.add(1000.0, TaskSample(5.0, 1.0, 1))
-    assert smoothing.add(2000.0, TaskSample(4.0, 1.0, 1)).cpu_s == 5.0
-    again = smoothing.add(2000.0, TaskSample(7.0, 1.0, 1))
+    smoother = UsageSmoother(0.0)
+    smoother.add(1000.0, TaskSample(5.0, 1.0, 1))
+    assert smoother.add(2000.0, TaskSample(4.0, 1.0, 1)).cpu_s == 5.0
+    again = smoother.add(2000.0, TaskSample(7.0, 1.0, 1))
     assert again.cpu_s == 7.0
     assert again.cores == 0.0
 
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -1,4 +1,7 @@
-"""Agents as processes of their own, and offers to them as a placer makes them."""
+"""Agents as processes of their own, and offers to them as a placer makes them.
+
+The tests of the agent with real processes use these helpers; builders of offers are in `machines`.
+"""
 
 from __future__ import annotations
 
@@ -58,21 +61,24 @@
 
 
 def command(script: str, **changes: Any) -> Command:
-    """A shell's script; it finds the test's folder in $OUT."""
+    """Return a command that runs a shell's script, which finds the folder for its files in $OUT."""
     return Command(("sh", "-c", script), **{"grace_ms": 300.0, **changes})
 
 
 class AgentProcess:
-    """The agent of one state folder, over its lives."""
+    """The agent of one state folder, over its restarts."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.state = folder, folder / "agent-state"
+        self.folder = folder
+        self.state = folder / "agent-state"
         self.out = folder / "out"
         self.out.mkdir(exist_ok=True)
         self.config = folder / "agent.ini"
         self.config.write_text(CONFIG)
         self.process: asyncio.subprocess.Process | None = None
-        self.url, self.grpc, self.ready_ms = "", "", 0.0
+        self.url = ""
+        self.grpc = ""
+        self.ready_ms = 0.0
         self.log = folder / "agent.log"
 
     async def launch(self, **task: Any) -> asyncio.subprocess.Process:
@@ -97,17 +103,19 @@
         async with asyncio.timeout(30):
             line = await self.process.stdout.readline()
         assert line, self.log.read_text()[-3000:]
-        told = json.loads(line)
-        self.url, self.grpc, self.ready_ms = told["url"], told["grpc"], told["readyMs"]
+        ready = json.loads(line)
+        self.url = ready["url"]
+        self.grpc = ready["grpc"]
+        self.ready_ms = ready["readyMs"]
 
     async def kill(self) -> None:
-        """SIGKILL, and until it is gone."""
+        """Send SIGKILL, and wait until the process has ended."""
         assert self.process is not None
         with contextlib.suppress(ProcessLookupError):
             self.process.kill()
-        await self.gone()
+        await self.wait_ended()
 
-    async def gone(self) -> None:
+    async def wait_ended(self) -> None:
         assert self.process is not None
         async with asyncio.timeout(30):
             await self.process.wait()
@@ -137,11 +145,11 @@
     async def offer(
         self, task: str, script: str = "sleep 60", attempt: int = 0, placer: str = "p0", **changes: Any
     ) -> Answer | None:
-        """The answer; None where the connection broke."""
+        """Return the answer; None where the connection broke."""
         changes.setdefault("run", command(f"OUT={self.out}; {script}"))
-        made = OfferRequest(placer, "life-1", offer(task, attempt, **changes))
+        request = OfferRequest(placer, "life-1", offer(task, attempt, **changes))
         try:
-            return decode_answer((await self.call("POST", "/v1/offers", encode(made)))[1])
+            return decode_answer((await self.call("POST", "/v1/offers", encode(request)))[1])
         except HttpError:
             return None
 
@@ -156,16 +164,16 @@
     async def read_stream(
         self, seconds: float = 0.3, placer: str = "p0", query: str = ""
     ) -> list[StreamMessage]:
-        """What the stream tells within some time."""
+        """Return what the stream carries within some time."""
         connection = await HttpConnection.open(*self._address())
         messages: list[StreamMessage] = []
-        rest = b""
+        incomplete = b""
         try:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
-                    _, _, pieces = await connection.stream("GET", f"/v1/stream?placer={placer}{query}")
-                    async for piece in pieces:
-                        *lines, rest = (rest + piece).split(b"\n")
+                    _, _, fragments = await connection.stream("GET", f"/v1/stream?placer={placer}{query}")
+                    async for fragment in fragments:
+                        *lines, incomplete = (incomplete + fragment).split(b"\n")
                         messages += [decode_stream_message(line) for line in lines]
         finally:
             connection.abort()
@@ -174,10 +182,10 @@
     async def tasks(self) -> dict[str, dict[str, Any]]:
         return {task["task"]: task for task in await self.get("/v1/tasks")}
 
-    # ---- What really happened -------------------------------------------------------------------------
+    # ---- What has happened ------------------------------------------------------------------------------
 
     def lines(self, name: str) -> list[str]:
-        """Lines that tasks wrote to a file of the test's folder."""
+        """Return the lines that tasks wrote to a file of $OUT."""
         path = self.out / name
         return path.read_text().split("\n")[:-1] if path.exists() else []
 
@@ -198,13 +206,13 @@
         return int(found["pid"])
 
     async def end_all(self) -> None:
-        """Ends the agent and every process that it left, each known by its identity."""
+        """End the agent and every process that it left, each known by its identity."""
         if self.process is not None and self.process.returncode is None:
             await self.kill()
         end_left(self.state)
 
 
-def is_gone(pid: int) -> bool:
+def has_ended(pid: int) -> bool:
     stat = read_stat(pid)
     return stat is None or stat.state in "ZX"
 
@@ -230,7 +238,7 @@
 
 
 async def read_snapshot(agent: AgentProcess, query: str = "") -> dict[str, TaskReport]:
-    """What a placer that connects for the first time is told of its tasks."""
+    """Return what a placer that connects for the first time is told of its tasks."""
     messages = await agent.read_stream(query=query)
     assert isinstance(messages[0], Hello)
     (snapshot,) = [message for message in messages if isinstance(message, Snapshot)]
@@ -238,14 +246,14 @@
 
 
 async def until_ended(agent: AgentProcess, task: str) -> None:
-    """Until the agent no longer holds a task."""
+    """Wait until the agent no longer holds a task."""
     async with asyncio.timeout(30):
         while task in await agent.tasks():  # noqa: ASYNC110 - of another process
             await asyncio.sleep(0.02)
 
 
 async def until_empty(agent: AgentProcess) -> None:
-    """Until the agent holds no task."""
+    """Wait until the agent holds no task."""
     async with asyncio.timeout(30):
         while await agent.tasks():  # noqa: ASYNC110 - of another process
             await asyncio.sleep(0.02)
