--- a/kelpfront/cli/serve.py
+++ b/kelpfront/cli/serve.py
@@ -18,7 +18,7 @@
 from kelpfront.inventory import InventoryError
 
 if TYPE_CHECKING:
-    from kelpfront.service.app import PlacerService
+    from kelpfront.service.placer import PlacerService
 
 
 @click.command()
@@ -32,7 +32,8 @@
     standard output, the log to standard error.
     """
     from kelpfront.logs import configure_logs
-    from kelpfront.service.app import PlacerService, load_inventory
+    from kelpfront.service.inventory_reload import load_inventory
+    from kelpfront.service.placer import PlacerService
 
     its = load_config(config_path, overrides)
     if its.placer.grpc is not None and importlib.util.find_spec("grpc") is None:
@@ -112,7 +113,7 @@
     from kelpfront.lab.setup import write_csv
     from kelpfront.lab.standins import Fault, Fleet, FleetModel
     from kelpfront.logs import configure_logs
-    from kelpfront.service.app import load_inventory
+    from kelpfront.service.inventory_reload import load_inventory
 
     its: Config = load_config(config_path, overrides)
     path = inventory or config_path.parent / its.placer.inventory
--- a/kelpfront/cli/wrongserve.py
+++ b/kelpfront/cli/wrongserve.py
@@ -8,13 +8,13 @@
 
 from kelpfront.cli.main import main
 from kelpfront.lab.wrongplacers import WRONG
-from kelpfront.service import app
+from kelpfront.service import placer
 
 
 def serve() -> None:
     name = sys.argv.pop(1)
-    service: Any = functools.partial(app.PlacerService, controller_class=WRONG[name])
-    setattr(app, "PlacerService", service)  # noqa: B010 - where the command line takes it from
+    service: Any = functools.partial(placer.PlacerService, controller_class=WRONG[name])
+    setattr(placer, "PlacerService", service)  # noqa: B010 - where the command line takes it from
     main()
 
 
--- a/kelpfront/lab/fronts.py
+++ b/kelpfront/lab/fronts.py
@@ -33,7 +33,8 @@
 from kelpfront.lab.recording import Recorder
 from kelpfront.lab.setup import THREE_CLASSES, make_hosts
 from kelpfront.lab.standins import Fleet, FleetModel
-from kelpfront.service.app import PlacerService
+from kelpfront.service.composition import PlacerOptions
+from kelpfront.service.placer import PlacerService
 
 NAMESPACE = "lab"
 ROOMS = ("hall-a", "hall-b")
@@ -88,7 +89,7 @@
     fleet = Fleet(config, hosts, MODEL, seed, clock.now, recorder)
     addressed = await fleet.start()
     inventory = Inventory("lab", {host.name: host for host in addressed})
-    service = PlacerService(config, inventory, seed=seed, clock=clock)
+    service = PlacerService(config, inventory, options=PlacerOptions(seed=seed, clock=clock))
     try:
         await service.start()
         while service.operations.closed:  # noqa: ASYNC110 - opened by another task
--- a/kelpfront/lab/timeline/emulation.py
+++ b/kelpfront/lab/timeline/emulation.py
@@ -44,7 +44,8 @@
 from kelpfront.lab.timeline.script import Burst, Day, Partition
 from kelpfront.numbers import service_number
 from kelpfront.scheduling.events import MachineId
-from kelpfront.service.app import PlacerService
+from kelpfront.service.composition import PlacerOptions
+from kelpfront.service.placer import PlacerService
 
 EPOCH_S = 1_700_000_000.0  # where virtual time begins, as the common clock tells it
 API_PORT, MACHINE_PORT = 8140, 80
@@ -179,11 +180,13 @@
             service = PlacerService(
                 self.placer_config(placer),
                 self.inventory,
-                seed=self.rng.getrandbits(32),
-                clock=self._clock(self.skews.get(placer.name, 0.0)),
                 controller_class=self._controller_class,
-                stopwatch=self.loop.time,
-                threads=False,
+                options=PlacerOptions(
+                    seed=self.rng.getrandbits(32),
+                    clock=self._clock(self.skews.get(placer.name, 0.0)),
+                    stopwatch=self.loop.time,
+                    use_threads=False,
+                ),
             )
             placer.service = service
             decides = service.controller.context.driver.scheduler
--- /dev/null
+++ b/kelpfront/service/garbage_collection.py
@@ -0,0 +1,83 @@
+"""Paces Python's garbage collection so that it does not make answers late.
+
+A full collection visits every object of the process and stops it meanwhile: with some hundred thousand tasks
+and events that takes tenths of a second, longer than an answer may be late. Objects that live long are
+therefore frozen, out of the collector's sight, once a second; collections then visit one second's worth of
+objects. Objects are freed by their reference counts all the same. Only cyclic garbage that was frozen stays,
+and is collected when the placer has nothing to answer.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import gc
+import time
+from collections.abc import Callable
+from types import TracebackType
+from typing import Literal, Self
+
+import structlog
+
+log = structlog.get_logger("kelpfront.garbage")
+
+MS_PER_S = 1000.0
+FREEZE_INTERVAL_S = 1.0
+"""Bounds what one collection visits to the objects of a second."""
+FULL_COLLECTION_INTERVAL_S = 600.0
+"""At least, between full collections: each stops the process, also where nothing is to be answered."""
+
+
+class GarbageCollectionPacer:
+    """Paces the collections of this process, within a `with` block.
+
+    Args:
+        max_pause_ms: a collection that takes longer is logged.
+        is_idle: whether nothing is to be answered, so that a full collection delays nobody.
+    """
+
+    def __init__(self, max_pause_ms: float, is_idle: Callable[[], bool]) -> None:
+        self._max_pause_ms = max_pause_ms
+        self._is_idle = is_idle
+        self._collection_began_s = 0.0
+        self._full_collection_at_s = time.monotonic()
+
+    def __enter__(self) -> Self:
+        gc.collect()
+        gc.freeze()
+        gc.callbacks.append(self._on_collection)
+        return self
+
+    def __exit__(
+        self,
+        kind: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
+    ) -> None:
+        if self._on_collection in gc.callbacks:
+            gc.callbacks.remove(self._on_collection)
+        gc.unfreeze()
+
+    async def run(self) -> None:
+        """Freeze what lives long, until the task is cancelled."""
+        while True:
+            await asyncio.sleep(FREEZE_INTERVAL_S)
+            self._freeze()
+
+    def _freeze(self) -> None:
+        now_s = time.monotonic()
+        is_full_collection_due = now_s >= self._full_collection_at_s + FULL_COLLECTION_INTERVAL_S
+        if is_full_collection_due and self._is_idle():
+            self._full_collection_at_s = now_s
+            gc.unfreeze()
+            gc.collect()
+        gc.freeze()
+
+    def _on_collection(self, phase: Literal["start", "stop"], info: dict[str, int]) -> None:
+        if phase == "start":
+            self._collection_began_s = time.perf_counter()
+            return
+        duration_ms = (time.perf_counter() - self._collection_began_s) * MS_PER_S
+        if duration_ms > self._max_pause_ms:
+            log.warning(
+                "garbage collection slow", duration_ms=round(duration_ms), generation=info["generation"]
+            )
--- /dev/null
+++ b/kelpfront/service/stream_session.py
@@ -0,0 +1,57 @@
+"""A machine's stream across reconnects, whichever protocol carries it: offset, backoff and reports.
+
+Connecting, reading and decoding are left to the link of the protocol.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from kelpfront.backoff import Backoff
+from kelpfront.machine.messages import Hello, StreamMessage
+from kelpfront.machine.stream_offset import ResumePoint, StreamOffset
+from kelpfront.service.machine_link import LinkContext, log
+
+MS_PER_S = 1000.0
+
+
+class StreamSession:
+    """Hands a stream's messages to the controller, each once, and paces reconnects."""
+
+    def __init__(self, host: str, context: LinkContext) -> None:
+        self._host = host
+        self._context = context
+        self._backoff = Backoff(context.rng)
+        self._offset = StreamOffset()
+
+    @property
+    def resume_point(self) -> ResumePoint | None:
+        """Where the next connection is to resume; None where the stream is to begin anew."""
+        return self._offset.resume
+
+    def receive(self, message: StreamMessage) -> None:
+        """Hand a message to the controller unless it was received before the last break.
+
+        Raises StreamGapError where a message before it is missing.
+        """
+        if isinstance(message, Hello):
+            self._backoff.reset()
+            log.info(
+                "machine stream connected", machine=self._host, boot=message.boot, resumed=message.resumed
+            )
+        if not self._offset.accept(message):
+            return
+        self._context.controller.on_machine_message(self._context.now(), self._host, message)
+
+    def report_down(self) -> None:
+        """Report to the controller that the machine cannot be heard."""
+        self._context.controller.on_link_down(self._context.now(), self._host)
+        self._context.notify_changed()
+
+    async def wait_before_reconnect(self, error: str) -> None:
+        """Log why the stream broke and wait for the backoff's delay."""
+        delay_ms = self._backoff.next_delay_ms()
+        is_first_failure = self._backoff.failure_count == 1
+        write = log.info if is_first_failure else log.debug  # a machine that is down fails all the time
+        write("machine stream broken", machine=self._host, error=error, retry_in_ms=round(delay_ms))
+        await asyncio.sleep(delay_ms / MS_PER_S)
--- a/tests/agent/test_agent_cluster.py
+++ b/tests/agent/test_agent_cluster.py
@@ -21,7 +21,8 @@
 from kelpfront.config.reader import parse_config
 from kelpfront.inventory import Host, Inventory
 from kelpfront.lab.restarts import Restarts, RestartsShape
-from kelpfront.service.app import PlacerService
+from kelpfront.service.composition import PlacerOptions
+from kelpfront.service.placer import PlacerService
 
 OVERRIDES = ("agent.heartbeat=100 ms", "host.cores=24", "host.memory=48")
 
@@ -38,7 +39,8 @@
             for number, its in enumerate(self.agents)
         }
         config = parse_config(SETTINGS, "test.ini", ("cluster.lost_after=20 s",))
-        service = PlacerService(config, Inventory("test", hosts), seed=len(self.placers))
+        options = PlacerOptions(seed=len(self.placers))
+        service = PlacerService(config, Inventory("test", hosts), options=options)
         self.placers.append(service)
         await service.start()
         await until(lambda: not service.operations.closed)
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -16,7 +16,7 @@
 from kelpfront.cli import wrongserve
 from kelpfront.lab.standins import FleetModel
 from kelpfront.lab.wrongplacers import NeverStops
-from kelpfront.service import app
+from kelpfront.service import placer
 
 WEB = ("--class", "web", "--service", "front", "--cores", "1", "--memory", "2")
 
@@ -179,11 +179,11 @@
 
 def test_a_wrong_placer_is_planted_where_the_command_takes_it_from(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a plant that changes nothing: the judge would be trusted for what it was not shown."""
-    monkeypatch.setattr(app, "PlacerService", app.PlacerService)  # put back afterwards
+    monkeypatch.setattr(placer, "PlacerService", placer.PlacerService)  # put back afterwards
     monkeypatch.setattr(sys, "argv", ["wrongserve", "NeverStops", "serve"])
     monkeypatch.setattr(wrongserve, "main", lambda: None)
     wrongserve.serve()
-    from kelpfront.service.app import PlacerService  # as cli/serve.py does when it is called
+    from kelpfront.service.placer import PlacerService  # as cli/serve.py does when it is called
 
     planted: Any = PlacerService
     assert planted.keywords["controller_class"] is NeverStops
--- a/tests/client/test_clients.py
+++ b/tests/client/test_clients.py
@@ -40,7 +40,7 @@
 )
 from kelpfront.client.sync import SyncClient
 from kelpfront.rpc.limits import MAX_STREAM_JOBS
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 
 BOTH = pytest.mark.parametrize("protocol", ["rest", "grpc"])
 SERVED = ("placer.grpc=127.0.0.1:0",)
--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -17,7 +17,8 @@
 from kelpfront.inventory import Host, Inventory
 from kelpfront.lab.recording import Recorder
 from kelpfront.lab.standins import Fleet, FleetModel
-from kelpfront.service.app import PlacerService
+from kelpfront.service.composition import PlacerOptions
+from kelpfront.service.placer import PlacerService
 
 SETTINGS = """
 [placer]
@@ -104,10 +105,10 @@
         service = PlacerService(
             config(*self.overrides, *overrides),
             self.inventory,
-            seed=len(self.placers),
-            clock=self.clock,
             controller_class=controller_class,
-            times=WatchTimes(bookmark_s=0.2),
+            options=PlacerOptions(
+                seed=len(self.placers), clock=self.clock, watch_times=WatchTimes(bookmark_s=0.2)
+            ),
         )
         self.placers.append(service)
         await service.start()
--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -20,7 +20,7 @@
 from kelpfront.api.levels import Level
 from kelpfront.api.meta import JOBS, LEVELS
 from kelpfront.degradation import OverloadObservation
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 
 PATH = f"{BASE}/levels/placer-0"
 SLACK_MS = 400.0
--- a/tests/fronts/test_grpc.py
+++ b/tests/fronts/test_grpc.py
@@ -26,7 +26,7 @@
 from kelpfront.rpc.limits import MAX_STREAM_JOBS
 from kelpfront.rpc.machines import machine_message, machine_object
 from kelpfront.rpc.status import CODE_OF_REASON, code_of, error_of, trailers
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
 
--- a/tests/lab/test_timeline.py
+++ b/tests/lab/test_timeline.py
@@ -650,5 +650,5 @@
 def test_what_lies_unread_after_a_stall_is_heard_before_what_is_due(monkeypatch: pytest.MonkeyPatch) -> None:
     path = next(path for path in MENDED if path.stem.startswith("stood-still"))
     data, seed = yaml.safe_load(path.read_text()), int(path.stem.rpartition("-")[2])
-    monkeypatch.setattr("kelpfront.service.app.HEARING_TURNS", 0)
+    monkeypatch.setattr("kelpfront.service.control_loop.SOCKET_CATCH_UP_ITERATIONS", 0)
     assert "spread" in broken_rules(data, seed)
--- a/tests/rest_calls.py
+++ b/tests/rest_calls.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from kelpfront.http.client import HttpConnection, Reply
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 
 BASE = "/apis/kelpfront.dev/v1"
 JOBS_PATH = f"{BASE}/namespaces/climate/jobs"
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -30,8 +30,8 @@
     read_stream_message,
     stream_message,
 )
-from kelpfront.service.app import PlacerService
-from kelpfront.service.grpclinks import GrpcLink
+from kelpfront.service.grpc_link import GrpcLink
+from kelpfront.service.placer import PlacerService
 from kelpfront.v1 import node_pb2 as pb
 from kelpfront.v1 import node_pb2_grpc
 
@@ -111,7 +111,7 @@
 
 async def test_tasks_are_placed_run_and_end() -> None:
     async with served() as (its, service, client):
-        assert all(isinstance(link, GrpcLink) for link in service.links.values())
+        assert all(isinstance(link, GrpcLink) for link in service.links.by_host.values())
         tasks = await asyncio.gather(*(placed(client, cls) for cls in ("web", "blend") for _ in range(10)))
         assert {task.answer for task in tasks} == {"Placed"}
         assert len(its.events("start")) == 20
@@ -160,14 +160,14 @@
 async def test_a_stream_that_breaks_is_taken_up_where_it_was() -> None:
     async with served(1) as (its, service, client):
         task = await placed(client, "web")
-        (link,) = service.links.values()
+        (link,) = service.links.by_host.values()
         assert isinstance(link, GrpcLink)
-        boot = link._position.resume
+        boot = link._session.resume_point
         link._call.cancel()
-        await until(lambda: not link._up.is_set())
+        await until(lambda: not link._connected.is_set())
         its.fleet.machines["n0"]._exit(task.uid)
         await until(lambda: task.uid not in service.controller.context.task_table.by_uid)
-        assert boot is not None and link._position.resume == (boot[0], boot[1] + 1)
+        assert boot is not None and link._session.resume_point == (boot[0], boot[1] + 1)
         job = service.store.find(JOBS, next(iter(service.controller.context.job_table.by_key)))
         assert job is not None and job.body["status"]["tasks"][0]["state"] == "Ended"
 
@@ -178,7 +178,7 @@
         machine.troubles.late_ms = 5_000.0
         job = await client.submit("climate", spec("blend"))
         await until(lambda: its.events("offer"))
-        (link,) = service.links.values()
+        (link,) = service.links.by_host.values()
         assert isinstance(link, GrpcLink)
         link._call.cancel()
         done = await client.wait_answers(job, timeout_s=20)
--- a/tests/service/test_service.py
+++ b/tests/service/test_service.py
@@ -20,7 +20,7 @@
 from kelpfront.client import Client, Event, Job, ServerUnreachableError
 from kelpfront.http.client import HttpConnection
 from kelpfront.lab.setup import write_csv
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 
 
 def state(service: PlacerService, name: str, index: int = 0) -> tuple[str, str | None]:
@@ -372,14 +372,14 @@
         service = await its.placer(f"placer.inventory={path}")
         whole = path.read_text()
         path.write_text(whole[:-5])
-        await service.reload_inventory()
+        await service.inventory_reloader.reload()
         assert set(service.controller.registry.entries) == {"n0", "n1", "n2"}
         path.write_text("".join(line for line in whole.splitlines(True) if not line.startswith("n1")))
-        await service.reload_inventory()
+        await service.inventory_reloader.reload()
         assert service.controller.registry.entries["n1"].removed
         await until(lambda: "n1" not in service.controller.registry.entries)
         path.write_text(whole)
-        await service.reload_inventory()
+        await service.inventory_reloader.reload()
         await until(lambda: service.store.find(MACHINES, ("", "n1")) is not None)
         await until(lambda: service.store.get(MACHINES, ("", "n1")).body["status"]["state"] == "Ready")
     finally:
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -19,7 +19,7 @@
 from kelpfront.fronts.rest import discovery
 from kelpfront.platform import config as platform_config
 from kelpfront.platform import directory as platform_directory
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 from kelpfront.v1 import api_pb2, node_pb2, resources_pb2
 
 
