--- a/kelpfront/fronts/grpc/__init__.py
+++ b/kelpfront/fronts/grpc/__init__.py
@@ -1,4 +1,4 @@
-"""The gRPC front: the services of api.proto around the same operations as the REST front's."""
+"""The gRPC API: the services of api.proto around the same operations as the REST API's."""
 
 from kelpfront.fronts.grpc.server import GrpcFront, GrpcLimits
 
--- a/kelpfront/fronts/rest/__init__.py
+++ b/kelpfront/fronts/rest/__init__.py
@@ -1,6 +1,8 @@
-"""The REST front: list and watch by the public Kubernetes API conventions."""
+"""The REST API: list and watch by the public conventions of the Kubernetes API."""
 
-from kelpfront.fronts.rest.front import Health, RestFront, error_body
-from kelpfront.fronts.rest.watching import WatchTimes
+from kelpfront.fronts.rest.environment import Health, RestEnvironment
+from kelpfront.fronts.rest.front import RestFront
+from kelpfront.fronts.rest.responses import error_body
+from kelpfront.fronts.rest.watch import WatchTimes
 
-__all__ = ["Health", "RestFront", "WatchTimes", "error_body"]
+__all__ = ["Health", "RestEnvironment", "RestFront", "WatchTimes", "error_body"]
--- /dev/null
+++ b/kelpfront/fronts/rest/collection_requests.py
@@ -0,0 +1,140 @@
+"""Requests to a collection of the REST API: list, watch, create and delete a selection."""
+
+from __future__ import annotations
+
+import msgspec
+
+from kelpfront.api.errors import ApiError, success
+from kelpfront.api.meta import API_VERSION, Object
+from kelpfront.controller.operations import Operations, RequestOrigin
+from kelpfront.fronts.open_streams import OpenStreams
+from kelpfront.fronts.rest.environment import RestEnvironment
+from kelpfront.fronts.rest.parameters import (
+    ATTEMPT_HEADER,
+    JSON,
+    read_body,
+    read_flag,
+    read_integer,
+    read_selector,
+    read_sent_at,
+    read_validation,
+    reject_dry_run,
+)
+from kelpfront.fronts.rest.paths import ResourcePath
+from kelpfront.fronts.rest.responses import json_response, method_not_allowed, written_response
+from kelpfront.fronts.rest.watch import WatchLines, WatchRequest
+from kelpfront.http.messages import Request, Response
+
+RETRY_AFTER_S = 1
+"""A revision of another replica's list is reached soon, if ever."""
+
+
+class CollectionRequests:
+    """Answers requests to a collection.
+
+    Attributes:
+        watches: the watches that are open.
+    """
+
+    def __init__(self, operations: Operations, environment: RestEnvironment) -> None:
+        self.watches = OpenStreams()
+        self._operations = operations
+        self._environment = environment
+
+    def handle(self, request: Request, path: ResourcePath) -> Response:
+        """Answer a request; ApiError where it is not carried out."""
+        can_create = path.namespace is not None and "create" in path.resource.verbs
+        match request.method:
+            case "GET" | "HEAD":
+                if read_flag(request, "watch"):
+                    return self._watch(request, path)
+                return self._list(request, path)
+            case "POST" if can_create:
+                return self._create(request, path.namespace or "")
+            case "DELETE" if can_create:
+                return self._delete_selected(request, path)
+        allowed = ("GET", "POST", "DELETE") if can_create else ("GET",)
+        raise method_not_allowed(request.method, allowed)
+
+    def _create(self, request: Request, namespace: str) -> Response:
+        reject_dry_run(request)
+        received_at = self._environment.common_time(request.received_at)
+        is_retry = self._operations.count_try(request.headers.get(ATTEMPT_HEADER, ""))
+        self._operations.check_open(received_at)
+        data = read_body(request, JSON)
+        origin = RequestOrigin(received_at, read_sent_at(request), is_retry)
+        written = self._operations.create_job(namespace, data, origin, read_validation(request))
+        return written_response(201 if written.created else 200, written)
+
+    def _delete_selected(self, request: Request, path: ResourcePath) -> Response:
+        reject_dry_run(request)
+        selector = read_selector(request, path.resource)
+        deleted = self._operations.delete_jobs(path.namespace or "", selector)
+        status = success(path.resource, "", "")
+        status["details"]["deleted"] = len(deleted)
+        return json_response(200, status)
+
+    def _list(self, request: Request, path: ResourcePath) -> Response:
+        resource = path.resource
+        namespace = path.namespace if resource.namespaced else None
+        limit = read_integer(request, "limit")
+        token = request.query.get("continue", "")
+        if not token:
+            self._check_list_revision(request)
+        selector = read_selector(request, resource)
+        page = self._operations.store.list_objects(resource, namespace, selector, limit or 0, token)
+        metadata: Object = {"resourceVersion": str(page.revision)}
+        if page.continue_token:
+            metadata |= {"continue": page.continue_token, "remainingItemCount": page.remaining}
+        head = msgspec.json.encode(
+            {"kind": resource.list_kind, "apiVersion": API_VERSION, "metadata": metadata}
+        )
+        # The items are encoded already: they are joined in place of the head's last brace.
+        items = b",".join([stored.encoded for stored in page.items])
+        return Response(200, head[:-1] + b',"items":[' + items + b"]}")
+
+    def _check_list_revision(self, request: Request) -> None:
+        """Reject a list of another than the present revision, which would mislead its client."""
+        given = read_integer(request, "resourceVersion")
+        match = request.query.get("resourceVersionMatch", "")
+        present = self._operations.store.revision
+        if match not in ("", "NotOlderThan", "Exact"):
+            raise ApiError(400, f"resourceVersionMatch: {match!r} is not one of NotOlderThan, Exact")
+        if match and not given:
+            raise ApiError(400, "resourceVersionMatch: needs a resourceVersion")
+        if given is not None and given > present:
+            message = f"Too large resource version: {given}, current: {present}"
+            raise ApiError(504, message, retry_after_s=RETRY_AFTER_S)
+        if match == "Exact" and given != present:
+            raise ApiError(410, f"resource version {given} is no longer kept as a whole", reason="Expired")
+
+    def _watch(self, request: Request, path: ResourcePath) -> Response:
+        watch_request = self._read_watch_request(request, path)
+        times = self._environment.watch_times
+        lines = WatchLines(self._operations.store, watch_request, request.peer, times)
+        return Response(200, content_type=f"{JSON};stream=watch", stream=lines.stream(self.watches))
+
+    def _read_watch_request(self, request: Request, path: ResourcePath) -> WatchRequest:
+        resource = path.resource
+        since = read_integer(request, "resourceVersion") or None
+        sends_initial_events = read_flag(request, "sendInitialEvents")
+        bookmarks = read_flag(request, "allowWatchBookmarks")
+        timeout_s = self._watch_timeout_s(read_integer(request, "timeoutSeconds"))
+        return WatchRequest(
+            resource=resource,
+            namespace=path.namespace if resource.namespaced else None,
+            selector=read_selector(request, resource),
+            since=None if sends_initial_events else since,
+            bookmarks=bookmarks,
+            initial_end=sends_initial_events and bookmarks,
+            timeout_s=timeout_s,
+        )
+
+    def _watch_timeout_s(self, asked_s: int | None) -> float:
+        """Return how long a watch lasts. Without a wish of the client's it is drawn.
+
+        Watches of equal length that began together would all be resumed together.
+        """
+        longest_s = self._environment.watch_times.longest_s
+        drawn_s = longest_s * (0.5 + self._environment.rng.random() / 2)
+        return min(float(asked_s), longest_s) if asked_s else drawn_s
--- a/kelpfront/service/composition.py
+++ b/kelpfront/service/composition.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from kelpfront.clock import CommonClock
+from kelpfront.clock import MS_PER_S, CommonClock
 from kelpfront.config import Config, build_cluster, build_levels
 from kelpfront.controller.job_controller import ControllerIdentity, ControllerOptions, JobController
 from kelpfront.controller.jobs import JobLimits
@@ -25,7 +25,6 @@
     from kelpfront.fronts.grpc import GrpcLimits
     from kelpfront.tracing.export import Tracer
 
-MS_PER_S = 1000.0
 OBJECT_SLACK = 10_000
 """Objects of the store beyond jobs and machines of the settings: machines that are added later, levels."""
 REVISION_SHIFT_BITS = 10
--- a/kelpfront/service/control_loop.py
+++ b/kelpfront/service/control_loop.py
@@ -11,10 +11,10 @@
 import math
 from collections.abc import Callable
 
+from kelpfront.clock import MS_PER_S
 from kelpfront.controller.job_controller import JobController
 from kelpfront.service.machine_links import MachineLinks
 
-MS_PER_S = 1000.0
 STALL_MS = 100.0
 """A timer that is later than this: the process was stopped, or its host."""
 SOCKET_CATCH_UP_ITERATIONS = 6
--- a/kelpfront/service/garbage_collection.py
+++ b/kelpfront/service/garbage_collection.py
@@ -18,9 +18,10 @@
 
 import structlog
 
+from kelpfront.clock import MS_PER_S
+
 log = structlog.get_logger("kelpfront.garbage")
 
-MS_PER_S = 1000.0
 FREEZE_INTERVAL_S = 1.0
 """Bounds what one collection visits to the objects of a second."""
 FULL_COLLECTION_INTERVAL_S = 600.0
--- a/kelpfront/service/grpc_link.py
+++ b/kelpfront/service/grpc_link.py
@@ -13,6 +13,7 @@
 
 import grpc
 
+from kelpfront.clock import MS_PER_S
 from kelpfront.controller.load_reports import HealthCheckResult
 from kelpfront.machine.grpc_conversion import (
     UnknownValueError,
@@ -35,7 +36,6 @@
 from kelpfront.v1 import node_pb2 as pb
 from kelpfront.v1 import node_pb2_grpc as rpc
 
-MS_PER_S = 1000.0
 HEALTH_CHECK_TIMEOUT_S = 10.0
 """A check that is not answered by then has failed."""
 STREAM_BROKE = "the stream broke"
--- a/kelpfront/service/http_link.py
+++ b/kelpfront/service/http_link.py
@@ -8,10 +8,12 @@
 
 import asyncio
 import contextlib
+from http import HTTPStatus
 from urllib.parse import quote, urlsplit
 
 import msgspec
 
+from kelpfront.clock import MS_PER_S
 from kelpfront.controller.load_reports import HealthCheckResult
 from kelpfront.http.client import HttpConnection, HttpError, Reply
 from kelpfront.http.pool import HttpPool
@@ -39,12 +41,10 @@
 )
 from kelpfront.service.stream_session import StreamSession
 
-MS_PER_S = 1000.0
 MAX_CONNECTIONS = 32
 """To one machine, besides the stream; each offer in flight holds one."""
 MAX_CONCURRENT_STOPS = 4
 """To one machine, so that stop requests leave connections for offers."""
-HTTP_OK = 200
 
 
 class HttpLink:
@@ -175,7 +175,7 @@
                     connection.abort()
         except (HttpError, TimeoutError) as error:
             raise TaskOutputUnavailableError(str(error)) from error
-        return reply.body if reply.status == HTTP_OK else None
+        return reply.body if reply.status == HTTPStatus.OK else None
 
     # ---- The stream ---------------------------------------------------------------------------------------
 
--- a/kelpfront/service/http_stream.py
+++ b/kelpfront/service/http_stream.py
@@ -7,12 +7,11 @@
 
 import asyncio
 from collections.abc import AsyncGenerator
+from http import HTTPStatus
 
 from kelpfront.http.client import HttpConnection
 from kelpfront.service.machine_link import CONNECT_TIMEOUT_S, MAX_MESSAGE_BYTES, SILENCE_TIMEOUT_S
 
-HTTP_OK = 200
-
 
 async def read_stream(hostname: str, port: int, target: str) -> AsyncGenerator[list[bytes], None]:
     """Yield the complete lines of each fragment that arrives, until the machine ends the stream.
@@ -26,7 +25,7 @@
     try:
         async with asyncio.timeout(SILENCE_TIMEOUT_S):
             reply = await connection.stream("GET", target)
-        if reply.status != HTTP_OK:
+        if reply.status != HTTPStatus.OK:
             raise ValueError(f"HTTP {reply.status}")
         incomplete = b""
         fragments = aiter(reply.fragments)
--- a/kelpfront/service/placer.py
+++ b/kelpfront/service/placer.py
@@ -14,11 +14,11 @@
 
 import structlog
 
-from kelpfront.clock import CommonClock
+from kelpfront.clock import MS_PER_S, CommonClock
 from kelpfront.config import Config
 from kelpfront.controller.job_controller import JobController
 from kelpfront.controller.operations import Operations
-from kelpfront.fronts.rest import Health, RestFront, error_body
+from kelpfront.fronts.rest import Health, RestEnvironment, RestFront, WatchTimes, error_body
 from kelpfront.http.pacing import RequestPacer
 from kelpfront.http.server import HttpServer
 from kelpfront.inventory import Inventory
@@ -37,7 +37,6 @@
 
 log = structlog.get_logger("kelpfront.controller")
 
-MS_PER_S = 1000.0
 MAX_RECONCILIATION_WAIT_S = 3.0
 """For machines to report what they run, before jobs are accepted."""
 SHUTDOWN_SLACK_S = 2.0
@@ -80,14 +79,14 @@
         self.links = MachineLinks(LinkContext(self.controller, self.clock.now, self.notify_changed, rng))
         self._control_loop = ControlLoop(self.controller, self.clock.now, self.links)
         pacer = RequestPacer(clock=options.stopwatch)  # one for both APIs: they share the event loop
-        self.rest = RestFront(
-            self.operations,
+        environment = RestEnvironment(
             self._common_time,
             self.health,
             rng,
-            options.watch_times,
+            options.watch_times or WatchTimes(),
             self.links.read_task_output,
         )
+        self.rest = RestFront(self.operations, environment)
         self.http = HttpServer(self.rest.handle, composition.http_limits(config), error_body, pacer)
         self.grpc = self._make_grpc_front(pacer)
         self.inventory_reloader = InventoryReloader(config, self._apply_inventory)
@@ -201,7 +200,7 @@
             return
         self.operations.closed = ""
         if self.grpc is not None:
-            await self.grpc.set_ready(True)
+            await self.grpc.set_ready(ready=True)
         reconciled = sum(entry.reconciled for entry in entries.values())
         log.info("placer ready", machines_reconciled=reconciled, machines=len(entries))
 
@@ -212,7 +211,7 @@
         self._is_stopping = True
         self.operations.closed = STOPPING
         if self.grpc is not None:
-            await self.grpc.set_ready(False)
+            await self.grpc.set_ready(ready=False)
         log.info("placer stopping", open_tasks=self.controller.open_tasks)
         await self._control_loop.wait_until(
             lambda: not self.controller.open_tasks, self._longest_answer_s() + SHUTDOWN_SLACK_S
--- a/kelpfront/service/stream_session.py
+++ b/kelpfront/service/stream_session.py
@@ -8,12 +8,11 @@
 import asyncio
 
 from kelpfront.backoff import Backoff
+from kelpfront.clock import MS_PER_S
 from kelpfront.machine.messages import Hello, StreamMessage
 from kelpfront.machine.stream_offset import ResumePoint, StreamOffset
 from kelpfront.service.machine_link import LinkContext, log
 
-MS_PER_S = 1000.0
-
 
 class StreamSession:
     """Hands a stream's messages to the controller, each once, and paces reconnects."""
--- a/tests/fronts/test_grpc.py
+++ b/tests/fronts/test_grpc.py
@@ -21,7 +21,7 @@
 from kelpfront.api.errors import REASON_OF_CODE, ApiError, Cause
 from kelpfront.api.jobs import JOB_INPUT
 from kelpfront.api.meta import JOBS, MACHINES
-from kelpfront.fronts.grpc.session import CREDITS_MOST, REJECTIONS_MOST, BindingSession
+from kelpfront.fronts.grpc.binding_session import MAX_CREDITS, MAX_REJECTIONS, BindingSession
 from kelpfront.rpc.jobs import job_data, job_object, spec_message
 from kelpfront.rpc.limits import MAX_STREAM_JOBS
 from kelpfront.rpc.machines import machine_message, machine_object
@@ -520,19 +520,19 @@
 
 
 def kinds(session: BindingSession, most: int = 100) -> list[str | None]:
-    return [event.WhichOneof("event") for event in session.take(most)]
+    return [event.WhichOneof("event") for event in session.next_events(most)]
 
 
 def test_a_session_tells_everything_once_however_late_it_is_read() -> None:
-    session = BindingSession(False)
-    session.submitted("r", session_job("Pending", attempts=0), True)
+    session = BindingSession(answers_only=False)
+    session.record_submission("r", session_job("Pending", attempts=0), created=True)
     for attempts in (1, 2, 3):
-        session.changed("r", session_job("Placing", attempts=attempts))
-    session.changed("r", session_job("Ended", "Placed", attempts=3, end="ended"))
+        session.record_change("r", session_job("Placing", attempts=attempts))
+    session.record_change("r", session_job("Ended", "Placed", attempts=3, end="ended"))
     assert kinds(session) == []
-    session.grant(2)
+    session.grant_credits(2)
     assert kinds(session) == ["accepted", "offered"]
-    session.grant(100)
+    session.grant_credits(100)
     told = kinds(session)
     assert told == ["offer_ended", "offered", "offer_ended", "offered", "bound", "over"] or told == [
         "offer_ended",
@@ -547,44 +547,44 @@
 
 
 def test_a_session_that_wants_answers_only_gets_these() -> None:
-    session = BindingSession(True)
-    session.grant(100)
-    session.submitted("r", session_job("Refused", "Refused", attempts=4, end="refused"), True)
+    session = BindingSession(answers_only=True)
+    session.grant_credits(100)
+    session.record_submission("r", session_job("Refused", "Refused", attempts=4, end="refused"), created=True)
     assert kinds(session) == ["accepted", "refused"] and not session.refs
 
 
 def test_a_session_is_bounded() -> None:
-    session = BindingSession(False)
+    session = BindingSession(answers_only=False)
     for number in range(MAX_STREAM_JOBS):
         session.check_ref(f"r{number}")
-        session.submitted(f"r{number}", session_job("Pending", attempts=0), True)
+        session.record_submission(f"r{number}", session_job("Pending", attempts=0), created=True)
     with pytest.raises(ApiError, match="which is the most"):
         session.check_ref("more")
     with pytest.raises(ApiError, match="on this stream already"):
         session.check_ref("r1")
-    for wrong in (0, -1, CREDITS_MOST + 1):
+    for wrong in (0, -1, MAX_CREDITS + 1):
         with pytest.raises(ApiError, match="credits"):
-            session.grant(wrong)
-    session.grant(CREDITS_MOST)
-    session.grant(CREDITS_MOST)
-    assert session.credits == CREDITS_MOST
+            session.grant_credits(wrong)
+    session.grant_credits(MAX_CREDITS)
+    session.grant_credits(MAX_CREDITS)
+    assert session.credits == MAX_CREDITS
 
 
 def test_rejections_that_nobody_reads_are_bounded() -> None:
-    session = BindingSession(False)
-    for number in range(REJECTIONS_MOST):
-        session.rejected(f"r{number}", ApiError(422, "x"))
+    session = BindingSession(answers_only=False)
+    for number in range(MAX_REJECTIONS):
+        session.record_rejection(f"r{number}", ApiError(422, "x"))
     with pytest.raises(ApiError, match="rejections wait"):
-        session.rejected("more", ApiError(422, "x"))
-    session.grant(1)
-    assert kinds(session) == ["rejected"] and not session.told_all
+        session.record_rejection("more", ApiError(422, "x"))
+    session.grant_credits(1)
+    assert kinds(session) == ["rejected"] and not session.is_drained
 
 
 async def test_a_client_that_sends_nonsense_and_reads_nothing_is_cut_off() -> None:
     async with served(1) as (_, service, stubs):
         call = stubs.jobs.Bindings()
         await call.write(Open)
-        for number in range(REJECTIONS_MOST + 1):
+        for number in range(MAX_REJECTIONS + 1):
             await call.write(submit(f"r{number}", "nope"))
         with pytest.raises(grpc.aio.AioRpcError) as caught:
             await call.read()
@@ -595,12 +595,12 @@
 
 
 def test_a_second_submission_by_a_ref_that_is_in_use_is_rejected_and_the_first_goes_on() -> None:
-    session = BindingSession(False)
-    session.grant(100)
-    session.submitted("r", session_job("Pending", attempts=0), True)
+    session = BindingSession(answers_only=False)
+    session.grant_credits(100)
+    session.record_submission("r", session_job("Pending", attempts=0), created=True)
     for _ in range(3):
-        session.rejected("r", ApiError(409, "x", reason="AlreadyExists"))
+        session.record_rejection("r", ApiError(409, "x", reason="AlreadyExists"))
     told = sorted(str(kind) for kind in kinds(session))
     assert told == ["accepted", "rejected", "rejected", "rejected"]
-    session.changed("r", session_job("Running", "Placed"))
+    session.record_change("r", session_job("Running", "Placed"))
     assert kinds(session) == ["offered", "bound"]
--- a/tests/lab/test_lab_fronts.py
+++ b/tests/lab/test_lab_fronts.py
@@ -15,7 +15,8 @@
 from kelpfront.client.retry import Discipline, even_share_worst
 from kelpfront.controller.admission import MIN_REMAINING_TICKS
 from kelpfront.controller.job_controller import JobController
-from kelpfront.fronts.grpc import session
+from kelpfront.fronts.grpc import job_progress
+from kelpfront.fronts.grpc.binding_session import BindingSession
 from kelpfront.lab.fronts import Fronts, FrontsShape, draw_mix
 from kelpfront.lab.process import raise_file_limit
 from kelpfront.lab.protocols import Protocols
@@ -49,12 +50,12 @@
 
 
 async def test_a_front_that_words_a_level_otherwise_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right: Any = session.BindingSession.rejected
+    right: Any = BindingSession.record_rejection
 
     def wrong(self: Any, ref: str, error: ApiError) -> Any:
         return right(self, ref, ApiError(503, error.message) if error.code == 429 else error)
 
-    monkeypatch.setattr(session.BindingSession, "rejected", wrong)
+    monkeypatch.setattr(BindingSession, "record_rejection", wrong)
     figures = await Fronts(FrontsShape(seed=5, tasks=14, machines=6, both=2, level="holding"), quiet).run()
     assert figures["differences"] > 0
 
@@ -86,27 +87,27 @@
 
 
 async def test_a_stream_that_tells_refusals_as_failures_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    right = session._answer
+    right = job_progress.answer_event
 
     def wrong(ref: str, index: int, task: Object, answer: str) -> Any:
         return right(ref, index, task, "Failed" if answer == "Refused" else answer)
 
-    monkeypatch.setattr(session, "_answer", wrong)
+    monkeypatch.setattr(job_progress, "answer_event", wrong)
     figures = await Fronts(FrontsShape(seed=5, tasks=60, machines=6, both=2), quiet).run()
     assert figures["differences"] > 0
 
 
 async def test_a_front_that_drops_a_field_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    from kelpfront.fronts.grpc import services
+    from kelpfront.fronts.grpc import job_submission
 
-    right: Any = vars(services)["job_data"]
+    right: Any = vars(job_submission)["job_data"]
 
     def wrong(*args: Any) -> Object:
         data: Object = right(*args)
         data["spec"].pop("count", None)
         return data
 
-    monkeypatch.setattr(services, "job_data", wrong)
+    monkeypatch.setattr(job_submission, "job_data", wrong)
     figures = await Fronts(FrontsShape(seed=5, tasks=40, machines=6, both=2), quiet).run()
     assert figures["differences"] > 0
 
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -17,6 +17,7 @@
 from kelpfront.config import reader as settings
 from kelpfront.failure_detector import config as detector_config
 from kelpfront.fronts.rest import discovery
+from kelpfront.fronts.rest.openapi import document
 from kelpfront.platform import config as platform_config
 from kelpfront.platform import directory as platform_directory
 from kelpfront.service.placer import PlacerService
@@ -24,7 +25,7 @@
 
 
 def openapi() -> bytes:
-    return msgspec.json.encode(discovery.openapi())
+    return msgspec.json.encode(document())
 
 
 def discovery_documents() -> bytes:
