--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -13,7 +13,7 @@
 from command_line import ran
 from kubernetes import client as kubernetes_client
 from kubernetes import watch as kubernetes_watch
-from rest_calls import BASE, JOB, JOBS_PATH, told
+from rest_calls import BASE, JOB, JOBS_PATH, call_json
 from waiting import until
 
 from kelpfront.api.errors import ApiError
@@ -32,7 +32,7 @@
 
 async def pin_level(service: PlacerService, level: str, for_: str = "10m") -> Any:
     patch = {"spec": {"pin": {"level": level, "for": for_}}}
-    status, body = await told(service, "PATCH", PATH, patch, kind="application/merge-patch+json")
+    status, body = await call_json(service, "PATCH", PATH, patch, kind="application/merge-patch+json")
     assert status == 200, body
     return body
 
@@ -40,7 +40,7 @@
 async def test_the_level_is_a_resource_that_fits_its_own_schema() -> None:
     async with cluster(2) as (_, service, _client):
         await until(lambda: service.store.find(LEVELS, ("", "placer-0")))
-        status, listed = await told(service, "GET", f"{BASE}/levels")
+        status, listed = await call_json(service, "GET", f"{BASE}/levels")
         assert (status, listed["kind"], len(listed["items"])) == (200, "LevelList", 1)
         level_status = Level.model_validate(listed["items"][0]).status
         assert level_status is not None
@@ -51,7 +51,7 @@
             ("ingest", 1, True),
             ("blend", 1, True),
         ]
-        assert (await told(service, "GET", f"{BASE}/levels?fieldSelector=status.level=holding"))[1][
+        assert (await call_json(service, "GET", f"{BASE}/levels?fieldSelector=status.level=holding"))[1][
             "items"
         ] == []
 
@@ -62,7 +62,7 @@
         assert body["status"]["level"] == "holding"
         assert body["status"]["pinnedUntil"]
         assert "web: nothing is taken" in body["status"]["givenUp"]
-        status, refused = await told(service, "POST", JOBS_PATH, JOB)
+        status, refused = await call_json(service, "POST", JOBS_PATH, JOB)
         assert (status, refused["reason"]) == (429, "TooManyRequests")
         assert refused["details"]["retryAfterSeconds"] >= 1
         (cause,) = refused["details"]["causes"]
@@ -75,7 +75,7 @@
         assert job.status is not None
         assert job.status.tasks[0].answer == "Placed"
         assert service.store.find(JOBS, ("climate", "a")) is None, "what is turned away was never taken"
-        body = (await told(service, "GET", PATH))[1]
+        body = (await call_json(service, "GET", PATH))[1]
         assert body["status"]["changes"][-1]["after"] == "holding"
 
 
@@ -83,7 +83,7 @@
     async with cluster(1) as (_, service, _client):
         first = await pin_level(service, "careful")
         await asyncio.sleep(0.01)
-        status, back = await told(service, "PUT", PATH, first)
+        status, back = await call_json(service, "PUT", PATH, first)
         assert (status, back["status"]["pinnedUntil"]) == (200, first["status"]["pinnedUntil"])
         again = await pin_level(service, "careful")
         assert again["status"]["pinnedUntil"] > first["status"]["pinnedUntil"]
@@ -96,7 +96,7 @@
         body = await pin_level(service, "holding")
         generation = body["metadata"]["generation"]
         patch = {"spec": {"pin": None}}
-        status, body = await told(service, "PATCH", PATH, patch, kind="application/merge-patch+json")
+        status, body = await call_json(service, "PATCH", PATH, patch, kind="application/merge-patch+json")
         assert (status, body["spec"], body["metadata"]["generation"]) == (200, {}, generation + 1)
 
 
@@ -111,7 +111,7 @@
 async def test_an_invalid_pin_is_rejected_with_its_field_and_changes_nothing(pin: Any, field: str) -> None:
     async with cluster(1) as (_, service, _client):
         await until(lambda: service.store.find(LEVELS, ("", "placer-0")))
-        status, body = await told(
+        status, body = await call_json(
             service, "PATCH", PATH, {"spec": {"pin": pin}}, kind="application/merge-patch+json"
         )
         assert status == 422
--- /dev/null
+++ b/tests/fronts/test_bindings_stream.py
@@ -0,0 +1,157 @@
+"""Bindings streams on real sockets."""
+
+from __future__ import annotations
+
+import asyncio
+
+import grpc
+import pytest
+from clusters import spec
+from grpc_calls import Open, credits, served, submit
+from waiting import until
+
+from kelpfront.api.meta import JOBS
+from kelpfront.fronts.grpc.binding_session import MAX_REJECTIONS
+from kelpfront.v1 import api_pb2 as pb
+from kelpfront.v1 import resources_pb2
+
+
+async def test_a_stream_sends_offers_bindings_refusals_and_ends() -> None:
+    async with served() as (its, service, stubs):
+        call = stubs.jobs.Bindings()
+        await call.write(Open)
+        await call.write(credits(1000))
+        await call.write(submit("fine"))
+        await call.write(submit("wrong", "nope"))
+        await call.write(submit("huge", cores=90_000.0, patience="300ms"))
+        told: dict[str, list[str]] = {"fine": [], "wrong": [], "huge": []}
+        while not ("bound" in told["fine"] and told["wrong"] and {"refused", "failed"} & {*told["huge"]}):
+            event = await asyncio.wait_for(call.read(), 20)
+            told[event.ref].append(event.WhichOneof("event"))
+            if event.ref == "wrong":
+                assert event.rejected.violations[0].field == "spec.class"
+        assert told["fine"][:3] == ["accepted", "offered", "bound"]
+        assert told["wrong"] == ["rejected"]
+        name = next(iter(its.fleet.machines))
+        (uid,) = {line["task"] for line in its.events("start")}
+        machine = next(m for m in its.fleet.machines.values() if uid in m.node.tasks)
+        machine._exit(uid)
+        event = await asyncio.wait_for(call.read(), 20)
+        assert event.over.state == resources_pb2.TASK_STATE_ENDED
+        assert name
+        await call.done_writing()
+        assert await asyncio.wait_for(call.read(), 20) is grpc.aio.EOF
+        assert len(service.grpc.streams if service.grpc else ()) == 0
+
+
+async def test_nothing_is_sent_without_credits_and_what_is_sent_later_is_complete() -> None:
+    async with served() as (_, service, stubs):
+        call = stubs.jobs.Bindings()
+        await call.write(Open)
+        for number in range(20):
+            await call.write(submit(f"r{number}"))
+        await until(lambda: service.store.count(JOBS) == 20 and not service.controller.open_tasks)
+        with pytest.raises(TimeoutError):
+            async with asyncio.timeout(0.3):
+                await call.read()
+        # A read that was given up ends the call; its client comes again with the same tokens.
+        call = stubs.jobs.Bindings()
+        await call.write(Open)
+        for number in range(20):
+            await call.write(submit(f"r{number}"))
+        told: dict[str, list[str]] = {}
+        for _ in range(60):
+            await call.write(credits(1))
+            event = await asyncio.wait_for(call.read(), 20)
+            told.setdefault(event.ref, []).append(event.WhichOneof("event"))
+        assert all(events == ["accepted", "offered", "bound"] for events in told.values())
+        assert len(told) == 20
+        assert service.store.count(JOBS) == 20
+        call.cancel()
+
+
+async def test_a_stream_that_broke_between_offer_and_binding_continues_by_token_over_either_api() -> None:
+    async with served() as (its, service, stubs):
+        for machine in its.fleet.machines.values():
+            machine.troubles.late_ms = 400.0
+        call = stubs.jobs.Bindings()
+        await call.write(Open)
+        await call.write(credits(10))
+        await call.write(submit("one", "blend"))
+        while (await asyncio.wait_for(call.read(), 20)).WhichOneof("event") != "offered":
+            pass
+        call.cancel()
+        client = its.client(service)
+        job = await client.wait_answers(await client.submit("climate", spec("blend", clientToken="one")))
+        assert job.status is not None
+        assert job.status.tasks[0].answer == "Placed"
+        again = stubs.jobs.Bindings()
+        await again.write(Open)
+        await again.write(credits(10))
+        await again.write(submit("other-ref", "blend", clientToken="one"))
+        events = [(await asyncio.wait_for(again.read(), 20)) for _ in range(3)]
+        assert [event.WhichOneof("event") for event in events] == ["accepted", "offered", "bound"]
+        assert not events[0].accepted.created
+        assert events[0].accepted.uid == job.metadata.uid
+        assert len(its.events("start")) == 1
+        again.cancel()
+
+
+async def test_a_withdrawn_job_is_deleted_and_a_deletion_by_others_is_sent() -> None:
+    async with served() as (its, service, stubs):
+        call = stubs.jobs.Bindings()
+        await call.write(Open)
+        await call.write(credits(100))
+        await call.write(submit("mine"))
+        await call.write(submit("theirs"))
+        names: dict[str, str] = {}
+        while len(names) < 2 or service.controller.open_tasks:
+            event = await asyncio.wait_for(call.read(), 20)
+            if event.HasField("accepted"):
+                names[event.ref] = event.accepted.name
+        await call.write(pb.BindingsRequest(withdraw=pb.BindingsRequest.Withdraw(ref="mine")))
+        await until(lambda: service.store.count(JOBS) == 1)
+        await its.client(service).delete_job("climate", names["theirs"])
+        while True:
+            event = await asyncio.wait_for(call.read(), 20)
+            if event.HasField("deleted"):
+                assert event.ref == "theirs"
+                break
+        call.cancel()
+
+
+@pytest.mark.parametrize(
+    ("first", "code"),
+    [
+        (credits(5), grpc.StatusCode.INVALID_ARGUMENT),
+        (pb.BindingsRequest(), grpc.StatusCode.INVALID_ARGUMENT),
+        (
+            pb.BindingsRequest(open=pb.BindingsRequest.Open.FromString(b"\x0a\x01a\x10\x63")),  # detail 99
+            grpc.StatusCode.INVALID_ARGUMENT,
+        ),
+    ],
+)
+async def test_a_stream_without_a_valid_open_message_is_rejected_with_the_reason(
+    first: pb.BindingsRequest, code: grpc.StatusCode
+) -> None:
+    async with served() as (_, _service, stubs):
+        call = stubs.jobs.Bindings()
+        await call.write(first)
+        with pytest.raises(grpc.aio.AioRpcError):
+            await call.read()
+        assert await call.code() is code
+        assert "open" in str(await call.details())
+
+
+async def test_a_client_that_sends_invalid_jobs_and_reads_nothing_is_disconnected() -> None:
+    async with served(1) as (_, service, stubs):
+        call = stubs.jobs.Bindings()
+        await call.write(Open)
+        for number in range(MAX_REJECTIONS + 1):
+            await call.write(submit(f"r{number}", "nope"))
+        with pytest.raises(grpc.aio.AioRpcError) as caught:
+            await call.read()
+        assert caught.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
+        assert service.grpc is not None
+        streams = service.grpc.streams
+        await until(lambda: not len(streams))
--- /dev/null
+++ b/tests/fronts/test_grpc_services.py
@@ -0,0 +1,192 @@
+"""The gRPC services on real sockets, by the generated stubs and by a client that knows only reflection."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import grpc
+import pytest
+from clusters import spec
+from google.protobuf import descriptor_pool, message_factory
+from google.protobuf.duration_pb2 import Duration
+from grpc_calls import job_spec, refused, served
+from grpc_reflection.v1alpha.proto_reflection_descriptor_database import ProtoReflectionDescriptorDatabase
+from waiting import until
+
+from kelpfront.api.meta import JOBS, MACHINES
+from kelpfront.rpc.jobs import job_object
+from kelpfront.rpc.machines import machine_message, machine_object
+from kelpfront.v1 import api_pb2 as pb
+from kelpfront.v1 import resources_pb2
+
+
+async def test_submit_get_list_watch_delete() -> None:
+    async with served() as (_, service, stubs):
+        labels = resources_pb2.ObjectMeta(name="front", labels={"tier": "web"})
+        request = pb.SubmitRequest(namespace="climate", metadata=labels, spec=job_spec(count=2))
+        made = await stubs.jobs.Submit(request)
+        assert made.created
+        assert made.job.metadata.name == "front"
+        assert len(made.job.status.tasks) == 2
+        seen: list[pb.WatchJobsResponse] = []
+        watching = stubs.jobs.Watch(pb.WatchRequest(namespace="climate", label_selector="tier=web"))
+        async for event in watching:
+            seen.append(event)
+            if event.job.status.answered == 2:
+                break
+        watching.cancel()
+        tasks = seen[-1].job.status.tasks
+        assert {task.answer for task in tasks} == {resources_pb2.ANSWER_PLACED}
+        await until(
+            lambda: service.store.get(JOBS, ("climate", "front")).body["status"]["counts"] == {"running": 2}
+        )
+        got = await stubs.jobs.Get(pb.GetRequest(namespace="climate", name="front"))
+        assert job_object(got) == service.store.get(JOBS, ("climate", "front")).body
+        listed = await stubs.jobs.List(pb.ListRequest(namespace="climate", limit=1))
+        assert [job.metadata.name for job in listed.jobs] == ["front"]
+        assert listed.resume_token
+        await stubs.jobs.Delete(pb.DeleteRequest(namespace="climate", name="front"))
+        code, error = await refused(stubs.jobs.Get(pb.GetRequest(namespace="climate", name="front")))
+        assert code is grpc.StatusCode.NOT_FOUND
+        assert error is not None
+        assert error.reason == "NotFound"
+        resumed = stubs.jobs.Watch(pb.WatchRequest(namespace="climate", resume_token=listed.resume_token))
+        kinds = []
+        async for event in resumed:
+            kinds.append(event.type)
+            if event.type == pb.EVENT_TYPE_DELETED:
+                break
+        resumed.cancel()
+        assert kinds[0] == pb.EVENT_TYPE_BOOKMARK
+
+
+async def test_machines_are_read_and_drained() -> None:
+    async with served() as (_, service, stubs):
+        listed = await stubs.machines.List(pb.ListRequest())
+        assert {machine.metadata.name for machine in listed.machines} == {"n0", "n1"}
+        one = await stubs.machines.SetUnschedulable(pb.SetUnschedulableRequest(name="n0", unschedulable=True))
+        assert one.status.state == resources_pb2.MACHINE_STATE_DRAINING
+        body = service.store.get(MACHINES, ("", "n0")).body
+        again = machine_object(machine_message(body))
+        assert again["spec"] == body["spec"]
+        assert again["status"]["state"] == body["status"]["state"]
+        watching = stubs.machines.Watch(pb.WatchRequest())
+        states = {}
+        async for event in watching:
+            if event.type != pb.EVENT_TYPE_BOOKMARK:
+                states[event.machine.metadata.name] = event.machine.status.state
+            if len(states) == 2:
+                break
+        watching.cancel()
+        assert states["n0"] == resources_pb2.MACHINE_STATE_DRAINING
+
+
+async def test_submissions_with_one_token_over_both_apis_make_one_job() -> None:
+    async with served() as (its, service, stubs):
+        client = its.client(service)
+        made = spec("blend", clientToken="once", count=3)
+        request = pb.SubmitRequest(namespace="climate", spec=job_spec("blend", clientToken="once", count=3))
+        answers = await asyncio.gather(
+            *(call for _ in range(5) for call in (client.submit("climate", made), stubs.jobs.Submit(request)))
+        )
+        uids = {a.job.metadata.uid if isinstance(a, pb.SubmitResponse) else a.metadata.uid for a in answers}
+        assert len(uids) == 1
+        assert sum(isinstance(a, pb.SubmitResponse) and a.created for a in answers) <= 1
+        await until(lambda: service.controller.open_tasks == 0)
+        assert len(its.events("start")) == 3
+        changed = pb.SubmitRequest(namespace="climate", spec=job_spec("web", clientToken="once"))
+        code, error = await refused(stubs.jobs.Submit(changed))
+        assert code is grpc.StatusCode.ABORTED
+        assert error is not None
+        assert error.reason == "Conflict"
+
+
+@pytest.mark.parametrize(
+    ("change", "field"),
+    [
+        ({"cores": 0.0}, "spec.cores"),
+        ({"cores": float("nan")}, "spec.cores"),
+        ({"count": 0}, "spec.count"),
+        ({"service": ""}, "spec.service"),
+        ({"patience": Duration(seconds=-5)}, "spec.patience"),
+        ({"patience": Duration(seconds=4000)}, "spec.patience"),
+        ({"class": "nope"}, "spec.class"),
+        ({"client_token": "x" * 200}, "spec.clientToken"),
+        ({"env": {"A": "b"}}, "spec"),
+    ],
+)
+async def test_invalid_fields_are_named(change: dict[str, Any], field: str) -> None:
+    async with served() as (_, _service, stubs):
+        wrong = job_spec()
+        for name, value in change.items():
+            if isinstance(value, Duration):
+                wrong.patience.CopyFrom(value)
+            elif isinstance(value, dict):
+                wrong.env.update(value)
+            else:
+                setattr(wrong, name, value)
+        code, error = await refused(stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=wrong)))
+        assert code is grpc.StatusCode.INVALID_ARGUMENT
+        assert error is not None
+        assert error.reason == "Invalid"
+        assert field in [cause.field for cause in error.causes], error.causes
+
+
+async def test_unknown_fields_are_rejected_in_a_spec_and_ignored_elsewhere() -> None:
+    async with served() as (_, _service, stubs):
+        later = resources_pb2.JobSpec.FromString(
+            job_spec().SerializeToString() + b"\xf8\x07\x01"
+        )  # field 127
+        code, error = await refused(stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=later)))
+        assert code is grpc.StatusCode.INVALID_ARGUMENT
+        assert error is not None
+        assert [cause.field for cause in error.causes] == ["spec.127"]
+        got = pb.ListRequest.FromString(b"\xf8\x07\x01")
+        assert (await stubs.jobs.List(got)).resume_token
+
+
+async def test_invalid_tokens_and_namespaces_are_rejected() -> None:
+    async with served() as (_, _service, stubs):
+        for request, wanted in (
+            (stubs.jobs.Submit(pb.SubmitRequest(namespace="../x", spec=job_spec())), "BadRequest"),
+            (stubs.jobs.List(pb.ListRequest(continue_token="nope")), "BadRequest"),
+            (stubs.jobs.List(pb.ListRequest(limit=-1)), "BadRequest"),
+            (stubs.jobs.List(pb.ListRequest(field_selector="status.no=1")), "BadRequest"),
+        ):
+            _, error = await refused(request)
+            assert error is not None
+            assert error.reason == wanted
+        for token, code in (("x", grpc.StatusCode.INVALID_ARGUMENT), ("5", grpc.StatusCode.OUT_OF_RANGE)):
+            watching = stubs.jobs.Watch(pb.WatchRequest(resume_token=token))
+            with pytest.raises(grpc.aio.AioRpcError) as caught:
+                async for _ in watching:
+                    pass
+            assert caught.value.code() is code
+
+
+async def test_a_client_that_knows_only_reflection_submits_a_job() -> None:
+    """Without any code of this project: the server's descriptors are enough."""
+    async with served() as (_, service, _stubs):
+
+        def stock() -> str:
+            with grpc.insecure_channel(service.grpc_target) as channel:
+                database: Any = ProtoReflectionDescriptorDatabase(channel)
+                assert "kelpfront.v1.Jobs" in database.get_services()
+                pool: Any = descriptor_pool.DescriptorPool(database)
+                method = pool.FindServiceByName("kelpfront.v1.Jobs").FindMethodByName("Submit")
+                request: Any = message_factory.GetMessageClass(method.input_type)()
+                answer = message_factory.GetMessageClass(method.output_type)
+                request.namespace = "climate"
+                setattr(request.spec, "class", "web")
+                request.spec.service, request.spec.cores, request.spec.memory = "front", 1.0, 2.0
+                call: Any = channel.unary_unary(
+                    "/kelpfront.v1.Jobs/Submit",
+                    request_serializer=lambda message: message.SerializeToString(),
+                    response_deserializer=answer.FromString,
+                )
+                name: str = call(request, timeout=20).job.metadata.name
+                return name
+
+        name = await asyncio.to_thread(stock)
+        assert service.store.find(JOBS, ("climate", name)) is not None
--- /dev/null
+++ b/tests/grpc_calls.py
@@ -0,0 +1,70 @@
+"""Calls of a placer's gRPC API by the generated stubs, as the tests of its parts make them."""
+
+from __future__ import annotations
+
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from typing import Any
+
+import grpc
+import pytest
+from clusters import TestCluster, cluster, spec
+
+from kelpfront.api.errors import ApiError
+from kelpfront.rpc.jobs import spec_message
+from kelpfront.rpc.status import error_of
+from kelpfront.service.placer import PlacerService
+from kelpfront.v1 import api_pb2 as pb
+from kelpfront.v1 import api_pb2_grpc, resources_pb2
+
+SERVED = ("placer.grpc=127.0.0.1:0",)
+
+
+Open = pb.BindingsRequest(open=pb.BindingsRequest.Open(namespace="climate"))
+
+
+class Stubs:
+    def __init__(self, target: str, **options: Any) -> None:
+        self.channel = grpc.aio.insecure_channel(target, options=list(options.items()))
+        self.jobs: Any = api_pb2_grpc.JobsStub(self.channel)
+        self.machines: Any = api_pb2_grpc.MachinesStub(self.channel)
+
+
+@asynccontextmanager
+async def served(
+    machines: int = 2, *overrides: str
+) -> AsyncIterator[tuple[TestCluster, PlacerService, Stubs]]:
+    async with cluster(machines, *SERVED, *overrides) as (its, service, _):
+        stubs = Stubs(service.grpc_target)
+        try:
+            yield its, service, stubs
+        finally:
+            await stubs.channel.close()
+
+
+def job_spec(cls: str = "web", **changes: Any) -> resources_pb2.JobSpec:
+    return spec_message(spec(cls, **changes).model_dump(by_alias=True, exclude_none=True))
+
+
+def submit(ref: str, cls: str = "web", **changes: Any) -> pb.BindingsRequest:
+    changes.setdefault("clientToken", ref)
+    return pb.BindingsRequest(submit=pb.BindingsRequest.Submit(ref=ref, spec=job_spec(cls, **changes)))
+
+
+def credits(count: int) -> pb.BindingsRequest:
+    return pb.BindingsRequest(credits=count)
+
+
+async def refused(call: Any) -> tuple[grpc.StatusCode, ApiError | None]:
+    with pytest.raises(grpc.aio.AioRpcError) as caught:
+        await call
+    error = caught.value
+    return error.code(), error_of(error.code(), error.details() or "", error.trailing_metadata())
+
+
+async def first_message(call: Any) -> Any:
+    return await anext(aiter(call), None)
+
+
+async def all_messages(call: Any) -> list[Any]:
+    return [event async for event in call]
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -45,26 +45,29 @@
         self._open.discard(writer)
 
     async def _pump(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, most: int | None
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, byte_limit: int | None
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(4096):
                 if self.swallow_answers and writer in self._open:
                     continue
-                if most is not None:
-                    data, most = data[:most], most - len(data)
-                writer.write(data)
+                if byte_limit is not None:
+                    fragment = data[:byte_limit]
+                    byte_limit -= len(data)
+                else:
+                    fragment = data
+                writer.write(fragment)
                 await writer.drain()
-                if most is not None and most <= 0:
+                if byte_limit is not None and byte_limit <= 0:
                     writer.transport.abort()
                     return
 
 
 @asynccontextmanager
 async def proxy(port: int) -> AsyncIterator[Proxy]:
-    its = Proxy(port)
-    await its.start()
+    forwarder = Proxy(port)
+    await forwarder.start()
     try:
-        yield its
+        yield forwarder
     finally:
-        await its.close()
+        await forwarder.close()
--- a/tests/rest_calls.py
+++ b/tests/rest_calls.py
@@ -32,7 +32,7 @@
     return reply
 
 
-async def told(
+async def call_json(
     service: PlacerService, method: str, path: str, body: Any = None, **more: Any
 ) -> tuple[int, Any]:
     reply = await call(service, method, path, body, **more)
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -12,88 +12,20 @@
 import pytest
 from agents import agent
 from clusters import TestCluster, cluster, spec
-from hypothesis import given, settings
-from hypothesis import strategies as st
 from machines import offer
 from waiting import until
 
 from kelpfront.api.meta import JOBS
 from kelpfront.client import Client
 from kelpfront.inventory import Host, Inventory
-from kelpfront.machine import messages as m
 from kelpfront.machine.grpc_conversion import (
-    UnknownValueError,
-    answer_message,
     offer_message,
-    read_answer,
-    read_offer,
-    read_stream_message,
-    stream_message,
 )
 from kelpfront.service.grpc_link import GrpcLink
 from kelpfront.service.placer import PlacerService
 from kelpfront.v1 import node_pb2 as pb
 from kelpfront.v1 import node_pb2_grpc
 
-# ---- Messages ----------------------------------------------------------------------------------------------
-
-LOAD = m.LoadReport(1.0, 2.0, 3.0, 4.0, 5, 0.5)
-RUN = m.Command(("sh", "-c", "x"), {"A": "b"}, "/tmp", 500.0)
-
-
-@given(
-    st.sampled_from(["safe", "keyed", "unsafe"]),
-    st.sampled_from(["none", "machine", "cell", "zone", "all"]),
-    st.text(max_size=5),
-    st.floats(0, 1e15),
-    st.booleans(),
-)
-@settings(derandomize=True)
-def test_offers_come_back_as_they_were(
-    effect: Any, group: Any, key: str, not_after: float, runs: bool
-) -> None:
-    sent = offer("t1", 3, effect=effect, group=group, key=key, not_after=not_after, run=RUN if runs else None)
-    wire = pb.OfferTask.FromString(offer_message(sent).SerializeToString())
-    assert read_offer(wire) == sent
-
-
-@pytest.mark.parametrize(
-    "message",
-    [
-        m.Hello("boot", 5.0, "small", 500.0, True, 1 << 50),
-        m.Snapshot(7, (m.TaskReport(offer("t"), "life", "ended", "sent-away", 3, False, 1.5, "why"),)),
-        m.Snapshot(7, (m.TaskReport(offer("t"), "life", "running"),)),
-        m.Heartbeat("draining", LOAD),
-        m.Taken(9, "t", 1, True),
-        m.Gone(9, "t", 1, "pushed-out", True, None, "text", None),
-        m.Gone(9, "t", 1, "ended", True, 0, "", 0.0),
-        m.Note("t", 1, "service", 0.5),
-    ],
-)
-def test_stream_messages_come_back_as_they_were(message: m.StreamMessage) -> None:
-    wire = pb.NodeMessage.FromString(stream_message(message).SerializeToString())
-    assert read_stream_message(wire) == message
-
-
-@pytest.mark.parametrize("kind", ["running", "accepted", "refused", "error"])
-def test_answers_come_back_as_they_were(kind: Any) -> None:
-    answer = m.Answer(kind, "NO_CORES", "text", LOAD if kind == "refused" else None)
-    assert read_answer(answer_message("t", 1, answer).answer) == answer
-
-
-def test_words_of_a_later_version_are_not_guessed() -> None:
-    later = pb.OfferTask.FromString(offer_message(offer("t")).SerializeToString() + b"\x40\x63")  # effect 99
-    with pytest.raises(UnknownValueError, match="effect"):
-        read_offer(later)
-    unknown = pb.OfferAnswer.FromString(b"\x18\x63")  # an answer of kind 99 proves nothing
-    assert read_answer(unknown).answer == "error"
-    assert read_stream_message(pb.NodeMessage.FromString(b"\xfa\x07\x00")) is None
-    with pytest.raises(UnknownValueError, match="cause"):
-        read_stream_message(pb.NodeMessage(gone=pb.Gone(cause="melted")))
-
-
-# ---- The placer with stand-ins -----------------------------------------------------------------------------
-
 
 @asynccontextmanager
 async def served(
@@ -121,7 +53,7 @@
         await until(lambda: uid not in service.controller.context.task_table.by_uid)
 
 
-async def test_a_late_answer_is_given_up_and_the_copy_dealt_with_by_its_effect() -> None:
+async def test_an_offer_that_is_answered_late_is_abandoned_and_started_at_most_once() -> None:
     async with served(1, "placer.seed=1") as (its, service, client):
         (machine,) = its.fleet.machines.values()
         machine.troubles.late_ms = 1500.0
@@ -135,7 +67,7 @@
         assert service.controller.open_tasks == 0
 
 
-async def test_given_up_offers_that_have_not_begun_are_dropped_at_the_machine() -> None:
+async def test_abandoned_offers_that_have_not_started_are_dropped_by_the_machine() -> None:
     async with served(1) as (its, _service, client):
         (machine,) = its.fleet.machines.values()
         # Patience is such that a loop which stands still for half a second still sends the offers.
@@ -143,10 +75,11 @@
         jobs = [await client.submit("climate", spec("web", patience="2s")) for _ in range(5)]
         await asyncio.gather(*(client.wait_answers(job, timeout_s=20) for job in jobs))
         await until(lambda: not machine.node.tasks)
-        assert its.events("left") and len(its.events("start")) <= 1
+        assert its.events("left")
+        assert len(its.events("start")) <= 1
 
 
-async def test_a_machine_that_dies_takes_its_tasks_and_comes_back() -> None:
+async def test_a_crashed_machine_loses_its_tasks_and_is_ready_again_after_its_boot() -> None:
     async with served(2, "cluster.lost_after=1 s") as (its, service, client):
         task = await placed(client, "web")
         machine = its.fleet.machines[task.machine]
@@ -157,7 +90,7 @@
         assert (await placed(client, "web")).answer == "Placed"
 
 
-async def test_a_stream_that_breaks_is_taken_up_where_it_was() -> None:
+async def test_a_broken_stream_resumes_at_its_offset() -> None:
     async with served(1) as (its, service, client):
         task = await placed(client, "web")
         (link,) = service.links.by_host.values()
@@ -167,12 +100,14 @@
         await until(lambda: not link._connected.is_set())
         its.fleet.machines["n0"]._exit(task.uid)
         await until(lambda: task.uid not in service.controller.context.task_table.by_uid)
-        assert boot is not None and link._session.resume_point == (boot[0], boot[1] + 1)
+        assert boot is not None
+        assert link._session.resume_point == (boot[0], boot[1] + 1)
         job = service.store.find(JOBS, next(iter(service.controller.context.job_table.by_key)))
-        assert job is not None and job.body["status"]["tasks"][0]["state"] == "Ended"
+        assert job is not None
+        assert job.body["status"]["tasks"][0]["state"] == "Ended"
 
 
-async def test_offers_that_are_out_when_the_stream_breaks_may_have_run() -> None:
+async def test_an_offer_in_flight_when_the_stream_breaks_counts_as_possibly_executed() -> None:
     async with served(1) as (its, service, client):
         (machine,) = its.fleet.machines.values()
         machine.troubles.late_ms = 5_000.0
@@ -185,28 +120,29 @@
         assert done.status is not None
         task = done.status.tasks[0]
         assert len(its.events("start")) <= 1
-        assert task.answer in ("Failed", "Placed") and len(task.attempts) == 1
+        assert task.answer in ("Failed", "Placed")
+        assert len(task.attempts) == 1
 
 
-async def test_a_drain_is_kept() -> None:
+async def test_a_draining_machine_gets_no_tasks() -> None:
     async with served(2) as (its, service, client):
-        its.fleet.machines["n0"].drain(True)
+        its.fleet.machines["n0"].drain(on=True)
         await until(lambda: service.controller.registry.entries["n0"].state.value == "Draining")
         tasks = await asyncio.gather(*(placed(client) for _ in range(10)))
         assert {task.machine for task in tasks if task.answer == "Placed"} == {"n1"}
 
 
-async def test_a_silent_machine_holds_nobody_up() -> None:
+async def test_an_unresponsive_machine_delays_nobody() -> None:
     async with served(2) as (its, service, client):
-        its.fleet.machines["n0"].silence(True)
+        its.fleet.machines["n0"].silence(on=True)
         tasks = await asyncio.gather(*(placed(client, patience="4s") for _ in range(10)))
         assert {task.machine for task in tasks if task.answer == "Placed"} == {"n1"}
         assert all(task.answer in ("Placed", "Refused") for task in tasks)
-        its.fleet.machines["n0"].silence(False)
+        its.fleet.machines["n0"].silence(on=False)
         await until(lambda: service.controller.registry.entries["n0"].state.value == "Ready")
 
 
-async def test_what_is_no_stream_of_a_placer_is_told_so() -> None:
+async def test_a_stream_without_a_placer_or_with_an_unknown_effect_is_rejected() -> None:
     async with served(1) as (its, _service, _client):
         target = next(iter(its.inventory.hosts.values())).address.removeprefix("grpc://")
         async with grpc.aio.insecure_channel(target) as channel:
@@ -224,14 +160,12 @@
             await call.write(pb.PlacerMessage(offer=strange))
             while not (answer := await call.read()).HasField("answer"):
                 pass
-            assert answer.answer.answer == pb.ANSWER_KIND_REFUSED and "effect" in answer.answer.message
+            assert answer.answer.answer == pb.ANSWER_KIND_REFUSED
+            assert "effect" in answer.answer.message
             call.cancel()
 
 
-# ---- Agents ------------------------------------------------------------------------------------------------
-
-
-async def test_an_agent_by_grpc_runs_tasks_and_gives_their_output(tmp_path: Path) -> None:
+async def test_an_agent_over_grpc_runs_tasks_and_returns_their_output(tmp_path: Path) -> None:
     more = ("agent.grpc=127.0.0.1:0", "host.cores=24", "host.memory=48", "agent.name=n0")
     async with agent(tmp_path, overrides=more) as its:
         target = its.grpc
--- a/tests/surfaces/test_surface_api.py
+++ b/tests/surfaces/test_surface_api.py
@@ -1,7 +1,7 @@
 """The APIs as clients see them: discovery, the OpenAPI document byte for byte, the descriptors of `proto/`.
 
-Beside these, `tools/protos.py --check` keeps `kelpfront/v1` in step with `proto/`, and `tests/test_rest.py`
-and `tests/test_grpc.py` hold what the calls do. Golden files are rewritten as `surface_samples` says.
+Beside these, `tools/protos.py --check` keeps `kelpfront/v1` in step with `proto/`, and `tests/fronts`
+holds what the calls do. Golden files are rewritten as `surface_samples` says.
 """
 
 from __future__ import annotations
