--- a/kelpfront/fronts/rest/collection_requests.py
+++ b/kelpfront/fronts/rest/collection_requests.py
@@ -130,11 +130,11 @@
             timeout_s=timeout_s,
         )
 
-    def _watch_timeout_s(self, asked_s: int | None) -> float:
+    def _watch_timeout_s(self, requested_s: int | None) -> float:
         """Return how long a watch lasts. Without a wish of the client's it is drawn.
 
         Watches of equal length that began together would all be resumed together.
         """
         longest_s = self._environment.watch_times.longest_s
         drawn_s = longest_s * (0.5 + self._environment.rng.random() / 2)
-        return min(float(asked_s), longest_s) if asked_s else drawn_s
+        return min(float(requested_s), longest_s) if requested_s else drawn_s
--- a/kelpfront/fronts/rest/paths.py
+++ b/kelpfront/fronts/rest/paths.py
@@ -51,8 +51,8 @@
         return ResourcePath(resource, namespace, rest[1], OUTPUT_SUBRESOURCE)
     name = rest[1] if len(rest) == 2 else ""
     is_too_long = len(rest) > 2
-    has_wrong_namespace = namespace is not None and not resource.namespaced
+    has_needless_namespace = namespace is not None and not resource.namespaced
     lacks_namespace = bool(name) and resource.namespaced and namespace is None
-    if is_too_long or has_wrong_namespace or lacks_namespace:
+    if is_too_long or has_needless_namespace or lacks_namespace:
         return None
     return ResourcePath(resource, namespace, name)
--- a/kelpfront/service/placer.py
+++ b/kelpfront/service/placer.py
@@ -79,24 +79,11 @@
         self.links = MachineLinks(LinkContext(self.controller, self.clock.now, self.notify_changed, rng))
         self._control_loop = ControlLoop(self.controller, self.clock.now, self.links)
         pacer = RequestPacer(clock=options.stopwatch)  # one for both APIs: they share the event loop
-        environment = RestEnvironment(
-            self._common_time,
-            self.health,
-            rng,
-            options.watch_times or WatchTimes(),
-            self.links.read_task_output,
-        )
-        self.rest = RestFront(self.operations, environment)
+        self.rest = self._make_rest_front(rng, options.watch_times or WatchTimes())
         self.http = HttpServer(self.rest.handle, composition.http_limits(config), error_body, pacer)
         self.grpc = self._make_grpc_front(pacer)
         self.inventory_reloader = InventoryReloader(config, self._apply_inventory)
-        self._maintenance = Maintenance(
-            self.controller,
-            self._control_loop,
-            self.links,
-            self.inventory_reloader,
-            memory_limit_bytes=config.levels.memory,
-        )
+        self._maintenance = self._make_maintenance()
         self._inventory = inventory
         self._tasks = BackgroundTasks(log_task_failure)
         self._is_signalled = False
@@ -111,6 +98,16 @@
 
         trace_finished_tasks(self.controller, self._tracer.write, self.clock.now)
 
+    def _make_rest_front(self, rng: random.Random, watch_times: WatchTimes) -> RestFront:
+        environment = RestEnvironment(
+            common_time=self._common_time,
+            health=self.health,
+            rng=rng,
+            watch_times=watch_times,
+            read_task_output=self.links.read_task_output,
+        )
+        return RestFront(self.operations, environment)
+
     def _make_grpc_front(self, pacer: RequestPacer) -> GrpcFront | None:
         if self.config.placer.grpc is None:
             return None
@@ -119,6 +116,15 @@
         limits = composition.grpc_limits(self.config)
         return GrpcFront(self.operations, self.clock.now, pacer, self.notify_changed, limits)
 
+    def _make_maintenance(self) -> Maintenance:
+        return Maintenance(
+            self.controller,
+            self._control_loop,
+            self.links,
+            self.inventory_reloader,
+            memory_limit_bytes=self.config.levels.memory,
+        )
+
     # ---- What others see ----------------------------------------------------------------------------------
 
     @property
--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -147,10 +147,10 @@
     protocol: Literal["http", "grpc"] = "http",
 ) -> AsyncIterator[tuple[TestCluster, PlacerService, Client]]:
     """A cluster with one placer and a client of it."""
-    its = TestCluster(machines, model, overrides, protocol)
-    await its.start()
+    test_cluster = TestCluster(machines, model, overrides, protocol)
+    await test_cluster.start()
     try:
-        service = await its.placer()
-        yield its, service, its.client(service)
+        service = await test_cluster.placer()
+        yield test_cluster, service, test_cluster.client(service)
     finally:
-        await its.close()
+        await test_cluster.close()
--- a/tests/fronts/test_binding_session.py
+++ b/tests/fronts/test_binding_session.py
@@ -12,18 +12,20 @@
 
 
 def session_job(state: str, answer: str = "", attempts: int = 1, end: str = "") -> dict[str, Any]:
-    tries = [{"attempt": n, "machine": f"n{n}", "sentAt": "", "end": "refused"} for n in range(attempts)]
-    if tries:
-        tries[-1]["end"] = end
-    task = {"index": 0, "uid": "u-0", "state": state, "attempts": tries}
+    attempt_records = [
+        {"attempt": n, "machine": f"n{n}", "sentAt": "", "end": "refused"} for n in range(attempts)
+    ]
+    if attempt_records:
+        attempt_records[-1]["end"] = end
+    task = {"index": 0, "uid": "u-0", "state": state, "attempts": attempt_records}
     return {
         "metadata": {"name": "j", "uid": "u"},
         "status": {"tasks": [task | ({"answer": answer} if answer else {})]},
     }
 
 
-def kinds(session: BindingSession, most: int = 100) -> list[str | None]:
-    return [event.WhichOneof("event") for event in session.next_events(most)]
+def kinds(session: BindingSession, limit: int = 100) -> list[str | None]:
+    return [event.WhichOneof("event") for event in session.next_events(limit)]
 
 
 def test_a_session_sends_every_event_once_however_late_it_is_read() -> None:
@@ -36,8 +38,8 @@
     session.grant_credits(2)
     assert kinds(session) == ["accepted", "offered"]
     session.grant_credits(100)
-    told = kinds(session)
-    assert told == ["offer_ended", "offered", "offer_ended", "offered", "bound", "over"] or told == [
+    sent = kinds(session)
+    assert sent == ["offer_ended", "offered", "offer_ended", "offered", "bound", "over"] or sent == [
         "offer_ended",
         "offered",
         "offer_ended",
@@ -67,9 +69,9 @@
         session.check_ref("more")
     with pytest.raises(ApiError, match="on this stream already"):
         session.check_ref("r1")
-    for wrong in (0, -1, MAX_CREDITS + 1):
+    for invalid in (0, -1, MAX_CREDITS + 1):
         with pytest.raises(ApiError, match="credits"):
-            session.grant_credits(wrong)
+            session.grant_credits(invalid)
     session.grant_credits(MAX_CREDITS)
     session.grant_credits(MAX_CREDITS)
     assert session.credits == MAX_CREDITS
@@ -92,7 +94,7 @@
     session.record_submission("r", session_job("Pending", attempts=0), created=True)
     for _ in range(3):
         session.record_rejection("r", ApiError(409, "x", reason="AlreadyExists"))
-    told = sorted(str(kind) for kind in kinds(session))
-    assert told == ["accepted", "rejected", "rejected", "rejected"]
+    sent = sorted(str(kind) for kind in kinds(session))
+    assert sent == ["accepted", "rejected", "rejected", "rejected"]
     session.record_change("r", session_job("Running", "Placed"))
     assert kinds(session) == ["offered", "bound"]
--- a/tests/fronts/test_bindings_stream.py
+++ b/tests/fronts/test_bindings_stream.py
@@ -17,24 +17,24 @@
 
 
 async def test_a_stream_sends_offers_bindings_refusals_and_ends() -> None:
-    async with served() as (its, service, stubs):
+    async with served() as (test_cluster, service, stubs):
         call = stubs.jobs.Bindings()
         await call.write(Open)
         await call.write(credits(1000))
         await call.write(submit("fine"))
         await call.write(submit("wrong", "nope"))
         await call.write(submit("huge", cores=90_000.0, patience="300ms"))
-        told: dict[str, list[str]] = {"fine": [], "wrong": [], "huge": []}
-        while not ("bound" in told["fine"] and told["wrong"] and {"refused", "failed"} & {*told["huge"]}):
+        sent: dict[str, list[str]] = {"fine": [], "wrong": [], "huge": []}
+        while not ("bound" in sent["fine"] and sent["wrong"] and {"refused", "failed"} & {*sent["huge"]}):
             event = await asyncio.wait_for(call.read(), 20)
-            told[event.ref].append(event.WhichOneof("event"))
+            sent[event.ref].append(event.WhichOneof("event"))
             if event.ref == "wrong":
                 assert event.rejected.violations[0].field == "spec.class"
-        assert told["fine"][:3] == ["accepted", "offered", "bound"]
-        assert told["wrong"] == ["rejected"]
-        name = next(iter(its.fleet.machines))
-        (uid,) = {line["task"] for line in its.events("start")}
-        machine = next(m for m in its.fleet.machines.values() if uid in m.node.tasks)
+        assert sent["fine"][:3] == ["accepted", "offered", "bound"]
+        assert sent["wrong"] == ["rejected"]
+        name = next(iter(test_cluster.fleet.machines))
+        (uid,) = {line["task"] for line in test_cluster.events("start")}
+        machine = next(m for m in test_cluster.fleet.machines.values() if uid in m.node.tasks)
         machine._exit(uid)
         event = await asyncio.wait_for(call.read(), 20)
         assert event.over.state == resources_pb2.TASK_STATE_ENDED
@@ -59,20 +59,20 @@
         await call.write(Open)
         for number in range(20):
             await call.write(submit(f"r{number}"))
-        told: dict[str, list[str]] = {}
+        sent: dict[str, list[str]] = {}
         for _ in range(60):
             await call.write(credits(1))
             event = await asyncio.wait_for(call.read(), 20)
-            told.setdefault(event.ref, []).append(event.WhichOneof("event"))
-        assert all(events == ["accepted", "offered", "bound"] for events in told.values())
-        assert len(told) == 20
+            sent.setdefault(event.ref, []).append(event.WhichOneof("event"))
+        assert all(events == ["accepted", "offered", "bound"] for events in sent.values())
+        assert len(sent) == 20
         assert service.store.count(JOBS) == 20
         call.cancel()
 
 
 async def test_a_stream_that_broke_between_offer_and_binding_continues_by_token_over_either_api() -> None:
-    async with served() as (its, service, stubs):
-        for machine in its.fleet.machines.values():
+    async with served() as (test_cluster, service, stubs):
+        for machine in test_cluster.fleet.machines.values():
             machine.troubles.late_ms = 400.0
         call = stubs.jobs.Bindings()
         await call.write(Open)
@@ -81,7 +81,7 @@
         while (await asyncio.wait_for(call.read(), 20)).WhichOneof("event") != "offered":
             pass
         call.cancel()
-        client = its.client(service)
+        client = test_cluster.client(service)
         job = await client.wait_answers(await client.submit("climate", spec("blend", clientToken="one")))
         assert job.status is not None
         assert job.status.tasks[0].answer == "Placed"
@@ -93,12 +93,12 @@
         assert [event.WhichOneof("event") for event in events] == ["accepted", "offered", "bound"]
         assert not events[0].accepted.created
         assert events[0].accepted.uid == job.metadata.uid
-        assert len(its.events("start")) == 1
+        assert len(test_cluster.events("start")) == 1
         again.cancel()
 
 
 async def test_a_withdrawn_job_is_deleted_and_a_deletion_by_others_is_sent() -> None:
-    async with served() as (its, service, stubs):
+    async with served() as (test_cluster, service, stubs):
         call = stubs.jobs.Bindings()
         await call.write(Open)
         await call.write(credits(100))
@@ -111,7 +111,7 @@
                 names[event.ref] = event.accepted.name
         await call.write(pb.BindingsRequest(withdraw=pb.BindingsRequest.Withdraw(ref="mine")))
         await until(lambda: service.store.count(JOBS) == 1)
-        await its.client(service).delete_job("climate", names["theirs"])
+        await test_cluster.client(service).delete_job("climate", names["theirs"])
         while True:
             event = await asyncio.wait_for(call.read(), 20)
             if event.HasField("deleted"):
--- a/tests/fronts/test_grpc_limits.py
+++ b/tests/fronts/test_grpc_limits.py
@@ -97,7 +97,7 @@
         call = stubs.jobs.Bindings()
         await call.write(Open)
         watching = stubs.jobs.Watch(pb.WatchRequest())
-        seen = asyncio.create_task(all_messages(watching))
+        reading = asyncio.create_task(all_messages(watching))
         assert service.grpc is not None
         streams = service.grpc.streams
         await until(lambda: len(streams) == 2)
@@ -108,6 +108,6 @@
         error = error_of(await call.code(), "", await call.trailing_metadata())
         assert error is not None
         assert error.retry_after_s
-        events = await seen
+        events = await reading
         assert events[-1].type == pb.EVENT_TYPE_BOOKMARK
         assert events[-1].resume_token
--- a/tests/fronts/test_grpc_services.py
+++ b/tests/fronts/test_grpc_services.py
@@ -29,14 +29,14 @@
         assert made.created
         assert made.job.metadata.name == "front"
         assert len(made.job.status.tasks) == 2
-        seen: list[pb.WatchJobsResponse] = []
+        received: list[pb.WatchJobsResponse] = []
         watching = stubs.jobs.Watch(pb.WatchRequest(namespace="climate", label_selector="tier=web"))
         async for event in watching:
-            seen.append(event)
+            received.append(event)
             if event.job.status.answered == 2:
                 break
         watching.cancel()
-        tasks = seen[-1].job.status.tasks
+        tasks = received[-1].job.status.tasks
         assert {task.answer for task in tasks} == {resources_pb2.ANSWER_PLACED}
         await until(
             lambda: service.store.get(JOBS, ("climate", "front")).body["status"]["counts"] == {"running": 2}
@@ -83,8 +83,8 @@
 
 
 async def test_submissions_with_one_token_over_both_apis_make_one_job() -> None:
-    async with served() as (its, service, stubs):
-        client = its.client(service)
+    async with served() as (test_cluster, service, stubs):
+        client = test_cluster.client(service)
         made = spec("blend", clientToken="once", count=3)
         request = pb.SubmitRequest(namespace="climate", spec=job_spec("blend", clientToken="once", count=3))
         answers = await asyncio.gather(
@@ -94,7 +94,7 @@
         assert len(uids) == 1
         assert sum(isinstance(a, pb.SubmitResponse) and a.created for a in answers) <= 1
         await until(lambda: service.controller.open_tasks == 0)
-        assert len(its.events("start")) == 3
+        assert len(test_cluster.events("start")) == 3
         changed = pb.SubmitRequest(namespace="climate", spec=job_spec("web", clientToken="once"))
         code, error = await refused(stubs.jobs.Submit(changed))
         assert code is grpc.StatusCode.ABORTED
@@ -118,15 +118,15 @@
 )
 async def test_invalid_fields_are_named(change: dict[str, Any], field: str) -> None:
     async with served() as (_, _service, stubs):
-        wrong = job_spec()
+        invalid = job_spec()
         for name, value in change.items():
             if isinstance(value, Duration):
-                wrong.patience.CopyFrom(value)
+                invalid.patience.CopyFrom(value)
             elif isinstance(value, dict):
-                wrong.env.update(value)
+                invalid.env.update(value)
             else:
-                setattr(wrong, name, value)
-        code, error = await refused(stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=wrong)))
+                setattr(invalid, name, value)
+        code, error = await refused(stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=invalid)))
         assert code is grpc.StatusCode.INVALID_ARGUMENT
         assert error is not None
         assert error.reason == "Invalid"
--- a/tests/fronts/test_rest_objects.py
+++ b/tests/fronts/test_rest_objects.py
@@ -72,8 +72,12 @@
         assert "labels" in replaced["metadata"]
         options = {"preconditions": {"uid": "another"}}
         assert (await call_json(service, "DELETE", f"{JOBS_PATH}/a", options))[0] == 409
-        status, gone = await call_json(service, "DELETE", f"{JOBS_PATH}/a")
-        assert (status, gone["status"], gone["details"]["uid"]) == (200, "Success", made["metadata"]["uid"])
+        status, deleted_job = await call_json(service, "DELETE", f"{JOBS_PATH}/a")
+        assert (status, deleted_job["status"], deleted_job["details"]["uid"]) == (
+            200,
+            "Success",
+            made["metadata"]["uid"],
+        )
         status, missing = await call_json(service, "GET", f"{JOBS_PATH}/a")
         assert (status, missing["reason"], missing["details"]["name"]) == (404, "NotFound", "a")
         for name in ("b", "c"):
--- a/tests/fronts/test_rest_watches.py
+++ b/tests/fronts/test_rest_watches.py
@@ -31,16 +31,16 @@
             assert headers["transfer-encoding"] == "chunked"
             return [json.loads(line) for line in b"".join([p async for p in pieces]).splitlines()]
 
-        whole, resumed, fresh, streamed, old = await asyncio.gather(
+        complete, resumed, fresh, streamed, old = await asyncio.gather(
             lines(f"resourceVersion={first}"),
             lines(f"resourceVersion={int(first) + 1}&allowWatchBookmarks=true"),
             lines(""),
             lines("sendInitialEvents=true&allowWatchBookmarks=true&resourceVersionMatch=NotOlderThan"),
             lines("resourceVersion=5"),
         )
-        changes = [event for event in whole if event["type"] == "MODIFIED"]
+        changes = [event for event in complete if event["type"] == "MODIFIED"]
         assert changes
-        assert len(changes) == len(whole)
+        assert len(changes) == len(complete)
         states = [event["object"]["status"]["tasks"][0]["state"] for event in changes]
         assert states[-1] == "Running"
         assert [event["type"] for event in fresh] == ["ADDED"]
--- a/tests/grpc_calls.py
+++ b/tests/grpc_calls.py
@@ -34,10 +34,10 @@
 async def served(
     machines: int = 2, *overrides: str
 ) -> AsyncIterator[tuple[TestCluster, PlacerService, Stubs]]:
-    async with cluster(machines, *SERVED, *overrides) as (its, service, _):
+    async with cluster(machines, *SERVED, *overrides) as (test_cluster, service, _):
         stubs = Stubs(service.grpc_target)
         try:
-            yield its, service, stubs
+            yield test_cluster, service, stubs
         finally:
             await stubs.channel.close()
 
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -42,47 +42,47 @@
 
 
 async def test_tasks_are_placed_run_and_end() -> None:
-    async with served() as (its, service, client):
+    async with served() as (test_cluster, service, client):
         assert all(isinstance(link, GrpcLink) for link in service.links.by_host.values())
         tasks = await asyncio.gather(*(placed(client, cls) for cls in ("web", "blend") for _ in range(10)))
         assert {task.answer for task in tasks} == {"Placed"}
-        assert len(its.events("start")) == 20
+        assert len(test_cluster.events("start")) == 20
         uid = tasks[0].uid
-        machine = its.fleet.machines[tasks[0].machine]
+        machine = test_cluster.fleet.machines[tasks[0].machine]
         machine._exit(uid)
         await until(lambda: uid not in service.controller.context.task_table.by_uid)
 
 
 async def test_an_offer_that_is_answered_late_is_abandoned_and_started_at_most_once() -> None:
-    async with served(1, "placer.seed=1") as (its, service, client):
-        (machine,) = its.fleet.machines.values()
+    async with served(1, "placer.seed=1") as (test_cluster, service, client):
+        (machine,) = test_cluster.fleet.machines.values()
         machine.troubles.late_ms = 1500.0
         task = await placed(client, "blend", patience="900ms")
         assert task.answer in ("Failed", "Placed")
         machine.troubles.late_ms = 0.0
         await until(lambda: len(machine.node.tasks) <= 1)
-        assert len(its.events("start")) == 1
+        assert len(test_cluster.events("start")) == 1
         safe = await placed(client, "web")
         assert safe.answer == "Placed"
         assert service.controller.open_tasks == 0
 
 
 async def test_abandoned_offers_that_have_not_started_are_dropped_by_the_machine() -> None:
-    async with served(1) as (its, _service, client):
-        (machine,) = its.fleet.machines.values()
+    async with served(1) as (test_cluster, _service, client):
+        (machine,) = test_cluster.fleet.machines.values()
         # Patience is such that a loop which stands still for half a second still sends the offers.
         machine.model = type(machine.model)(weigh_ms=2_800.0, classes=machine.model.classes)
         jobs = [await client.submit("climate", spec("web", patience="2s")) for _ in range(5)]
         await asyncio.gather(*(client.wait_answers(job, timeout_s=20) for job in jobs))
         await until(lambda: not machine.node.tasks)
-        assert its.events("left")
-        assert len(its.events("start")) <= 1
+        assert test_cluster.events("left")
+        assert len(test_cluster.events("start")) <= 1
 
 
 async def test_a_crashed_machine_loses_its_tasks_and_is_ready_again_after_its_boot() -> None:
-    async with served(2, "cluster.lost_after=1 s") as (its, service, client):
+    async with served(2, "cluster.lost_after=1 s") as (test_cluster, service, client):
         task = await placed(client, "web")
-        machine = its.fleet.machines[task.machine]
+        machine = test_cluster.fleet.machines[task.machine]
         machine.crash()
         await until(lambda: task.uid not in service.controller.context.task_table.by_uid)
         await machine.boot(cold=False)
@@ -91,14 +91,14 @@
 
 
 async def test_a_broken_stream_resumes_at_its_offset() -> None:
-    async with served(1) as (its, service, client):
+    async with served(1) as (test_cluster, service, client):
         task = await placed(client, "web")
         (link,) = service.links.by_host.values()
         assert isinstance(link, GrpcLink)
         boot = link._session.resume_point
         link._call.cancel()
         await until(lambda: not link._connected.is_set())
-        its.fleet.machines["n0"]._exit(task.uid)
+        test_cluster.fleet.machines["n0"]._exit(task.uid)
         await until(lambda: task.uid not in service.controller.context.task_table.by_uid)
         assert boot is not None
         assert link._session.resume_point == (boot[0], boot[1] + 1)
@@ -108,43 +108,43 @@
 
 
 async def test_an_offer_in_flight_when_the_stream_breaks_counts_as_possibly_executed() -> None:
-    async with served(1) as (its, service, client):
-        (machine,) = its.fleet.machines.values()
+    async with served(1) as (test_cluster, service, client):
+        (machine,) = test_cluster.fleet.machines.values()
         machine.troubles.late_ms = 5_000.0
         job = await client.submit("climate", spec("blend"))
-        await until(lambda: its.events("offer"))
+        await until(lambda: test_cluster.events("offer"))
         (link,) = service.links.by_host.values()
         assert isinstance(link, GrpcLink)
         link._call.cancel()
         done = await client.wait_answers(job, timeout_s=20)
         assert done.status is not None
         task = done.status.tasks[0]
-        assert len(its.events("start")) <= 1
+        assert len(test_cluster.events("start")) <= 1
         assert task.answer in ("Failed", "Placed")
         assert len(task.attempts) == 1
 
 
 async def test_a_draining_machine_gets_no_tasks() -> None:
-    async with served(2) as (its, service, client):
-        its.fleet.machines["n0"].drain(on=True)
+    async with served(2) as (test_cluster, service, client):
+        test_cluster.fleet.machines["n0"].drain(on=True)
         await until(lambda: service.controller.registry.entries["n0"].state.value == "Draining")
         tasks = await asyncio.gather(*(placed(client) for _ in range(10)))
         assert {task.machine for task in tasks if task.answer == "Placed"} == {"n1"}
 
 
 async def test_an_unresponsive_machine_delays_nobody() -> None:
-    async with served(2) as (its, service, client):
-        its.fleet.machines["n0"].silence(on=True)
+    async with served(2) as (test_cluster, service, client):
+        test_cluster.fleet.machines["n0"].silence(on=True)
         tasks = await asyncio.gather(*(placed(client, patience="4s") for _ in range(10)))
         assert {task.machine for task in tasks if task.answer == "Placed"} == {"n1"}
         assert all(task.answer in ("Placed", "Refused") for task in tasks)
-        its.fleet.machines["n0"].silence(on=False)
+        test_cluster.fleet.machines["n0"].silence(on=False)
         await until(lambda: service.controller.registry.entries["n0"].state.value == "Ready")
 
 
 async def test_a_stream_without_a_placer_or_with_an_unknown_effect_is_rejected() -> None:
-    async with served(1) as (its, _service, _client):
-        target = next(iter(its.inventory.hosts.values())).address.removeprefix("grpc://")
+    async with served(1) as (test_cluster, _service, _client):
+        target = next(iter(test_cluster.inventory.hosts.values())).address.removeprefix("grpc://")
         async with grpc.aio.insecure_channel(target) as channel:
             stub: Any = node_pb2_grpc.NodeStub(channel)
             for first in (pb.PlacerMessage(), pb.PlacerMessage(open=pb.Open())):
@@ -167,8 +167,8 @@
 
 async def test_an_agent_over_grpc_runs_tasks_and_returns_their_output(tmp_path: Path) -> None:
     more = ("agent.grpc=127.0.0.1:0", "host.cores=24", "host.memory=48", "agent.name=n0")
-    async with agent(tmp_path, overrides=more) as its:
-        target = its.grpc
+    async with agent(tmp_path, overrides=more) as test_cluster:
+        target = test_cluster.grpc
         async with cluster(1) as (base, _, _client):
             base.inventory = Inventory(
                 "test", {"n0": Host("n0", "small", "r1", "east", 24.0, 48.0, f"grpc://{target}")}
--- a/tests/service/test_machine_faults.py
+++ b/tests/service/test_machine_faults.py
@@ -28,115 +28,117 @@
 
 
 async def test_an_idempotent_task_whose_machine_is_late_is_cancelled_there_and_placed_elsewhere() -> None:
-    async with cluster(3) as (its, service, client):
+    async with cluster(3) as (test_cluster, service, client):
         await client.submit("climate", spec(patience="1h"), name="probe")
         await reached(service, "probe", "Running")
         preferred = task_of(service, "probe")["machine"]  # a service's next task goes to the same machine
-        its.fleet.machines[preferred].troubles.late_ms = 3_000.0
-        its.fleet.machines[preferred].silence(on=True)
+        test_cluster.fleet.machines[preferred].troubles.late_ms = 3_000.0
+        test_cluster.fleet.machines[preferred].silence(on=True)
         await client.submit("climate", spec(patience="2s"), name="a")
         await until(lambda: len(task_of(service, "a")["attempts"]) >= 1)
         await reached(service, "a", "Running")
-        its.fleet.machines[preferred].silence(on=False)
+        test_cluster.fleet.machines[preferred].silence(on=False)
         task = task_of(service, "a")
         assert task["machine"] != preferred
         assert task["attempts"][0]["end"] == "timed out"
         uid = task["uid"]
         await until(
             lambda: (
-                its.events("end", task=uid, machine=preferred)
-                or uid not in its.fleet.machines[preferred].node.tasks
+                test_cluster.events("end", task=uid, machine=preferred)
+                or uid not in test_cluster.fleet.machines[preferred].node.tasks
             )
         )
-        assert sum(uid in machine.node.tasks for machine in its.fleet.machines.values()) == 1
+        assert sum(uid in machine.node.tasks for machine in test_cluster.fleet.machines.values()) == 1
 
 
 async def test_a_non_idempotent_task_whose_machine_is_late_fails_and_is_found_running_later() -> None:
-    async with cluster(1, "cluster.recheck=30s") as (its, service, client):
-        its.fleet.machines["n0"].silence(on=True)
+    async with cluster(1, "cluster.recheck=30s") as (test_cluster, service, client):
+        test_cluster.fleet.machines["n0"].silence(on=True)
         await client.submit("climate", spec("blend", patience="600ms"), name="a")
         await reached(service, "a", "Failed")
-        assert len(its.events("offer")) == 1
-        its.fleet.machines["n0"].silence(on=False)
+        assert len(test_cluster.events("offer")) == 1
+        test_cluster.fleet.machines["n0"].silence(on=False)
         await reached(service, "a", "Running")
         assert state(service, "a") == ("Running", "Failed"), "found; the answer stays"
-        assert len(its.events("start")) == 1
-        assert len(its.events("offer")) == 1, "nothing went out for it again"
+        assert len(test_cluster.events("start")) == 1
+        assert len(test_cluster.events("offer")) == 1, "nothing went out for it again"
 
 
 async def test_a_task_with_an_idempotency_key_is_retried_in_its_zone_only_and_starts_once() -> None:
-    async with cluster(6) as (its, service, client):
-        for machine in its.fleet.machines.values():
+    async with cluster(6) as (test_cluster, service, client):
+        for machine in test_cluster.fleet.machines.values():
             machine.troubles.reset_share = 1.0
         await client.submit("climate", spec("ingest", cores=0.5), name="a")
         await until(lambda: state(service, "a")[1] is not None)
-        offers = its.events("offer")
+        offers = test_cluster.events("offer")
         assert len({line["room"] for line in offers}) == 1
         assert len({line["machine"] for line in offers}) == len(offers) <= 4
-        assert len(its.events("start")) == 1, "one copy stands in a room"
+        assert len(test_cluster.events("start")) == 1, "one copy stands in a room"
         await reached(service, "a", "Running")
 
 
 async def test_a_non_idempotent_task_whose_answer_is_lost_is_not_retried() -> None:
-    async with cluster(4) as (its, service, client):
-        for machine in its.fleet.machines.values():
+    async with cluster(4) as (test_cluster, service, client):
+        for machine in test_cluster.fleet.machines.values():
             machine.troubles.reset_share = 1.0
         for n in range(10):
             await client.submit("climate", spec("blend", cores=0.2, memory=0.2), name=f"u{n}")
         await until(lambda: service.controller.open_tasks == 0)
-        assert len(its.events("offer")) == 10
+        assert len(test_cluster.events("offer")) == 10
         await until(lambda: all(state(service, f"u{n}")[0] == "Running" for n in range(10)))
         answers = {state(service, f"u{n}")[1] for n in range(10)}
         assert answers <= {"Placed", "Failed"}
-        assert len(its.events("start")) == 10
+        assert len(test_cluster.events("start")) == 10
 
 
 async def test_a_machine_that_crashes_loses_its_tasks_and_new_ones_are_placed_elsewhere() -> None:
-    async with cluster(2) as (its, service, client):
+    async with cluster(2) as (test_cluster, service, client):
         await client.submit("climate", spec(), name="a")
         await reached(service, "a", "Running")
         preferred = task_of(service, "a")["machine"]
-        its.fleet.machines[preferred].crash()
+        test_cluster.fleet.machines[preferred].crash()
         await client.submit("climate", spec(), name="b")
         await reached(service, "b", "Running")
         assert task_of(service, "b")["machine"] != preferred
-        await its.fleet.machines[preferred].boot(cold=True)
+        await test_cluster.fleet.machines[preferred].boot(cold=True)
         await reached(service, "a", "Lost")
         assert task_of(service, "a")["reason"] == "MACHINE_LOST"
         await until(lambda: service.store.get(MACHINES, ("", preferred)).body["status"]["state"] == "Ready")
 
 
 async def test_a_draining_machine_gets_no_new_tasks_and_its_tasks_are_reported_as_sent_away() -> None:
-    async with cluster(2) as (its, service, client):
+    async with cluster(2) as (test_cluster, service, client):
         await client.submit("climate", spec(), name="a")
         await reached(service, "a", "Running")
         preferred = task_of(service, "a")["machine"]
-        its.fleet.machines[preferred].drain(on=True)
+        test_cluster.fleet.machines[preferred].drain(on=True)
         await reached(service, "a", "Lost")
         assert task_of(service, "a")["reason"] == "SENT_AWAY"
         for n in range(5):
             await client.submit("climate", spec(), name=f"b{n}")
             await reached(service, f"b{n}", "Running")
-        told_at = its.events("told", machine=preferred, state="draining")[0]["t"]
-        assert [o for o in its.events("offer", machine=preferred) if o["t"] > told_at + 500] == []
+        draining_at = test_cluster.events("told", machine=preferred, state="draining")[0]["t"]
+        assert [
+            o for o in test_cluster.events("offer", machine=preferred) if o["t"] > draining_at + 500
+        ] == []
         assert {task_of(service, f"b{n}")["machine"] for n in range(5)}.isdisjoint({preferred})
 
 
 async def test_deleting_a_job_stops_each_of_its_tasks_once() -> None:
-    async with cluster(2) as (its, service, client):
+    async with cluster(2) as (test_cluster, service, client):
         await client.submit("climate", spec(count=3), name="a")
         await until(
             lambda: (
                 sum(
                     m.node.tasks[t].phase == "running"
-                    for m in its.fleet.machines.values()
+                    for m in test_cluster.fleet.machines.values()
                     for t in m.node.tasks
                 )
                 == 3
             )
         )
         await client.delete_job("climate", "a")
-        await until(lambda: not any(m.node.tasks for m in its.fleet.machines.values()))
-        assert len(its.events("end", cause="stopped")) == 3
+        await until(lambda: not any(m.node.tasks for m in test_cluster.fleet.machines.values()))
+        assert len(test_cluster.events("end", cause="stopped")) == 3
         context = service.controller.context
         await until(lambda: context.task_table.by_uid == {} and len(context.stops) == 0)
--- a/tests/service/test_placer_process.py
+++ b/tests/service/test_placer_process.py
@@ -22,8 +22,8 @@
 
 async def test_slow_clients_do_not_delay_others() -> None:
     async with cluster(2, "limits.request_time=1s", "limits.connections=300") as (_, service, client):
-        held = [await asyncio.open_connection("127.0.0.1", service.http.port) for _ in range(200)]
-        for n, (_, writer) in enumerate(held):
+        connections = [await asyncio.open_connection("127.0.0.1", service.http.port) for _ in range(200)]
+        for n, (_, writer) in enumerate(connections):
             writer.write(
                 b"POST /apis/kelpfront.dev/v1/namespaces/c/jobs HTTP/1.1\r\nhost: x\r\nx: " + b"y" * n
             )
@@ -32,19 +32,19 @@
             job = await client.wait_answers(job)
         assert job.status is not None
         assert job.status.tasks[0].answer == "Placed"
-        answers = await asyncio.gather(*(reader.read(4096) for reader, _ in held))
+        answers = await asyncio.gather(*(reader.read(4096) for reader, _ in connections))
         assert all(answer.startswith(b"HTTP/1.1 408 ") for answer in answers)
-        for _, writer in held:
+        for _, writer in connections:
             writer.close()
 
 
 async def test_a_faulty_inventory_changes_nothing_and_a_valid_one_is_applied(tmp_path: Path) -> None:
-    its = TestCluster(3, QUICK, ())
-    await its.start()
+    test_cluster = TestCluster(3, QUICK, ())
+    await test_cluster.start()
     path = tmp_path / "hosts.csv"
-    write_csv(path, its.inventory)
+    write_csv(path, test_cluster.inventory)
     try:
-        service = await its.placer(f"placer.inventory={path}")
+        service = await test_cluster.placer(f"placer.inventory={path}")
         complete = path.read_text()
         path.write_text(complete[:-5])
         await service.inventory_reloader.reload()
@@ -60,7 +60,7 @@
         await until(lambda: service.store.find(MACHINES, ("", "n1")) is not None)
         await until(lambda: service.store.get(MACHINES, ("", "n1")).body["status"]["state"] == "Ready")
     finally:
-        await its.close()
+        await test_cluster.close()
 
 
 def kelpfront(*args: str, **more: Any) -> subprocess.Popen[str]:
@@ -93,9 +93,9 @@
 
 
 async def test_sigterm_answers_accepted_jobs_rejects_new_ones_and_exits_with_0(tmp_path: Path) -> None:
-    its = TestCluster(2, QUICK, ())
-    await its.start()
-    write_csv(tmp_path / "inventory.csv", its.inventory)
+    test_cluster = TestCluster(2, QUICK, ())
+    await test_cluster.start()
+    write_csv(tmp_path / "inventory.csv", test_cluster.inventory)
     (tmp_path / "k.ini").write_text(SETTINGS)
     process = kelpfront("serve", "-c", str(tmp_path / "k.ini"))
     try:
@@ -121,7 +121,7 @@
     finally:
         process.kill()
         process.communicate()
-        its.fleet.close()
+        test_cluster.fleet.close()
 
 
 async def test_a_second_signal_ends_a_placer_that_still_has_open_tasks(tmp_path: Path) -> None:
--- a/tests/service/test_placer_restarts.py
+++ b/tests/service/test_placer_restarts.py
@@ -14,18 +14,20 @@
 
 
 async def test_a_killed_placer_recovers_the_tasks_of_its_offers_in_flight() -> None:
-    its = TestCluster(4, QUICK, ())
-    await its.start()
+    test_cluster = TestCluster(4, QUICK, ())
+    await test_cluster.start()
     try:
-        first = await its.placer()
-        client = its.client(first)
+        first = await test_cluster.placer()
+        client = test_cluster.client(first)
         for n in range(6):
             await client.submit("climate", spec("blend" if n % 2 else "web", count=2), name=f"j{n}")
-        await until(lambda: len(its.events("start")) >= 6)
+        await until(lambda: len(test_cluster.events("start")) >= 6)
         await first.close()  # all its connections break; it answers nobody any more
-        second = await its.placer()
-        placed = {line["task"] for line in its.events("start")}
-        running = {uid for m in its.fleet.machines.values() for uid, held in m.node.tasks.items()}
+        second = await test_cluster.placer()
+        placed = {line["task"] for line in test_cluster.events("start")}
+        running = {
+            uid for m in test_cluster.fleet.machines.values() for uid, running_task in m.node.tasks.items()
+        }
         assert placed == running
         found = {
             task["uid"]: task["state"]
@@ -41,19 +43,19 @@
             )
         )
         name = next(second.store.objects(JOBS)).name
-        await its.client(second).delete_job("climate", name)
+        await test_cluster.client(second).delete_job("climate", name)
         await until(
             lambda: (
                 not any(
-                    held.offer.job.name == name
-                    for m in its.fleet.machines.values()
-                    for held in m.node.tasks.values()
+                    running_task.offer.job.name == name
+                    for m in test_cluster.fleet.machines.values()
+                    for running_task in m.node.tasks.values()
                 )
             )
         )
-        assert all(len(its.events("start", task=uid)) == 1 for uid in placed)
+        assert all(len(test_cluster.events("start", task=uid)) == 1 for uid in placed)
     finally:
-        await its.close()
+        await test_cluster.close()
 
 
 async def test_a_client_that_disconnects_after_its_post_finds_its_job_by_token() -> None:
--- a/tests/service/test_watch_resumption.py
+++ b/tests/service/test_watch_resumption.py
@@ -22,11 +22,11 @@
     async with cluster(4) as (_, service, client), proxy(service.http.port) as cutting:
         cutting.cut_after = bytes_between_cuts
         watcher = Client(cutting.url, seed=3)
-        seen: list[Event] = []
+        received: list[Event] = []
 
         async def read() -> None:
             async for event in watcher.watch(JOBS, "climate"):
-                seen.append(event)  # noqa: PERF401 - read below while the watch goes on
+                received.append(event)  # noqa: PERF401 - read below while the watch goes on
 
         reading = asyncio.create_task(read())
         for n in range(12):
@@ -40,7 +40,9 @@
         final = {stored.name: stored.revision for stored in service.store.objects(JOBS)}
 
         def caught_up() -> bool:
-            last = {e.object["metadata"]["name"]: int(e.object["metadata"]["resourceVersion"]) for e in seen}
+            last = {
+                e.object["metadata"]["name"]: int(e.object["metadata"]["resourceVersion"]) for e in received
+            }
             return last == final
 
         await until(caught_up)
@@ -48,13 +50,13 @@
         for name in final:
             revisions = [
                 int(e.object["metadata"]["resourceVersion"])
-                for e in seen
+                for e in received
                 if e.object["metadata"]["name"] == name
             ]
             assert revisions == sorted(set(revisions)), "in order, none twice"
             answers = [
                 e.object["status"]["tasks"][0].get("answer")
-                for e in seen
+                for e in received
                 if e.object["metadata"]["name"] == name and e.object["status"]["tasks"][0].get("answer")
             ]
             assert set(answers) == {"Placed"}
@@ -65,27 +67,27 @@
 async def test_a_client_whose_revision_has_expired_lists_again_and_reports_the_difference() -> None:
     async with cluster(2, "limits.history=100") as (_, service, client), proxy(service.http.port) as cutting:
         watcher = Client(cutting.url, seed=3)
-        seen: list[tuple[str, str]] = []
+        received: list[tuple[str, str]] = []
 
         async def read() -> None:
             async for event in watcher.watch(JOBS, "climate"):
                 name = event.object["metadata"]["name"]
-                seen.append((event.kind, name))
+                received.append((event.kind, name))
 
         await client.submit("climate", spec(), name="stays")
         await client.submit("climate", spec(), name="goes")
         reading = asyncio.create_task(read())
-        await until(lambda: {name for _, name in seen} == {"stays", "goes"})
+        await until(lambda: {name for _, name in received} == {"stays", "goes"})
         target, cutting._to = cutting._to, 1  # nobody listens there
         cutting.cut()
         await client.delete_job("climate", "goes")
         for n in range(60):
             await client.submit("climate", spec(cores=0.1, memory=0.1), name=f"new{n}")
-        seen.clear()
+        received.clear()
         cutting._to = target
-        await until(lambda: ("ADDED", "new59") in seen)
-        assert ("DELETED", "goes") in seen
-        assert [event for event in seen if event[1] == "stays" and event[0] == "ADDED"] == []
+        await until(lambda: ("ADDED", "new59") in received)
+        assert ("DELETED", "goes") in received
+        assert [event for event in received if event[1] == "stays" and event[0] == "ADDED"] == []
         reading.cancel()
         watcher.close()
 
@@ -93,7 +95,7 @@
 async def test_a_watch_that_is_not_read_ends_with_an_error_and_delays_nobody() -> None:
     async with cluster(2, "limits.watch_buffer=10") as (_, service, client):
         connection = await HttpConnection.open("127.0.0.1", service.http.port)
-        _, _, pieces = await connection.stream("GET", "/apis/kelpfront.dev/v1/jobs?watch=1")
+        _, _, fragments = await connection.stream("GET", "/apis/kelpfront.dev/v1/jobs?watch=1")
         for n in range(30):  # far more than socket buffers hold
             await client.submit("climate", spec(cores=1000.0, count=900, patience="1h"), name=f"wide{n}")
             await client.delete_job("climate", f"wide{n}")
@@ -102,7 +104,7 @@
             placed = await client.wait_answers(job)
         assert placed.status is not None
         assert placed.status.tasks[0].answer == "Placed"
-        lines = b"".join([piece async for piece in pieces]).splitlines()
+        lines = b"".join([fragment async for fragment in fragments]).splitlines()
         last = json.loads(lines[-1])
         assert (last["type"], last["object"]["code"]) == ("ERROR", 410)
         connection.abort()
