--- a/tests/rest_calls.py
+++ b/tests/rest_calls.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from kelpfront.http.client import HttpConnection, Reply
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 
 BASE = "/apis/kelpfront.dev/v1"
 JOBS_PATH = f"{BASE}/namespaces/climate/jobs"
@@ -32,7 +32,7 @@
     return reply
 
 
-async def told(
+async def call_json(
     service: PlacerService, method: str, path: str, body: Any = None, **more: Any
 ) -> tuple[int, Any]:
     reply = await call(service, method, path, body, **more)
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -17,14 +17,15 @@
 from kelpfront.config import reader as settings
 from kelpfront.failure_detector import config as detector_config
 from kelpfront.fronts.rest import discovery
+from kelpfront.fronts.rest.openapi import document
 from kelpfront.platform import config as platform_config
 from kelpfront.platform import endpoint_events as platform_events
-from kelpfront.service.app import PlacerService
+from kelpfront.service.placer import PlacerService
 from kelpfront.v1 import api_pb2, node_pb2, resources_pb2
 
 
 def openapi() -> bytes:
-    return msgspec.json.encode(discovery.openapi())
+    return msgspec.json.encode(document())
 
 
 def discovery_documents() -> bytes:
