--- a/kelpfront/service/machine_link.py
+++ b/kelpfront/service/machine_link.py
@@ -80,14 +80,3 @@
 
     async def close(self) -> None:
         """End the link's tasks and connections."""
-
-
-def make_link(host: str, address: str, context: LinkContext) -> MachineLink:
-    """Open the link for an address, grpc://HOST:PORT or http://HOST:PORT. It begins to connect at once."""
-    if address.startswith("grpc://"):
-        from kelpfront.service.grpc_link import GrpcLink  # gRPC is an optional dependency
-
-        return GrpcLink(host, address, context)
-    from kelpfront.service.http_link import HttpLink
-
-    return HttpLink(host, address, context)
--- a/kelpfront/service/machine_links.py
+++ b/kelpfront/service/machine_links.py
@@ -14,7 +14,8 @@
 from kelpfront.controller.intents import AbandonOffer, Intent, LogLine, SendHealthCheck, SendOffer, SendStop
 from kelpfront.controller.machine_registry import MachineRecord
 from kelpfront.service.background_tasks import BackgroundTasks, log_task_failure
-from kelpfront.service.machine_link import LinkContext, MachineLink, TaskOutputUnavailableError, make_link
+from kelpfront.service.http_link import HttpLink
+from kelpfront.service.machine_link import LinkContext, MachineLink, TaskOutputUnavailableError
 
 log = structlog.get_logger("kelpfront.controller")
 
@@ -90,9 +91,18 @@
         return self.by_host[host]
 
     def _open(self, name: str, entry: MachineRecord) -> None:
-        self.by_host[name] = make_link(name, entry.host.address, self._context)
+        self.by_host[name] = _make_link(name, entry.host.address, self._context)
 
     def _drop(self, name: str) -> None:
         link = self.by_host.pop(name)
         self._closing.spawn(link.close())
         self._context.controller.on_link_down(self._context.now(), name)
+
+
+def _make_link(host: str, address: str, context: LinkContext) -> MachineLink:
+    """Open the link for an address, grpc://HOST:PORT or http://HOST:PORT. It begins to connect at once."""
+    if address.startswith("grpc://"):
+        from kelpfront.service.grpc_link import GrpcLink  # gRPC is an optional dependency
+
+        return GrpcLink(host, address, context)
+    return HttpLink(host, address, context)
--- a/tests/project/test_layers.py
+++ b/tests/project/test_layers.py
@@ -102,7 +102,16 @@
 PURE_FILES = {
     "agent": {"orphans", "recovery", "usage"},
     "client": {"informer", "retry"},
-    "fronts": {"session"},
+    "fronts": {
+        "binding_session",
+        "discovery",
+        "job_progress",
+        "job_submission",
+        "openapi",
+        "parameters",
+        "paths",
+        "responses",
+    },
     "platform": {
         "attempts",
         "calls",
