--- a/kelpfront/service/stream_session.py
+++ b/kelpfront/service/stream_session.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import asyncio
+import logging
 
 from kelpfront.backoff import Backoff
 from kelpfront.clock import MS_PER_S
@@ -51,6 +52,9 @@
         """Log why the stream broke and wait for the backoff's delay."""
         delay_ms = self._backoff.next_delay_ms()
         is_first_failure = self._backoff.failure_count == 1
-        write = log.info if is_first_failure else log.debug  # a machine that is down fails all the time
-        write("machine stream broken", machine=self._host, error=error, retry_in_ms=round(delay_ms))
+        level = (
+            logging.INFO if is_first_failure else logging.DEBUG
+        )  # a machine that is down fails all the time
+        fields = {"machine": self._host, "error": error, "retry_in_ms": round(delay_ms)}
+        log.log(level, "machine stream broken", **fields)
         await asyncio.sleep(delay_ms / MS_PER_S)
--- a/tests/project/test_on_call.py
+++ b/tests/project/test_on_call.py
@@ -31,14 +31,16 @@
 
 
 def _events_of_call(call: ast.Call) -> Iterator[str]:
-    """`log.info("event", ...)`, `self._log.info("event", ...)` and `LogLine(level, "event", ...)`."""
+    """`log.info("event", ...)`, `log.log(level, "event", ...)` and `LogLine(level, "event", ...)`."""
     function = call.func
     if isinstance(function, ast.Attribute) and function.attr in METHODS and call.args:
         owner = function.value
         name = owner.id if isinstance(owner, ast.Name) else getattr(owner, "attr", "")
         if name in LOGS:
             yield from _texts(call.args[0])
-    elif isinstance(function, ast.Name) and function.id == "LogLine" and len(call.args) > 1:
+    elif (isinstance(function, ast.Attribute) and function.attr == "log" and len(call.args) > 1) or (
+        isinstance(function, ast.Name) and function.id == "LogLine" and len(call.args) > 1
+    ):
         yield from _texts(call.args[1])
 
 
