--- a/kelpfront/cli/files.py
+++ b/kelpfront/cli/files.py
@@ -8,7 +8,7 @@
 from click.shell_completion import get_completion_class
 
 from kelpfront.cli.common import config_option, fail, load_config, set_option
-from kelpfront.config import build_cluster, example
+from kelpfront.config import build_cluster, placer_example
 from kelpfront.inventory import InventoryError, KindSize, read_inventory
 
 
@@ -33,7 +33,7 @@
 @config.command("example")
 def config_example() -> None:
     """Print a settings file with every key, its default, what is allowed and what it means."""
-    click.echo(example(), nl=False)
+    click.echo(placer_example(), nl=False)
 
 
 @click.group()
--- a/kelpfront/config/agent.py
+++ b/kelpfront/config/agent.py
@@ -1,4 +1,8 @@
-"""Settings of a node agent: what its machine is, and how it takes and runs tasks."""
+"""The settings of a node agent: what its machine is, how it takes and runs tasks, and how they are read.
+
+Fields have the names of the keys in the file. What the sections share with those of a placer, and reading a
+file, is left to `section` and `reader`.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +12,11 @@
 
 from pydantic import Field
 
-from kelpfront.config.model import Address, Duration, Flag, LogSection, Number, Section, Size, Text, Whole
-from kelpfront.config.reader import IniSections, commented, read_text
+from kelpfront.config.description import ExampleSection, commented_example
+from kelpfront.config.ini import KeyName, read_text
+from kelpfront.config.reader import SettingsReader
+from kelpfront.config.section import LogSection, Section, SettingsLayout
+from kelpfront.config.values import Address, Duration, Flag, Integer, Number, Size, Text
 from kelpfront.units import parse_duration, parse_size
 
 
@@ -56,7 +63,7 @@
     accepts_memory: Annotated[float, Number(0.1, 100)] = Field(
         1.5, description="Tasks are accepted up to so many times the memory."
     )
-    counts_others: Flag = Field(True, description="What other programs use counts as in use.")
+    counts_others: Flag = Field(default=True, description="What other programs use counts as in use.")
     warm_from: Literal["host", "agent"] = Field(
         "host", description="It is cold from the host's boot, or from each start of the agent."
     )
@@ -71,8 +78,8 @@
 class StartsSection(Section):
     """How offers are taken."""
 
-    line: Annotated[int, Whole(1, 10_000)] = Field(16, description="Offers that may wait to be weighed.")
-    parallel: Annotated[int, Whole(1, 1_000)] = Field(6, description="Starts at a time when warm.")
+    line: Annotated[int, Integer(1, 10_000)] = Field(16, description="Offers that may wait to be weighed.")
+    parallel: Annotated[int, Integer(1, 1_000)] = Field(6, description="Starts at a time when warm.")
     rate: Annotated[float, Number(0.01, 10_000)] | None = Field(
         None, description="Starts a second when warm; as many as it can if absent."
     )
@@ -82,20 +89,22 @@
     answer: Literal["running", "accepted"] = Field(
         "running", description="When it says yes: when the task runs, or once it is accepted."
     )
-    pushes_out: Flag = Field(False, description="Tasks of lower priority are pushed out to make room.")
+    pushes_out: Flag = Field(
+        default=False, description="Tasks of lower priority are pushed out to make room."
+    )
 
 
 class TasksSection(Section):
     """How tasks are kept."""
 
-    most: Annotated[int, Whole(1, 100_000)] = Field(
+    most: Annotated[int, Integer(1, 100_000)] = Field(
         1_000, description="Tasks at a time, however little they ask for: each is some processes."
     )
     log_size: Annotated[int, Size("4 KiB", "1 GiB")] = Field(
         parse_size("1 MiB"), description="One file of a task's output."
     )
-    log_files: Annotated[int, Whole(0, 100)] = Field(2, description="Full files of output kept before it.")
-    kept: Annotated[int, Whole(0, 100_000)] = Field(
+    log_files: Annotated[int, Integer(0, 100)] = Field(2, description="Full files of output kept before it.")
+    kept: Annotated[int, Integer(0, 100_000)] = Field(
         1_000, description="Ended tasks whose folders, with their output, are kept."
     )
     orphans: Annotated[float, Duration("1s", "8760h")] = Field(
@@ -132,40 +141,58 @@
     log: LogSection = LogSection()
 
 
-SECTIONS: dict[str, type[Section]] = {
-    "agent": AgentSection,
-    "host": HostSection,
-    "starts": StartsSection,
-    "tasks": TasksSection,
-    "drain": DrainSection,
-    "log": LogSection,
-}
-EXAMPLE = {"agent": {"name": "n17", "kind": "small", "rack": "rack-a1", "room": "hall-a"}}
+AGENT_LAYOUT = SettingsLayout(
+    plain={
+        "agent": AgentSection,
+        "host": HostSection,
+        "starts": StartsSection,
+        "tasks": TasksSection,
+        "drain": DrainSection,
+        "log": LogSection,
+    }
+)
+
+# Keys that the example sets, by their section: those that have no default.
+_EXAMPLE_VALUES = {"agent": {"name": "n17", "kind": "small", "rack": "rack-a1", "room": "hall-a"}}
 
 
 def read_agent_config(path: Path, overrides: Iterable[str] = ()) -> AgentConfig:
-    """The settings of a file; ConfigError names all mistakes. Paths in it are from its folder."""
-    its = parse_agent_config(read_text(path), str(path), overrides)
-    base = path.resolve().parent
-    agent = its.agent
-    changed = {"state": str(base / agent.state)}
-    if agent.copies is not None:
-        changed["copies"] = str(base / agent.copies)
-    return its.model_copy(update={"agent": agent.model_copy(update=changed)})
+    """Return the settings of an agent's file; overrides, as `SECTION.KEY=VALUE`, replace what it has.
+
+    Relative paths in the file are taken from its folder.
+
+    Raises:
+        ConfigError: the settings cannot be used; it names all mistakes.
+    """
+    config = parse_agent_config(read_text(path), str(path), overrides)
+    folder = path.resolve().parent
+    resolved_paths = {"state": str(folder / config.agent.state)}
+    if config.agent.copies is not None:
+        resolved_paths["copies"] = str(folder / config.agent.copies)
+    agent = config.agent.model_copy(update=resolved_paths)
+    return config.model_copy(update={"agent": agent})
 
 
 def parse_agent_config(text: str, source: str, overrides: Iterable[str] = ()) -> AgentConfig:
-    sections = IniSections(text, source, overrides)
-    found = sections.read(SECTIONS, {})
-    if "agent" not in found:
-        needed = [name for name, info in AgentSection.model_fields.items() if info.is_required()]
-        sections.problem("", "", f"no [agent] section; it needs at least {', '.join(needed)}")
-    sections.check()
-    return AgentConfig(**found)
+    """Return the settings of a text with its paths as they are; `source` names the text in problems.
+
+    Raises:
+        ConfigError: the settings cannot be used; it names all mistakes.
+    """
+    reader = SettingsReader(text, source, overrides)
+    sections = reader.parse_sections(AGENT_LAYOUT)
+    if "agent" not in sections.plain:
+        required_keys = [name for name, info in AgentSection.model_fields.items() if info.is_required()]
+        message = f"no [agent] section; it needs at least {', '.join(required_keys)}"
+        reader.report(KeyName("", ""), message)
+    reader.raise_if_any()
+    return AgentConfig(**sections.as_fields())
 
 
 def agent_example() -> str:
-    """A whole settings file with every key, its default, its bounds and its meaning."""
-    return commented(
-        "a kelpfront node agent", [(name, model, EXAMPLE.get(name, {})) for name, model in SECTIONS.items()]
-    )
+    """Return a whole settings file of an agent, with every key, its default, its bounds and its meaning."""
+    sections = [
+        ExampleSection(name, model, _EXAMPLE_VALUES.get(name, {}))
+        for name, model in AGENT_LAYOUT.plain.items()
+    ]
+    return commented_example("a kelpfront node agent", sections)
--- a/kelpfront/config/build.py
+++ b/kelpfront/config/build.py
@@ -1,8 +1,12 @@
-"""Settings as the placer and its decisions take them."""
+"""Translates a placer's settings into those that the scheduler and the controller of levels take.
+
+Names of the file become names of the field here. What is impossible together is refused by the types that
+are built.
+"""
 
 from __future__ import annotations
 
-from kelpfront.config.model import ClassSection, Config
+from kelpfront.config.model import ClassSection, Config, PricesSection, RulesSection
 from kelpfront.controller.cluster import Cluster
 from kelpfront.degradation import LevelSettings
 from kelpfront.scheduling.settings import (
@@ -14,7 +18,10 @@
     TaskClass,
 )
 
-PLACES = {
+_MS_PER_S = 1000.0
+
+# `None` stands for a key that is absent.
+_FAILURE_DOMAINS = {
     None: FailureDomain.ALL,
     "none": FailureDomain.NONE,
     "machine": FailureDomain.MACHINE,
@@ -25,10 +32,29 @@
 
 
 def build_cluster(config: Config) -> Cluster:
-    """The decisions' settings; ValueError where they are impossible together."""
-    cluster, rules, prices = config.cluster, config.rules, config.prices
+    """Return the cluster as the controller and its scheduler see it.
+
+    Raises:
+        ValueError: settings are impossible together.
+    """
     kinds = tuple(config.kinds)
-    settings = SchedulerSettings(
+    return Cluster(_scheduler_settings(config, kinds), kinds, config.cluster.lost_after)
+
+
+def build_levels(config: Config) -> LevelSettings:
+    """Return the settings of the levels of reduced service."""
+    section = config.levels
+    return LevelSettings(
+        enabled=section.enabled,
+        max_changes_per_hour=section.changes_an_hour,
+        essential_priority=section.essential_priority,
+        owner_weights={name: owner.weight for name, owner in config.owners.items()},
+    )
+
+
+def _scheduler_settings(config: Config, kinds: tuple[str, ...]) -> SchedulerSettings:
+    cluster = config.cluster
+    return SchedulerSettings(
         replica_index=config.placer.number,
         replica_count=cluster.placers,
         zone=0,
@@ -52,37 +78,33 @@
         connect_timeout_ms=cluster.connect_timeout,
         orphan_check_ms=cluster.recheck,
         max_retry_after_ms=cluster.max_retry_after,
-        answer_grace_ms=rules.answer_grace,
-        drain_grace_ms=rules.drain_grace,
+        answer_grace_ms=config.rules.answer_grace,
+        drain_grace_ms=config.rules.drain_grace,
         endpoint_poll_within_ms=0.0,
-        slow_start=SlowStartSettings(
-            initial_share=rules.cold_from,
-            duration_ms=rules.cold_for,
-            overload_multiple=rules.cold_multiple,
-            window_ms=rules.cold_window,
-            max_offers_per_window=rules.cold_offers,
-        ),
-        prices=Prices(
-            rejected_offer=prices.refused_offer,
-            reserved_machines=prices.machines_held,
-            migration=prices.move,
-            eviction_in_migrations=prices.eviction_moves,
-            waste=prices.waste,
-            health_check=prices.probe,
-            endpoint_list_entry=prices.list_line,
-        ),
+        slow_start=_slow_start_settings(config.rules),
+        prices=_prices(config.prices),
     )
-    return Cluster(settings, kinds, cluster.lost_after)
 
 
-def build_levels(config: Config) -> LevelSettings:
-    """The settings of the levels of reduced service."""
-    section = config.levels
-    return LevelSettings(
-        section.enabled,
-        section.changes_an_hour,
-        section.essential_priority,
-        {name: owner.weight for name, owner in config.owners.items()},
+def _slow_start_settings(rules: RulesSection) -> SlowStartSettings:
+    return SlowStartSettings(
+        initial_share=rules.cold_from,
+        duration_ms=rules.cold_for,
+        overload_multiple=rules.cold_multiple,
+        window_ms=rules.cold_window,
+        max_offers_per_window=rules.cold_offers,
+    )
+
+
+def _prices(prices: PricesSection) -> Prices:
+    return Prices(
+        rejected_offer=prices.refused_offer,
+        reserved_machines=prices.machines_held,
+        migration=prices.move,
+        eviction_in_migrations=prices.eviction_moves,
+        waste=prices.waste,
+        health_check=prices.probe,
+        endpoint_list_entry=prices.list_line,
     )
 
 
@@ -92,14 +114,14 @@
         latency_objective_ms=section.aim,
         deadline_ms=section.deadline,
         priority_weight=section.worth,
-        start_utility_s=section.start_worth / 1000.0,
+        start_utility_s=section.start_worth / _MS_PER_S,
         late_start_share=section.late_worth,
         idempotency=Idempotency(section.effect),
-        idempotency_scope=PLACES[section.group],
+        idempotency_scope=_FAILURE_DOMAINS[section.group],
         idempotency_window_ms=section.window or 0.0,
         priority=section.priority,
         required_kind=None if section.needs_kind is None else kinds.index(section.needs_kind),
-        spread_domain=PLACES[section.apart],
+        spread_domain=_FAILURE_DOMAINS[section.apart],
         max_per_domain=section.together,
         full_service_utilization=section.calm,
         degradation_range=section.fade,
--- a/kelpfront/config/model.py
+++ b/kelpfront/config/model.py
@@ -1,179 +1,33 @@
-"""The settings: every section and key, its unit, its bounds and what it means.
+"""The settings of a placer: every section and key, its unit, its bounds and what it means.
 
-They say what the cluster is and what its owners want. No figure that a decision is tuned by is here: those
-are constants of the modules that decide, each with its reason.
+They say what the cluster is and what its owners want. Fields have the names of the keys in the file; `build`
+translates them into the scheduler's terms. No figure that a decision is tuned by is here: those are constants
+of the modules that decide, each with its reason.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Annotated, Any, Literal
+from typing import Annotated, Literal
 
-from pydantic import BaseModel, ConfigDict, Field, GetCoreSchemaHandler, model_validator
-from pydantic_core import core_schema
+from pydantic import Field, model_validator
 
-from kelpfront.units import format_duration, format_size, parse_duration, parse_size
-
-
-class Checked:
-    """Metadata of a key: reads its text, knows what is allowed, and writes a value back as text."""
-
-    allowed = "text"
-
-    def read(self, text: str) -> Any:
-        """The value of a key's text; ValueError where it is not one."""
-        raise NotImplementedError
-
-    def show(self, value: Any) -> str:
-        return str(value)
-
-    def __get_pydantic_core_schema__(
-        self, source: Any, handler: GetCoreSchemaHandler
-    ) -> core_schema.CoreSchema:
-        def check(value: Any) -> Any:
-            return self.read(value.strip()) if isinstance(value, str) else value
-
-        return core_schema.no_info_before_validator_function(check, handler(source))
-
-
-@dataclass(frozen=True)
-class _Range(Checked):
-    """A value between two bounds."""
-
-    least: Any
-    most: Any
-
-    def _within(self, text: str, value: Any, least: Any, most: Any) -> Any:
-        if not least <= value <= most:  # also refuses NaN
-            raise ValueError(f"{text!r} is out of range")
-        return value
-
-
-class Duration(_Range):
-    """Kept in milliseconds."""
-
-    @property
-    def allowed(self) -> str:  # type: ignore[override]
-        return f"a duration from {self.least} to {self.most}"
-
-    def read(self, text: str) -> float:
-        ms = parse_duration(text)
-        return float(self._within(text, ms, parse_duration(self.least), parse_duration(self.most)))
-
-    def show(self, value: Any) -> str:
-        return format_duration(value)
-
-
-class Size(_Range):
-    """Kept in bytes."""
-
-    @property
-    def allowed(self) -> str:  # type: ignore[override]
-        return f"a size from {self.least} to {self.most}"
-
-    def read(self, text: str) -> int:
-        return int(self._within(text, parse_size(text), parse_size(self.least), parse_size(self.most)))
-
-    def show(self, value: Any) -> str:
-        return format_size(value)
-
-
-class Number(_Range):
-    @property
-    def allowed(self) -> str:  # type: ignore[override]
-        return f"a number from {self.least:g} to {self.most:g}"
-
-    def read(self, text: str) -> float:
-        try:
-            value = float(text)
-        except ValueError:
-            raise ValueError(f"{text!r} is not a number") from None
-        return float(self._within(text, value, self.least, self.most))
-
-    def show(self, value: Any) -> str:
-        return f"{value:g}"
-
-
-class Whole(_Range):
-    @property
-    def allowed(self) -> str:  # type: ignore[override]
-        return f"a whole number from {self.least} to {self.most}"
-
-    def read(self, text: str) -> int:
-        try:
-            value = int(text)
-        except ValueError:
-            raise ValueError(f"{text!r} is not a whole number") from None
-        return int(self._within(text, value, self.least, self.most))
-
-
-class _YesNo(Checked):
-    allowed = "yes or no"
-
-    def read(self, text: str) -> bool:
-        if text.lower() in ("yes", "true", "on"):
-            return True
-        if text.lower() in ("no", "false", "off"):
-            return False
-        raise ValueError(f"{text!r} is neither yes nor no")
-
-    def show(self, value: Any) -> str:
-        return "yes" if value else "no"
-
-
-class _Words(Checked):
-    allowed = "text"
-
-    def read(self, text: str) -> str:
-        if not text:
-            raise ValueError("is empty")
-        return text
-
-
-class _Names(Checked):
-    allowed = "names, with commas between"
-
-    def read(self, text: str) -> tuple[str, ...]:
-        names = tuple(name.strip() for name in text.split(","))
-        if not all(names) or len(set(names)) < len(names):
-            raise ValueError(f"{text!r} has an empty or a repeated name")
-        return names
-
-    def show(self, value: Any) -> str:
-        return ", ".join(value)
-
-
-class _Address(Checked):
-    allowed = "HOST:PORT; port 0 takes a free one"
-
-    def read(self, text: str) -> str:
-        host, colon, port = text.rpartition(":")
-        if not (colon and host and port.isascii() and port.isdigit() and int(port) < 65536):
-            raise ValueError(f"{text!r} is not HOST:PORT")
-        return text
-
-
-Flag = Annotated[bool, _YesNo()]
-Text = Annotated[str, _Words()]
-Address = Annotated[str, _Address()]
-
-
-class Section(BaseModel):
-    model_config = ConfigDict(extra="forbid", frozen=True, hide_input_in_errors=True)
+from kelpfront.config.section import LogSection, NamedSection, Section, SettingsLayout
+from kelpfront.config.values import Address, Duration, Flag, Integer, Names, Number, Size, Text
+from kelpfront.units import parse_duration, parse_size
 
 
 class PlacerSection(Section):
     """This placer."""
 
     name: Text = Field("placer-0", description="What machines know it by; each placer has its own.")
-    number: Annotated[int, Whole(0, 9999)] = Field(0, description="Its number among the placers, from 0.")
+    number: Annotated[int, Integer(0, 9999)] = Field(0, description="Its number among the placers, from 0.")
     room: Text | None = Field(None, description="The room that it is in, if any.")
     listen: Address = Field("127.0.0.1:8140", description="Where the REST API is served.")
     grpc: Address | None = Field(
         None, description="Where the gRPC API is served (needs kelpfront[grpc]); nowhere if absent."
     )
     inventory: Text = Field("inventory.csv", description="The machines: a .csv or .yaml file, from here.")
-    seed: Annotated[int, Whole(0, 2**63 - 1)] | None = Field(
+    seed: Annotated[int, Integer(0, 2**63 - 1)] | None = Field(
         None, description="Of the decisions' chance; drawn at start if absent."
     )
 
@@ -181,10 +35,8 @@
 class ClusterSection(Section):
     """What all placers of the cluster share, to the letter."""
 
-    placers: Annotated[int, Whole(1, 10_000)] = Field(1, description="How many placers there are.")
-    rooms: Annotated[tuple[str, ...], _Names()] | None = Field(
-        None, description="All rooms; an inventory may then name no other."
-    )
+    placers: Annotated[int, Integer(1, 10_000)] = Field(1, description="How many placers there are.")
+    rooms: Names | None = Field(None, description="All rooms; an inventory may then name no other.")
     mean_cores: Annotated[float, Number(1e-6, 1e6)] = Field(
         1.0, description="Cores that a task asks for in the mean."
     )
@@ -200,9 +52,13 @@
     answer: Literal["running", "accepted"] = Field(
         "running", description="When a machine says yes: when the task runs, or once it is accepted."
     )
-    pushes_out: Flag = Field(False, description="Machines push out tasks of lower priority to make room.")
-    reports_use: Flag = Field(True, description="Machines tell what is in use, not only what is asked for.")
-    max_attempts: Annotated[int, Whole(1, 4)] = Field(
+    pushes_out: Flag = Field(
+        default=False, description="Machines push out tasks of lower priority to make room."
+    )
+    reports_use: Flag = Field(
+        default=True, description="Machines tell what is in use, not only what is asked for."
+    )
+    max_attempts: Annotated[int, Integer(1, 4)] = Field(
         4, description="Attempts at the most for one placing of a task."
     )
     connect_timeout: Annotated[float, Duration("10ms", "450ms")] = Field(
@@ -283,14 +139,14 @@
     late_worth: Annotated[float, Number(0, 1)] = Field(
         0.2, description="Share of that which a late start is worth."
     )
-    priority: Annotated[int, Whole(0, 100)] = Field(
+    priority: Annotated[int, Integer(0, 100)] = Field(
         0, description="Higher ones go first, and push out lower ones."
     )
     needs_kind: Text | None = Field(None, description="The only kind of machine that can run it, if any.")
     apart: Literal["none", "machine", "rack", "room"] = Field(
         "none", description="Where at most `together` tasks of a service may be, for one placer."
     )
-    together: Annotated[int, Whole(1, 100_000)] = Field(1, description="How many may be in one such place.")
+    together: Annotated[int, Integer(1, 100_000)] = Field(1, description="How many may be in one such place.")
     calm: Annotated[float, Number(0.01, 10)] = Field(
         1.0, description="Served in full while a machine's cores are busy up to this share."
     )
@@ -299,10 +155,13 @@
     )
 
     @model_validator(mode="after")
-    def _keyed_or_not(self) -> ClassSection:
-        if self.effect == "keyed" and (self.group is None or self.window is None):
+    def _check_idempotency_key_settings(self) -> ClassSection:
+        uses_key = self.effect == "keyed"
+        has_both = self.group is not None and self.window is not None
+        has_any = self.group is not None or self.window is not None
+        if uses_key and not has_both:
             raise ValueError("group and window: are required where effect is keyed")
-        if self.effect != "keyed" and (self.group is not None or self.window is not None):
+        if has_any and not uses_key:
             raise ValueError("group and window: are allowed only where effect is keyed")
         return self
 
@@ -326,19 +185,19 @@
 class LimitsSection(Section):
     """Bounds on what one placer holds and takes; each is a bound on its memory."""
 
-    open_tasks: Annotated[int, Whole(1, 10_000_000)] = Field(5_000, description="Tasks without an answer.")
-    jobs: Annotated[int, Whole(1, 10_000_000)] = Field(100_000, description="Jobs that are not finished.")
-    finished_jobs: Annotated[int, Whole(0, 10_000_000)] = Field(
+    open_tasks: Annotated[int, Integer(1, 10_000_000)] = Field(5_000, description="Tasks without an answer.")
+    jobs: Annotated[int, Integer(1, 10_000_000)] = Field(100_000, description="Jobs that are not finished.")
+    finished_jobs: Annotated[int, Integer(0, 10_000_000)] = Field(
         10_000, description="Finished jobs kept to be read."
     )
-    history: Annotated[int, Whole(100, 10_000_000)] = Field(
+    history: Annotated[int, Integer(100, 10_000_000)] = Field(
         50_000, description="Changes kept for watches to resume from, in objects and tasks."
     )
-    watches: Annotated[int, Whole(1, 1_000_000)] = Field(10_000, description="Open watches.")
-    watch_buffer: Annotated[int, Whole(10, 1_000_000)] = Field(
+    watches: Annotated[int, Integer(1, 1_000_000)] = Field(10_000, description="Open watches.")
+    watch_buffer: Annotated[int, Integer(10, 1_000_000)] = Field(
         2_000, description="Events that a watch may be behind."
     )
-    connections: Annotated[int, Whole(1, 1_000_000)] = Field(
+    connections: Annotated[int, Integer(1, 1_000_000)] = Field(
         10_000, description="Connections to the REST API."
     )
     body: Annotated[int, Size("1 KiB", "1 GiB")] = Field(
@@ -358,11 +217,11 @@
 class LevelsSection(Section):
     """Levels of reduced service: docs/operators/levels.md."""
 
-    enabled: Flag = Field(True, description="Whether levels are entered at all.")
-    changes_an_hour: Annotated[int, Whole(4, 1000)] = Field(
+    enabled: Flag = Field(default=True, description="Whether levels are entered at all.")
+    changes_an_hour: Annotated[int, Integer(4, 1000)] = Field(
         12, description="Changes of level in any hour, at the most."
     )
-    essential_priority: Annotated[int, Whole(0, 100)] | None = Field(
+    essential_priority: Annotated[int, Integer(0, 100)] | None = Field(
         None,
         description="Classes of this priority and above are given up last; the highest there is if absent.",
     )
@@ -379,22 +238,14 @@
     )
 
 
-class LogSection(Section):
-    """The log, on standard error."""
-
-    level: Literal["debug", "info", "warning", "error"] = Field("info", description="The least shown.")
-    format: Literal["auto", "json", "console"] = Field(
-        "auto", description="JSON lines, or for people; auto: for people on a terminal."
-    )
-
-
 class TracingSection(Section):
     """Traces of tasks, by OpenTelemetry."""
 
     file: Text | None = Field(None, description="Where they are written, as JSON lines; nowhere if absent.")
     share: Annotated[float, Number(0, 1)] = Field(1.0, description="Of the tasks, those that are traced.")
     most: Annotated[int, Size("64 KiB", "64 GiB")] = Field(
-        64 << 20, description="The file's size; at it the file is set aside as NAME.1, the one before goes."
+        parse_size("64 MiB"),
+        description="The file's size; at it the file is set aside as NAME.1, the one before goes.",
     )
 
 
@@ -414,19 +265,20 @@
     owners: dict[str, OwnerSection] = Field(default_factory=dict)
 
 
-PLAIN_SECTIONS: dict[str, type[Section]] = {
-    "placer": PlacerSection,
-    "cluster": ClusterSection,
-    "rules": RulesSection,
-    "prices": PricesSection,
-    "limits": LimitsSection,
-    "levels": LevelsSection,
-    "log": LogSection,
-    "tracing": TracingSection,
-}
-NAMED_SECTIONS: dict[str, tuple[str, type[Section]]] = {
-    "kind": ("kinds", KindSection),
-    "class": ("classes", ClassSection),
-    "owner": ("owners", OwnerSection),
-}
-OPTIONAL_SECTIONS = frozenset({"owner"})  # of the named ones, those of which there may be none
+PLACER_LAYOUT = SettingsLayout(
+    plain={
+        "placer": PlacerSection,
+        "cluster": ClusterSection,
+        "rules": RulesSection,
+        "prices": PricesSection,
+        "limits": LimitsSection,
+        "levels": LevelsSection,
+        "log": LogSection,
+        "tracing": TracingSection,
+    },
+    named={
+        "kind": NamedSection("kinds", KindSection, required=True),
+        "class": NamedSection("classes", ClassSection, required=True),
+        "owner": NamedSection("owners", OwnerSection, required=False),
+    },
+)
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -14,6 +14,7 @@
 from kelpfront import cli
 from kelpfront.cli.serve import addresses
 from kelpfront.config import agent as agent_settings
+from kelpfront.config import placer_example
 from kelpfront.config import reader as settings
 from kelpfront.failure_detector import config as detector_config
 from kelpfront.fronts.rest import discovery
@@ -54,7 +55,7 @@
 
 
 def settings_keys() -> bytes:
-    return keys_of(settings.example())
+    return keys_of(placer_example())
 
 
 def agent_settings_keys() -> bytes:
--- a/tests/surfaces/test_surface_settings.py
+++ b/tests/surfaces/test_surface_settings.py
@@ -1,6 +1,6 @@
 """Every key of the settings files with its default, and what is read from it.
 
-That the examples name every key and that a placer's is valid is in `tests/test_config.py`; what a
+That the examples name every key and that a placer's is valid is in `tests/config`; what a
 platform's configuration should not hold is in `tests/test_platform_settings.py`. Explanations, which are for
 people, are not held. Golden files are rewritten as `surface_samples` says.
 """
