--- a/examples/bindings.py
+++ b/examples/bindings.py
@@ -1,4 +1,7 @@
-"""Many jobs over one stream, and what becomes of each: python examples/bindings.py 127.0.0.1:8141"""
+"""Submits several jobs over one stream, and receives the outcome of each on it.
+
+Run with the placer's address: python examples/bindings.py 127.0.0.1:8141
+"""
 
 import asyncio
 import sys
@@ -6,10 +9,14 @@
 from kelpfront.client import JobSpec
 from kelpfront.client.grpc import GrpcClient
 
+JOB_COUNT = 3
+FINAL_EVENTS = ("bound", "refused", "failed", "rejected")
+
 
 async def main(target: str) -> None:
+    """Print each event, until every job has its final one."""
     async with GrpcClient(target) as client, client.bindings("climate") as stream:
-        for number in range(3):
+        for number in range(JOB_COUNT):
             token = f"series-{number}"
             spec = JobSpec(
                 class_="web", service="series", cores=0.5, memory=1, patience="5s", client_token=token
@@ -17,9 +24,11 @@
             stream.submit(token, spec)
         answered = 0
         async for event in stream:
-            print(event.ref, event.WhichOneof("event"))
-            answered += event.WhichOneof("event") in ("bound", "refused", "failed", "rejected")
-            if answered == 3:
+            kind = event.WhichOneof("event")
+            print(event.ref, kind)
+            if kind in FINAL_EVENTS:
+                answered += 1
+            if answered == JOB_COUNT:
                 break
 
 
--- a/examples/grpc_calls.py
+++ b/examples/grpc_calls.py
@@ -1,4 +1,7 @@
-"""Submit a job over gRPC and follow it: python examples/grpc_calls.py 127.0.0.1:8141"""
+"""Submits a job over gRPC and waits for its answers.
+
+Run with the placers' addresses: python examples/grpc_calls.py 127.0.0.1:8141
+"""
 
 import asyncio
 import sys
@@ -8,6 +11,7 @@
 
 
 async def main(*targets: str) -> None:
+    """Print the answer of each task, and its machine or why it has none."""
     async with GrpcClient(targets) as client:
         spec = JobSpec(class_="web", service="front", cores=1, memory=2, count=2)
         job = await client.submit("climate", spec, deadline_s=10)
--- a/examples/reflection.py
+++ b/examples/reflection.py
@@ -1,4 +1,7 @@
-"""Any gRPC client, by the server's reflection alone: python examples/reflection.py 127.0.0.1:8141"""
+"""Submits a job with any gRPC client: the server's reflection tells it the messages, no generated code.
+
+Run with the placer's address: python examples/reflection.py 127.0.0.1:8141
+"""
 
 import sys
 
@@ -8,19 +11,21 @@
 
 
 def main(target: str) -> None:
+    """Print the name of the job, and whether this call created it."""
     with grpc.insecure_channel(target) as channel:
         pool = descriptor_pool.DescriptorPool(ProtoReflectionDescriptorDatabase(channel))
         method = pool.FindServiceByName("kelpfront.v1.Jobs").FindMethodByName("Submit")
-        asks = message_factory.GetMessageClass(method.input_type)
-        answers = message_factory.GetMessageClass(method.output_type)
+        request_class = message_factory.GetMessageClass(method.input_type)
+        response_class = message_factory.GetMessageClass(method.output_type)
         job = {"namespace": "climate", "spec": {"class": "web", "service": "front", "cores": 1, "memory": 2}}
         call = channel.unary_unary(
             "/kelpfront.v1.Jobs/Submit",
             request_serializer=lambda message: message.SerializeToString(),
-            response_deserializer=answers.FromString,
+            response_deserializer=response_class.FromString,
         )
-        answer = call(json_format.ParseDict(job, asks()), timeout=10)
-        print(answer.job.metadata.name, answer.created)
+        request = json_format.ParseDict(job, request_class())
+        response = call(request, timeout=10)
+        print(response.job.metadata.name, response.created)
 
 
 if __name__ == "__main__":
--- a/examples/without_asyncio.py
+++ b/examples/without_asyncio.py
@@ -1,4 +1,7 @@
-"""The same from a program without asyncio: python examples/without_asyncio.py http://127.0.0.1:8140"""
+"""Submits a job and waits for its answer, from a program without asyncio.
+
+Run with the placers' URLs: python examples/without_asyncio.py http://127.0.0.1:8140
+"""
 
 import sys
 
@@ -8,6 +11,7 @@
 
 
 def main(*urls: str) -> None:
+    """Print the name of the job and the answer of its task."""
     with SyncClient(lambda: RestClient(urls)) as client:
         job = client.submit("climate", JobSpec(class_="web", service="front", cores=1, memory=2))
         job = client.wait_answers(job)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
 """What all tests share: property tests draw the same examples every time, and none has a deadline.
 
-Tests that KNOWN-RED.txt lists are expected to fail.
+Tests that KNOWN-RED.txt lists are expected to fail; reading the list is left to `known_red`.
 """
 
 from __future__ import annotations
@@ -15,41 +15,52 @@
 settings.load_profile("kelpfront")
 
 
-def _listed(config: pytest.Config) -> list[known_red.Red]:
-    try:
-        return known_red.read(config.rootpath / known_red.NAME)
-    except known_red.BadListError as error:
-        raise pytest.UsageError(str(error)) from None
-
+class _MissingTest(pytest.Item):
+    """Fails in place of a test that is listed and does not exist.
 
-class _NoTest(pytest.Item):
-    """Fails in place of a test that is listed and is not there: of many processes none can stop the run."""
+    An error while tests are collected would not do: where they run in several processes, none of these can
+    stop the run.
+    """
 
-    def __init__(self, *, red: known_red.Red, **kwargs: Any) -> None:
+    def __init__(self, *, failure: known_red.KnownFailure, **kwargs: Any) -> None:
         super().__init__(**kwargs)
-        self._red = red
+        self._failure = failure
 
     def runtest(self) -> None:
-        pytest.fail(f"{known_red.NAME}:{self._red.line}: there is no test {self._red.test}", pytrace=False)
+        position = f"{known_red.FILE_NAME}:{self._failure.line}"
+        pytest.fail(f"{position}: there is no test {self._failure.test}", pytrace=False)
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    _listed(config)  # a list that cannot be read ends the run before a test is run
+    """End the run before any test if the list cannot be read."""
+    _read_list(config)
 
 
-# Before -k and the like take tests out: one that is left out by a choice is not unknown.
+# Before -k and the like take tests out: one that is left out by a choice is not missing.
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    reds = _listed(config)
-    by_name = {item.nodeid: item for item in items}
-    whole = not any("::" in arg for arg in config.args)
-    for red in known_red.unknown(reds, by_name, config.rootpath) if whole and items else []:
-        items.append(_NoTest.from_parent(items[0].session, name=f"{known_red.NAME}:{red.line}", red=red))
-    for red in reds:
-        if red.test in by_name:
-            by_name[red.test].add_marker(pytest.mark.xfail(strict=True, reason=f"{red.cause} ({red.issue})"))
+    """Mark the tests of the list as expected failures, and let missing ones fail."""
+    failures = _read_list(config)
+    tests = {item.nodeid: item for item in items}
+    has_whole_files = not any("::" in arg for arg in config.args)
+    if has_whole_files and items:
+        for failure in known_red.find_missing_tests(failures, tests, config.rootpath):
+            name = f"{known_red.FILE_NAME}:{failure.line}"
+            items.append(_MissingTest.from_parent(items[0].session, name=name, failure=failure))
+    for failure in failures:
+        if failure.test in tests:
+            reason = f"{failure.cause} ({failure.issue})"
+            tests[failure.test].add_marker(pytest.mark.xfail(strict=True, reason=reason))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for red in _listed(config):
-        terminalreporter.write_line(f"known red: {red}")
+    """Print the list, so that it is seen in every run."""
+    for failure in _read_list(config):
+        terminalreporter.write_line(f"known red: {failure}")
+
+
+def _read_list(config: pytest.Config) -> list[known_red.KnownFailure]:
+    try:
+        return known_red.read_known_failures(config.rootpath / known_red.FILE_NAME)
+    except known_red.KnownRedError as error:
+        raise pytest.UsageError(str(error)) from error
--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -10,7 +10,7 @@
 
 import pytest
 from clusters import cluster, spec
-from command_line import ran
+from command_line import run_command_async
 from kubernetes import client as kubernetes_client
 from kubernetes import watch as kubernetes_watch
 from rest_calls import BASE, JOB, JOBS_PATH, told
@@ -177,28 +177,28 @@
     async with cluster(2) as (_, service, client):
         url = service.url
         await client.submit("climate", spec(), name="a")
-        status = await ran("status", url=url)
-        assert status.code == 0, status.err
-        assert "placer-0  full" in status.out, status.err
-        assert "2 Ready" in status.out, status.err
-        status_object = json.loads((await ran("status", "--json", url=url)).out)
+        status = await run_command_async("status", url=url)
+        assert status.exit_code == 0, status.stderr
+        assert "placer-0  full" in status.stdout, status.stderr
+        assert "2 Ready" in status.stdout, status.stderr
+        status_object = json.loads((await run_command_async("status", "--json", url=url)).stdout)
         assert status_object["level"] == "full"
         assert status_object["jobs"]
-        watching = asyncio.create_task(ran("watch", "levels", "--seconds", "5", url=url))
-        pin = await ran("levels", "pin", "essential", "--for", "3m", url=url)
-        assert pin.out.startswith("level/placer-0 essential, pinned until"), pin.err
-        explained = await ran("levels", "explain", url=url)
-        assert "the pin ends in" in explained.out
-        assert "web: taken while fewer than" in explained.out
-        assert "pinned by an operator" in explained.out
-        table = await ran("get", "levels", url=url)
-        assert "essential" in table.out
-        assert "0 of 12 in the hour" in table.out
-        assert "essential" in (await watching).out
-        assert (await ran("levels", "unpin", url=url)).out == "level/placer-0 essential\n"
-        invalid = await ran("levels", "pin", "essential", "--for", "soon", url=url)
-        assert invalid.code == 2
-        assert "--for" in invalid.err
+        watching = asyncio.create_task(run_command_async("watch", "levels", "--seconds", "5", url=url))
+        pin = await run_command_async("levels", "pin", "essential", "--for", "3m", url=url)
+        assert pin.stdout.startswith("level/placer-0 essential, pinned until"), pin.stderr
+        explained = await run_command_async("levels", "explain", url=url)
+        assert "the pin ends in" in explained.stdout
+        assert "web: taken while fewer than" in explained.stdout
+        assert "pinned by an operator" in explained.stdout
+        table = await run_command_async("get", "levels", url=url)
+        assert "essential" in table.stdout
+        assert "0 of 12 in the hour" in table.stdout
+        assert "essential" in (await watching).stdout
+        assert (await run_command_async("levels", "unpin", url=url)).stdout == "level/placer-0 essential\n"
+        invalid = await run_command_async("levels", "pin", "essential", "--for", "soon", url=url)
+        assert invalid.exit_code == 2
+        assert "--for" in invalid.stderr
 
 
 async def test_lost_machines_raise_the_level_with_evidence() -> None:
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -82,4 +82,4 @@
 
 
 def test_the_list_of_this_project_can_be_read() -> None:
-    assert len(known_red.read(ROOT / known_red.NAME)) <= known_red.MOST
+    assert len(known_red.read_known_failures(ROOT / known_red.FILE_NAME)) <= known_red.MAX_ENTRIES
--- a/tools/protos.py
+++ b/tools/protos.py
@@ -1,4 +1,7 @@
-"""Makes kelpfront/v1 from proto/, or with --check says whether it is fresh."""
+"""Generates kelpfront/v1 from proto/, or with --check says whether it is up to date.
+
+What the messages mean is left to the files in proto/.
+"""
 
 from __future__ import annotations
 
@@ -10,40 +13,55 @@
 from grpc_tools import protoc
 
 ROOT = Path(__file__).parent.parent
-SOURCES = sorted((ROOT / "proto").rglob("*.proto"))
-MADE = ROOT / "kelpfront" / "v1"
-SUFFIXES = ("_pb2.py", "_pb2.pyi", "_pb2_grpc.py")
+PROTO_FOLDER = ROOT / "proto"
+GENERATED_FOLDER = ROOT / "kelpfront" / "v1"
+GENERATED_SUFFIXES = ("_pb2.py", "_pb2.pyi", "_pb2_grpc.py")
+
 
+def generate(output_folder: Path) -> None:
+    """Write the code of all messages and services below a folder.
 
-def make(into: Path) -> None:
-    include = Path(grpc_tools.__file__).parent / "_proto"
-    args = [
+    Raises:
+        SystemExit: the compiler failed; it has printed why.
+    """
+    well_known_types = Path(grpc_tools.__file__).parent / "_proto"
+    sources = sorted(PROTO_FOLDER.rglob("*.proto"))
+    arguments = [
         "protoc",
-        f"-I{ROOT / 'proto'}",
-        f"-I{include}",
-        f"--python_out={into}",
-        f"--pyi_out={into}",
-        f"--grpc_python_out={into}",
-        *(str(path.relative_to(ROOT / "proto")) for path in SOURCES),
+        f"-I{PROTO_FOLDER}",
+        f"-I{well_known_types}",
+        f"--python_out={output_folder}",
+        f"--pyi_out={output_folder}",
+        f"--grpc_python_out={output_folder}",
+        *(str(path.relative_to(PROTO_FOLDER)) for path in sources),
     ]
-    if protoc.main(args) != 0:
+    if protoc.main(arguments) != 0:
         raise SystemExit("protoc failed")
 
 
-def made_files(folder: Path) -> dict[str, str]:
-    return {path.name: path.read_text() for path in folder.iterdir() if path.name.endswith(SUFFIXES)}
+def read_generated(folder: Path) -> dict[str, str]:
+    """Return the generated files of a folder, by name."""
+    paths = [path for path in folder.iterdir() if path.name.endswith(GENERATED_SUFFIXES)]
+    return {path.name: path.read_text() for path in paths}
+
+
+def is_up_to_date() -> bool:
+    """Return whether the code is what the compiler makes of proto/ now."""
+    with tempfile.TemporaryDirectory() as folder:
+        generate(Path(folder))
+        generated = read_generated(Path(folder) / "kelpfront" / "v1")
+    return generated == read_generated(GENERATED_FOLDER)
 
 
 def main() -> int:
-    if "--check" in sys.argv:
-        with tempfile.TemporaryDirectory() as folder:
-            make(Path(folder))
-            fresh = made_files(Path(folder) / "kelpfront" / "v1") == made_files(MADE)
-        if not fresh:
-            print("kelpfront/v1 is not what proto/ makes: run `make proto`", file=sys.stderr)
-        return 0 if fresh else 1
-    make(ROOT)
-    return 0
+    """Run the tool and return its exit code."""
+    if "--check" not in sys.argv:
+        generate(ROOT)
+        return 0
+    if is_up_to_date():
+        return 0
+    print("kelpfront/v1 is not what proto/ makes: run `make proto`", file=sys.stderr)
+    return 1
 
 
 if __name__ == "__main__":
