--- a/Makefile
+++ b/Makefile
@@ -10,7 +10,7 @@
 	$(BIN)/kelpfront demo
 	$(BIN)/kelpfront bad-day --seconds 20
 
-test: $(READY) lint  ## lint, types, the limits of the decision module, and all tests
+test: $(READY) lint  ## lint, types, layers, dead code, the files of the decisions, and all tests
 	$(BIN)/python -m pytest -n auto
 
 lint: $(READY)
@@ -18,6 +18,7 @@
 	$(BIN)/ruff format --check .
 	$(BIN)/mypy
 	$(BIN)/lint-imports --no-logo
+	$(BIN)/vulture
 	$(BIN)/python tools/policy_limits.py
 	$(BIN)/python tools/protos.py --check
 
--- a/tests/lab/test_lab_levels.py
+++ b/tests/lab/test_lab_levels.py
@@ -100,7 +100,8 @@
     yield
 
 
-def test_levels_that_swing_are_seen(swinging: None) -> None:
+@pytest.mark.usefixtures("swinging")
+def test_levels_that_swing_are_seen() -> None:
     script = Script("short", "", 60, lambda at_s: 1.08, causes=((0, 60),))
     assert judged(script)["changes"] > script.changes_most
 
