--- a/kelpfront/lab/fleet/datagrams.py
+++ b/kelpfront/lab/fleet/datagrams.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 Address = tuple[str, int]
-"""Delays in seconds of the copies of a datagram that arrive: none where it is lost."""
 
 PEERS_MOST = 256
 
