--- a/kelpfront/cli/common.py
+++ b/kelpfront/cli/common.py
@@ -1,10 +1,14 @@
-"""What commands share: options, errors as exit codes, and output for people and for programs."""
+"""What commands share: options, errors as exit codes, and output for people and for programs.
+
+What an option means to a command, and which columns its tables have, is left to the command.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import functools
 import json
+import signal
 import sys
 from collections.abc import Callable, Coroutine, Iterable, Sequence
 from pathlib import Path
@@ -22,8 +26,13 @@
 P = ParamSpec("P")
 R = TypeVar("R")
 
-NOT_DONE, UNREACHABLE = 1, 5
-RIGHT = ("TASKS", "CORES", "MEMORY", "FREE", "FREE MEM", "PLACED", "REFUSED", "FAILED", "CPU S")
+# Exit codes; all are listed in the help of `kelpfront`.
+NOT_DONE = 1
+UNREACHABLE = 5
+INTERRUPTED = 128 + signal.SIGINT  # as shells report a program that the signal ended
+
+PIPE_WIDTH = 160  # columns of a table that goes to no terminal, where there is no width to fit
+_NUMBER_COLUMNS = ("TASKS", "CORES", "MEMORY", "FREE", "FREE MEM", "PLACED", "REFUSED", "FAILED", "CPU S")
 
 server_option = click.option(
     "--server",
@@ -60,11 +69,13 @@
 
 
 def fail(message: str, code: int = NOT_DONE) -> NoReturn:
+    """Print a message on standard error and end the program."""
     click.echo(message, err=True)
     raise SystemExit(code)
 
 
-def need_packages() -> None:
+def require_lab_packages() -> None:
+    """End the program with a message if the packages of the laboratory are not installed."""
     try:
         import hdrh  # noqa: F401
     except ImportError:
@@ -72,6 +83,7 @@
 
 
 def load_config(path: Path, overrides: Iterable[str] = ()) -> Config:
+    """Return the settings of a file; end the program with all their mistakes if they cannot be used."""
     try:
         return read_config(path, overrides)
     except ConfigError as error:
@@ -79,7 +91,7 @@
 
 
 def run(call: Callable[P, Coroutine[Any, Any, R]]) -> Callable[P, R]:
-    """Runs a command's coroutine; errors of the server and its absence become messages and exit codes."""
+    """Make a command of a coroutine; errors of the server and its absence become messages and exit codes."""
 
     @functools.wraps(call)
     def wrapped(*args: P.args, **kwargs: P.kwargs) -> R:
@@ -93,19 +105,20 @@
         except ServerUnreachableError as error:
             fail(f"the placer could not be reached: {error}", UNREACHABLE)
         except KeyboardInterrupt:
-            raise SystemExit(130) from None
+            raise SystemExit(INTERRUPTED) from None
 
     return wrapped
 
 
 def console() -> Console:
-    return Console(width=None if sys.stdout.isatty() else 160, highlight=False)
+    """Return a console that is as wide as the terminal."""
+    return Console(width=None if sys.stdout.isatty() else PIPE_WIDTH, highlight=False)
 
 
-def show(
+def print_objects(
     output: str, objects: Sequence[dict[str, Any]], table: Callable[[], Table], *, one: bool = False
 ) -> None:
-    """Objects as the caller wants them."""
+    """Print objects in the chosen form; `one` says that a single object was asked for, and not a list."""
     match output:
         case "json":
             data = objects[0] if one else {"kind": "List", "apiVersion": "v1", "items": list(objects)}
@@ -121,11 +134,12 @@
 
 
 def plain_table(*columns: str) -> Table:
+    """Return an empty table without lines, with numbers to the right."""
     table = Table(box=None, pad_edge=False, header_style="bold")
     for column in columns:
         table.add_column(
             column,
-            justify="right" if column in RIGHT else "left",
+            justify="right" if column in _NUMBER_COLUMNS else "left",
             no_wrap=column in ("NAME", "MACHINE"),
         )
     return table
--- a/kelpfront/cli/costs.py
+++ b/kelpfront/cli/costs.py
@@ -11,7 +11,7 @@
 
 import click
 
-from kelpfront.cli.common import fail, need_packages
+from kelpfront.cli.common import fail, require_lab_packages
 
 
 @click.command("agent-cost")
@@ -74,7 +74,7 @@
     """Measure durable commits of kelpfront's own log beside SQLite (WAL, full sync) and LMDB."""
     from kelpfront.lab.storecost import measure_store
 
-    need_packages()
+    require_lab_packages()
     if not re.fullmatch(r"[1-9][0-9]{0,3}(,[1-9][0-9]{0,3})*", groups):
         fail(f"--groups: {groups!r} is not numbers from 1 to 9999 with commas between them")
 
--- a/kelpfront/cli/files.py
+++ b/kelpfront/cli/files.py
@@ -1,4 +1,7 @@
-"""Checks of files, before they are used."""
+"""`kelpfront config`, `inventory` and `completion`: files are checked, and examples and scripts printed.
+
+Reading and checking a file is left to `kelpfront.config` and `kelpfront.inventory`.
+"""
 
 from __future__ import annotations
 
@@ -22,12 +25,12 @@
 @set_option
 def config_check(file: Path, overrides: tuple[str, ...]) -> None:
     """Check a settings file: every mistake with its place and what is allowed."""
-    its = load_config(file, overrides)
+    settings = load_config(file, overrides)
     try:
-        build_cluster(its)
+        build_cluster(settings)
     except ValueError as error:
         fail(f"{file}: {error}")
-    click.echo(f"{file}: {len(its.classes)} classes, {len(its.kinds)} kinds: in order")
+    click.echo(f"{file}: {len(settings.classes)} classes, {len(settings.kinds)} kinds: in order")
 
 
 @config.command("example")
@@ -46,10 +49,10 @@
 @config_option
 def inventory_check(file: Path, config_path: Path) -> None:
     """Check an inventory file (.csv, .yaml) against the kinds and rooms of the settings."""
-    its = load_config(config_path)
-    kinds = {name: KindSize(kind.cores, kind.memory) for name, kind in its.kinds.items()}
+    settings = load_config(config_path)
+    kinds = {name: KindSize(kind.cores, kind.memory) for name, kind in settings.kinds.items()}
     try:
-        found, warnings = read_inventory(file, kinds, its.cluster.rooms or ())
+        found, warnings = read_inventory(file, kinds, settings.cluster.rooms or ())
     except InventoryError as error:
         fail(str(error))
     for warning in warnings:
@@ -65,6 +68,7 @@
     """Print the completion script of a shell, to be sourced from its start-up file."""
     from kelpfront.cli.main import main
 
-    found = get_completion_class(shell)
-    assert found is not None
-    click.echo(found(main, {}, "kelpfront", "_KELPFRONT_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None
+    script = completion_class(main, {}, "kelpfront", "_KELPFRONT_COMPLETE")
+    click.echo(script.source())
--- a/kelpfront/cli/jobs.py
+++ b/kelpfront/cli/jobs.py
@@ -1,4 +1,7 @@
-"""Commands that speak to a placer."""
+"""Commands about the objects of a placer: jobs are submitted, read, watched and deleted, machines drained.
+
+How objects look in a table is left to `tables`, levels of service to `levels`.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,6 @@
 
 import click
 import yaml
-from rich.table import Table
 
 from kelpfront.api.meta import JOBS, LEVELS, MACHINES, Object, Resource
 from kelpfront.cli.common import (
@@ -21,20 +23,26 @@
     labels_option,
     namespace_option,
     output_option,
-    plain_table,
+    print_objects,
     run,
     server_option,
-    show,
 )
+from kelpfront.cli.tables import attempts_table, object_row, objects_table, tasks_table
 from kelpfront.client import Client, Event
 from kelpfront.units import parse_duration
 
-RESOURCES = {name: its for its in (JOBS, MACHINES, LEVELS) for name in (its.singular, its.plural)}
+RESOURCES = {
+    name: resource for resource in (JOBS, MACHINES, LEVELS) for name in (resource.singular, resource.plural)
+}
 resource_argument = click.argument("resource", type=click.Choice(list(RESOURCES)))
 all_option = click.option("-A", "--all-namespaces", is_flag=True, help="Jobs of all namespaces.")
 
-REFUSED, FAILED = 3, 4
-WAIT_SLACK_S = 10.0  # past the patience, for the answer to come over
+# Exit codes of `submit --wait`; all are listed in the help of `kelpfront`.
+TASK_REFUSED = 3
+TASK_FAILED = 4
+
+ANSWER_GRACE_S = 10.0  # past the patience of a job, for the answer to come over
+MS_PER_S = 1000.0
 
 
 @click.command()
@@ -82,13 +90,14 @@
     output: str,
 ) -> None:
     """Submit a job. What its tasks run on machines with an agent comes after `--`."""
-    body = _read_body(file) if file is not None else {}
-    metadata, spec = body.setdefault("metadata", {}), body.setdefault("spec", {})
+    body = {} if file is None else _read_job(file)
+    metadata = body.setdefault("metadata", {})
+    spec = body.setdefault("spec", {})
     if name is not None:
         metadata["name"] = name
-    for its_key, value in _pairs(labels, "--label").items():
-        metadata.setdefault("labels", {})[its_key] = value
-    given = {
+    for label, value in _parse_pairs(labels, "--label").items():
+        metadata.setdefault("labels", {})[label] = value
+    options = {
         "class": class_,
         "service": service,
         "cores": cores,
@@ -98,34 +107,38 @@
         "key": key,
         "clientToken": token,
         "command": list(command) or None,
-        "env": _pairs(env, "--env") or None,
+        "env": _parse_pairs(env, "--env") or None,
         "workdir": workdir,
         "stopGrace": stop_grace,
     }
-    spec.update({field: value for field, value in given.items() if value is not None})
+    spec.update({field: value for field, value in options.items() if value is not None})
     spec.setdefault("clientToken", str(uuid.uuid4()))
     async with Client(server) as client:
         job = await client.create(JOBS, metadata.get("namespace", namespace), body)
         if wait:
             job = await _follow(client, job, quiet=output != "table")
-    show(output, [job], lambda: _tasks_table(job), one=True)
+    print_objects(output, [job], lambda: tasks_table(job), one=True)
     if wait:
-        counts = job["status"]["counts"]
-        answers = [task.get("answer") for task in job["status"]["tasks"]]
-        if "Failed" in answers:
-            raise SystemExit(FAILED)
-        if counts.get("refused"):
-            raise SystemExit(REFUSED)
+        _exit_unless_placed(job)
+
+
+def _exit_unless_placed(job: Object) -> None:
+    status = job["status"]
+    answers = [task.get("answer") for task in status["tasks"]]
+    if "Failed" in answers:
+        raise SystemExit(TASK_FAILED)
+    if status["counts"].get("refused"):
+        raise SystemExit(TASK_REFUSED)
 
 
-def _pairs(texts: tuple[str, ...], option: str) -> dict[str, str]:
-    found = {}
+def _parse_pairs(texts: tuple[str, ...], option: str) -> dict[str, str]:
+    pairs = {}
     for text in texts:
         name, equals, value = text.partition("=")
         if not equals:
             raise click.BadParameter(f"{text!r} is not KEY=VALUE", param_hint=option)
-        found[name] = value
-    return found
+        pairs[name] = value
+    return pairs
 
 
 @click.command()
@@ -145,7 +158,7 @@
     sys.stdout.buffer.write(text)
 
 
-def _read_body(path: Path) -> Any:
+def _read_job(path: Path) -> Any:
     try:
         body = yaml.safe_load(path.read_text())
     except (OSError, UnicodeDecodeError) as error:
@@ -157,29 +170,36 @@
     return body
 
 
-async def _follow(client: Client, job: Object, quiet: bool) -> Object:
-    """The job once all is answered; changes of its tasks are shown meanwhile."""
+async def _follow(client: Client, job: Object, *, quiet: bool) -> Object:
+    """Return the job once all its tasks are answered; unless quiet, print their changes meanwhile."""
     metadata = job["metadata"]
-    patience_s = parse_duration(job["spec"]["patience"]) / 1000.0
-    seen: dict[int, str] = {}
+    patience_s = parse_duration(job["spec"]["patience"]) / MS_PER_S
+    selector = f"metadata.name={metadata['name']}"
+    printed: dict[int, str] = {}
     try:
-        async with asyncio.timeout(patience_s + WAIT_SLACK_S):
-            async for event in client.watch(
-                JOBS, metadata["namespace"], field_selector=f"metadata.name={metadata['name']}"
-            ):
+        async with asyncio.timeout(patience_s + ANSWER_GRACE_S):
+            async for event in client.watch(JOBS, metadata["namespace"], field_selector=selector):
                 if event.kind == "DELETED":
                     fail(f"job {metadata['name']} was deleted")
                 job = event.object
-                for task in job["status"]["tasks"]:
-                    text = " ".join(filter(None, [task["state"], task.get("machine"), task.get("reason")]))
-                    if not quiet and seen.get(task["index"]) != text:
-                        seen[task["index"]] = text
-                        click.echo(f"{metadata['name']}/{task['index']}: {text}", err=True)
+                if not quiet:
+                    _print_changes(job, printed)
                 if job["status"]["answered"] == len(job["status"]["tasks"]):
                     return job
     except TimeoutError:
-        fail(f"job {metadata['name']}: no answer within its patience and {WAIT_SLACK_S:g} s")
-    raise AssertionError
+        fail(f"job {metadata['name']}: no answer within its patience and {ANSWER_GRACE_S:g} s")
+    raise AssertionError  # a watch goes on until it is left
+
+
+def _print_changes(job: Object, printed: dict[int, str]) -> None:
+    """Print the tasks that are not as `printed` has them by index, and note them there."""
+    name = job["metadata"]["name"]
+    for task in job["status"]["tasks"]:
+        parts = [task["state"], task.get("machine"), task.get("reason")]
+        text = " ".join(filter(None, parts))
+        if printed.get(task["index"]) != text:
+            printed[task["index"]] = text
+            click.echo(f"{name}/{task['index']}: {text}", err=True)
 
 
 @click.command()
@@ -203,14 +223,16 @@
     name: str | None,
 ) -> None:
     """Show jobs, machines or levels of service, or one of them."""
-    its = RESOURCES[resource]
-    where = namespace if its.namespaced and not all_namespaces else None
+    kind = RESOURCES[resource]
+    scope = namespace if kind.namespaced and not all_namespaces else None
     async with Client(server) as client:
         if name is not None:
-            objects = [await client.read(its, namespace, name)]
+            objects = [await client.read(kind, namespace, name)]
         else:
-            objects, _ = await client.list_objects(its, where, selector, field_selector)
-    show(output, objects, lambda: objects_table(its, objects, all_namespaces), one=name is not None)
+            objects, _ = await client.list_objects(kind, scope, selector, field_selector)
+    print_objects(
+        output, objects, lambda: objects_table(kind, objects, wide=all_namespaces), one=name is not None
+    )
 
 
 @click.command()
@@ -227,20 +249,8 @@
     spec = job["spec"]
     out.print(f"[bold]{job['metadata']['namespace']}/{job['metadata']['name']}[/]  {job['status']['phase']}")
     out.print("  " + "  ".join(f"{key} {value}" for key, value in spec.items()))
-    out.print(_tasks_table(job))
-    table = plain_table("TASK", "ATTEMPT", "MACHINE", "SENT", "END", "REASON", "MESSAGE")
-    for task in job["status"]["tasks"]:
-        for attempt in task["attempts"]:
-            table.add_row(
-                str(task["index"]),
-                str(attempt["attempt"]),
-                attempt["machine"],
-                attempt["sentAt"][11:23],
-                attempt.get("end", "out" if not task.get("answer") else ""),
-                attempt.get("reason", ""),
-                attempt.get("message", ""),
-            )
-    out.print(table)
+    out.print(tasks_table(job))
+    out.print(attempts_table(job))
 
 
 @click.command()
@@ -266,20 +276,20 @@
     name: str | None,
 ) -> None:
     """Show jobs, machines or levels of service, and every change of them until Ctrl-C. Cuts are resumed."""
-    its = RESOURCES[resource]
-    where = namespace if its.namespaced and not all_namespaces else None
+    kind = RESOURCES[resource]
+    scope = namespace if kind.namespaced and not all_namespaces else None
     if name is not None:
         field_selector = ",".join(filter(None, [field_selector, f"metadata.name={name}"]))
     async with Client(server) as client:
         try:
             async with asyncio.timeout(seconds):
-                async for event in client.watch(its, where, selector, field_selector):
-                    _show_event(its, event, output)
+                async for event in client.watch(kind, scope, selector, field_selector):
+                    _print_event(kind, event, output)
         except TimeoutError:
             return
 
 
-def _show_event(resource: Resource, event: Event, output: str) -> None:
+def _print_event(resource: Resource, event: Event, output: str) -> None:
     obj = event.object
     if output == "json":
         click.echo(json.dumps({"type": event.kind, "object": obj}))
@@ -288,16 +298,16 @@
     elif output == "name":
         click.echo(f"{event.kind} {obj['kind'].lower()}/{obj['metadata']['name']}")
     else:
-        click.echo(f"{event.kind:<8}  " + "  ".join(_row(resource, obj, True)))
+        click.echo(f"{event.kind:<8}  " + "  ".join(object_row(resource, obj, wide=True)))
 
 
 @click.command()
 @server_option
 @namespace_option
-@click.argument("resource", type=click.Choice(["job", "jobs"]))
+@click.argument("resource", type=click.Choice(["job", "jobs"]), expose_value=False)
 @click.argument("names", nargs=-1, required=True)
 @run
-async def delete(server: str, namespace: str, resource: str, names: tuple[str, ...]) -> None:
+async def delete(server: str, namespace: str, names: tuple[str, ...]) -> None:
     """Remove jobs; tasks that run are stopped."""
     async with Client(server) as client:
         for name in names:
@@ -312,8 +322,8 @@
 async def drain(server: str, machine: str) -> None:
     """Let a machine take no new work from this placer; each placer is told by itself."""
     async with Client(server) as client:
-        its = await client.set_unschedulable(machine, unschedulable=True)
-    click.echo(f"machine/{machine} {its.status.state if its.status else ''}")
+        drained = await client.set_unschedulable(machine, unschedulable=True)
+    click.echo(f"machine/{machine} {drained.status.state if drained.status else ''}")
 
 
 @click.command()
@@ -323,70 +333,5 @@
 async def undrain(server: str, machine: str) -> None:
     """Let a machine take work again."""
     async with Client(server) as client:
-        its = await client.set_unschedulable(machine, unschedulable=False)
-    click.echo(f"machine/{machine} {its.status.state if its.status else ''}")
-
-
-# ---- Tables -----------------------------------------------------------------------------------------------
-
-
-def objects_table(resource: Resource, objects: list[Object], wide: bool) -> Table:
-    if resource is JOBS:
-        columns = ["NAME", "CLASS", "SERVICE", "PHASE", "TASKS", "PLACED", "REFUSED", "FAILED", "CREATED"]
-        table = plain_table(*(["NAMESPACE"] if wide else []), *columns)
-    elif resource is LEVELS:
-        table = plain_table("PLACER", "LEVEL", "SINCE", "WHY", "CHANGES")
-    else:
-        table = plain_table(
-            "NAME", "STATE", "KIND", "RACK", "ROOM", "CORES", "MEMORY", "FREE", "FREE MEM", "TASKS", "MESSAGE"
-        )
-    for obj in objects:
-        table.add_row(*_row(resource, obj, wide))
-    return table
-
-
-def _row(resource: Resource, obj: Object, wide: bool) -> list[str]:
-    metadata, spec, status = obj["metadata"], obj["spec"], obj["status"]
-    if resource is JOBS:
-        answers = [task.get("answer") for task in status["tasks"]]
-        row = [
-            metadata["name"],
-            spec["class"],
-            spec["service"],
-            status["phase"],
-            str(len(answers)),
-            *(str(answers.count(answer)) for answer in ("Placed", "Refused", "Failed")),
-            metadata["creationTimestamp"],
-        ]
-        return [metadata["namespace"], *row] if wide else row
-    if resource is LEVELS:
-        changes = f"{status['changesInHour']} of {status['changesMost']} in the hour"
-        return [metadata["name"], status["level"], status["since"], status["why"], changes]
-    free = status["free"]
-    return [
-        metadata["name"],
-        status["state"],
-        spec["kind"],
-        spec["rack"],
-        spec["room"],
-        f"{spec['cores']:g}",
-        f"{spec['memory']:g}",
-        f"{free.get('cores', 0):g}" if free else "-",
-        f"{free.get('memory', 0):g}" if free else "-",
-        str(status["tasks"]),
-        status.get("message", ""),
-    ]
-
-
-def _tasks_table(job: Object) -> Table:
-    table = plain_table("TASK", "STATE", "ANSWER", "MACHINE", "ATTEMPTS", "REASON")
-    for task in job["status"]["tasks"]:
-        table.add_row(
-            f"{job['metadata']['name']}/{task['index']}",
-            task["state"],
-            task.get("answer", ""),
-            task.get("machine", ""),
-            str(len(task["attempts"])),
-            task.get("reason", ""),
-        )
-    return table
+        drained = await client.set_unschedulable(machine, unschedulable=False)
+    click.echo(f"machine/{machine} {drained.status.state if drained.status else ''}")
--- a/kelpfront/cli/levels.py
+++ b/kelpfront/cli/levels.py
@@ -1,4 +1,7 @@
-"""Commands about levels of reduced service, and a placer's status at a glance."""
+"""Commands about levels of reduced service, and a placer's status at a glance.
+
+When a placer changes its level is left to `kelpfront.degradation`.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 import click
 
 from kelpfront.api.meta import JOBS, LEVELS, MACHINES, Object
-from kelpfront.cli.common import console, output_option, plain_table, run, server_option, show
+from kelpfront.cli.common import console, output_option, plain_table, print_objects, run, server_option
 from kelpfront.client import Client
 from kelpfront.degradation import Level
 from kelpfront.units import format_duration, parse_duration
@@ -50,7 +53,7 @@
     async with Client(server) as client:
         level = await _level(client)
     if output != "table":
-        show(output, [level], lambda: plain_table(), one=True)
+        print_objects(output, [level], lambda: plain_table(), one=True)
         return
     _print_state(level)
     status = level["status"]
@@ -64,8 +67,9 @@
             out.print(f"  {title}:")
             for line in lines:
                 out.print(f"    - {line}")
-    used, most = status["changesInHour"], status["changesMost"]
-    out.print(f"  changes of level in the last hour: {used} of {most}")
+    used = status["changesInHour"]
+    limit = status["changesMost"]
+    out.print(f"  changes of level in the last hour: {used} of {limit}")
     if status["changes"]:
         table = plain_table("AT", "BEFORE", "AFTER", "WHY")
         for change in status["changes"][-10:]:
@@ -116,7 +120,7 @@
     states: Counter[str] = Counter(machine["status"]["state"] for machine in machines)
     phases: Counter[str] = Counter(job["status"]["phase"] for job in jobs)
     waiting = sum(cls["waiting"] for cls in level["status"]["classes"])
-    shown: dict[str, Any] = {
+    summary: dict[str, Any] = {
         "placer": level["metadata"]["name"],
         "level": level["status"]["level"],
         "since": level["status"]["since"],
@@ -128,15 +132,15 @@
         "turnedAway": level["status"]["turnedAway"],
     }
     if as_json:
-        click.echo(json.dumps(shown, indent=2))
+        click.echo(json.dumps(summary, indent=2))
         return
     _print_state(level)
-    for line in shown["givenUp"]:
+    for line in summary["givenUp"]:
         click.echo(f"    - {line}")
     for title, counts in (
         ("machines", states),
         ("jobs", phases),
-        ("turned away", shown["turnedAway"]),
+        ("turned away", summary["turnedAway"]),
     ):
         text = ", ".join(f"{count} {name}" for name, count in sorted(counts.items())) or "none"
         click.echo(f"  {title:<12} {text}")
--- a/kelpfront/cli/main.py
+++ b/kelpfront/cli/main.py
@@ -1,4 +1,7 @@
-"""`kelpfront`: the group of all commands."""
+"""`kelpfront`: the group of all commands, and where each of them is.
+
+The commands themselves are left to the other modules of this package.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,8 @@
 
 import click
 
-# Where each command is. They are imported when called: `kelpfront get` need not load the service.
+# `MODULE:ATTRIBUTE` of each command, in the order of the help. They are imported when called, so that
+# `kelpfront get` need not load the service.
 COMMANDS = {
     "serve": "kelpfront.cli.serve:serve",
     "machines": "kelpfront.cli.serve:machines",
@@ -44,15 +48,19 @@
 
 
 class LazyGroup(click.Group):
-    def list_commands(self, ctx: click.Context) -> list[str]:
+    """A group whose commands are imported only when they are needed."""
+
+    def list_commands(self, _ctx: click.Context) -> list[str]:
+        """Return the names of all commands, without importing any."""
         return list(COMMANDS)
 
-    def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        place = COMMANDS.get(cmd_name)
-        if place is None:
+    def get_command(self, _ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Import a command; None if there is none of this name."""
+        location = COMMANDS.get(cmd_name)
+        if location is None:
             return None
-        module, _, name = place.partition(":")
-        command: Any = getattr(importlib.import_module(module), name)
+        module, _, attribute = location.partition(":")
+        command: Any = getattr(importlib.import_module(module), attribute)
         assert isinstance(command, click.Command)
         return command
 
--- a/kelpfront/cli/platform.py
+++ b/kelpfront/cli/platform.py
@@ -1,4 +1,7 @@
-"""`kelpfront platform`: a placer in service on a platform."""
+"""`kelpfront platform`: a placer in service on a platform.
+
+The program itself is `python -m kelpfront.platform`.
+"""
 
 from __future__ import annotations
 
--- a/kelpfront/cli/rehearse.py
+++ b/kelpfront/cli/rehearse.py
@@ -9,7 +9,7 @@
 
 import click
 
-from kelpfront.cli.common import console, fail, need_packages
+from kelpfront.cli.common import console, fail, require_lab_packages
 
 
 @click.command("bad-day")
@@ -61,7 +61,7 @@
     from kelpfront.lab.wrongplacers import WRONG
     from kelpfront.logs import configure_logs
 
-    need_packages()
+    require_lab_packages()
     configure_logs("warning", "auto")
     if wrong and wrong not in WRONG:
         fail(f"--wrong: {wrong!r} is not one of {', '.join(WRONG)}")
@@ -91,7 +91,7 @@
 def demo(keep: bool) -> None:
     """Run a small cluster on loopback: a job is placed and followed."""
     from kelpfront.api.meta import JOBS, MACHINES
-    from kelpfront.cli.jobs import objects_table
+    from kelpfront.cli.tables import objects_table
     from kelpfront.client import Client
     from kelpfront.lab.demo import run_demo
 
--- a/kelpfront/cli/wrongserve.py
+++ b/kelpfront/cli/wrongserve.py
@@ -1,4 +1,7 @@
-"""`python -m kelpfront.cli.wrongserve NAME serve ...`: the program with a placer that is wrong on purpose."""
+"""`python -m kelpfront.cli.wrongserve NAME serve ...`: the program with a placer that is faulty on purpose.
+
+The faults are those of `kelpfront.lab.wrongplacers`, by the names of their classes.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,7 @@
 
 
 def serve() -> None:
+    """Put the faulty controller in place and run the command line with the other arguments."""
     name = sys.argv.pop(1)
     service: Any = functools.partial(app.PlacerService, controller_class=WRONG[name])
     setattr(app, "PlacerService", service)  # noqa: B010 - where the command line takes it from
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a user runs it."""
+"""The command line, as a user runs it: each command in a process of its own."""
 
 from __future__ import annotations
 
@@ -21,18 +21,20 @@
 WEB = ("--class", "web", "--service", "front", "--cores", "1", "--memory", "2")
 
 
-async def test_a_job_from_submission_to_deletion() -> None:
+async def test_job_is_submitted_shown_and_deleted() -> None:
     async with cluster(2) as (_, service, _client):
         url = service.url
         done = await run_command_async(
             "submit", *WEB, "--name", "a", "--count", "2", "--label", "team=x", "--wait", url=url
         )
         assert done.exit_code == 0, done.stderr
-        assert "a/0" in done.stdout and "Placed" in done.stdout
+        assert "a/0" in done.stdout
+        assert "Placed" in done.stdout
         assert "a/1: Running" in done.stderr
         table = await run_command_async("get", "jobs", url=url)
         assert table.stdout.split()[:3] == ["NAME", "CLASS", "SERVICE"]
-        assert "web" in table.stdout and "Active" in table.stdout
+        assert "web" in table.stdout
+        assert "Active" in table.stdout
         one = json.loads((await run_command_async("get", "job", "a", "-o", "json", url=url)).stdout)
         assert one["metadata"]["labels"] == {"team": "x"}
         listed = yaml.safe_load((await run_command_async("get", "jobs", "-o", "yaml", url=url)).stdout)
@@ -42,16 +44,17 @@
         ).stdout == "job/a\n"
         assert (await run_command_async("get", "jobs", "-o", "name", "-l", "team=y", url=url)).stdout == ""
         described = await run_command_async("describe", "job", "a", url=url)
-        assert "ATTEMPT" in described.stdout and "Active" in described.stdout
+        assert "ATTEMPT" in described.stdout
+        assert "Active" in described.stdout
         assert (await run_command_async("delete", "job", "a", url=url)).stdout == "job/a deleted\n"
         gone = await run_command_async("get", "job", "a", url=url)
         assert (gone.exit_code, gone.stderr) == (1, 'NotFound: jobs.kelpfront.dev "a" not found\n')
 
 
-async def test_exit_codes_tell_how_the_work_was_answered() -> None:
+async def test_exit_code_of_submit_says_how_the_job_was_answered() -> None:
     # Heartbeats so rare that a silent machine still counts as there.
     async with cluster(1, model=FleetModel(heartbeat_ms=20_000.0)) as (its, service, _client):
-        vain = (
+        too_large = (
             "--class",
             "web",
             "--service",
@@ -63,8 +66,8 @@
             "--patience",
             "300ms",
         )
-        assert (await run_command_async("submit", *vain, "--wait", url=service.url)).exit_code == 3
-        its.fleet.machines["n0"].silence(True)
+        assert (await run_command_async("submit", *too_large, "--wait", url=service.url)).exit_code == 3
+        its.fleet.machines["n0"].silence(on=True)
         unsafe = (
             "--class",
             "blend",
@@ -79,12 +82,13 @@
         )
         assert (await run_command_async("submit", *unsafe, "--wait", url=service.url)).exit_code == 4
         wrong = await run_command_async("submit", "--class", "none", url=service.url)
-        assert wrong.exit_code == 1 and "spec.service: is required" in wrong.stderr
+        assert wrong.exit_code == 1
+        assert "spec.service: is required" in wrong.stderr
         assert (await run_command_async("submit", "--cores", "many", url=service.url)).exit_code == 2
     assert (await run_command_async("get", "jobs", url="http://127.0.0.1:1")).exit_code == 5
 
 
-async def test_a_job_from_a_file(tmp_path: Path) -> None:
+async def test_job_is_submitted_from_a_file(tmp_path: Path) -> None:
     path = tmp_path / "job.yaml"
     path.write_text(
         "metadata: {name: from-file, namespace: climate}\n"
@@ -107,7 +111,7 @@
         )
 
 
-async def test_machines_are_drained_and_watched() -> None:
+async def test_drained_machine_is_seen_by_a_watch() -> None:
     async with cluster(2) as (_, service, _client):
         url = service.url
         watching = asyncio.create_task(
@@ -119,30 +123,32 @@
         assert (await run_command_async("undrain", "n0", url=url)).stdout == "machine/n0 Ready\n"
         events = [json.loads(line) for line in (await watching).stdout.splitlines()]
         states = [event["object"]["status"]["state"] for event in events]
-        assert states[0] == "Ready" and "Draining" in states
+        assert states[0] == "Ready"
+        assert "Draining" in states
         assert (await run_command_async("drain", "none", url=url)).exit_code == 1
 
 
-def test_files_are_checked_before_use(tmp_path: Path) -> None:
+def test_settings_and_inventory_are_checked(tmp_path: Path) -> None:
     (tmp_path / "k.ini").write_text(SETTINGS)
     good = run_command("config", "check", str(tmp_path / "k.ini"))
     assert (good.exit_code, good.stdout) == (0, f"{tmp_path}/k.ini: 3 classes, 1 kinds: in order\n")
     bad = run_command("config", "check", str(tmp_path / "k.ini"), "--set", "rules.drain_grace=5")
-    assert bad.exit_code == 1 and "command line: [rules] drain_grace" in bad.stderr
+    assert bad.exit_code == 1
+    assert "command line: [rules] drain_grace" in bad.stderr
     (tmp_path / "example.ini").write_text(run_command("config", "example").stdout)
     assert run_command("config", "check", str(tmp_path / "example.ini")).exit_code == 0
     (tmp_path / "hosts.csv").write_text("host,kind,rack,room\nn1,small,r1,east\nn2,small,r1,East\n")
     check = run_command("inventory", "check", str(tmp_path / "hosts.csv"), "-c", str(tmp_path / "k.ini"))
-    assert (
-        check.exit_code == 1 and "hosts.csv:3:13: n2: room 'East' is spelled 'east' in line 2" in check.stderr
-    )
+    assert check.exit_code == 1
+    assert "hosts.csv:3:13: n2: room 'East' is spelled 'east' in line 2" in check.stderr
     (tmp_path / "hosts.csv").write_text("host,kind,rack,room,colour\nn1,small,r1,east,red\n")
     check = run_command("inventory", "check", str(tmp_path / "hosts.csv"), "-c", str(tmp_path / "k.ini"))
-    assert check.exit_code == 0 and "1 machines, 1 racks, 1 rooms: in order" in check.stdout
+    assert check.exit_code == 0
+    assert "1 machines, 1 racks, 1 rooms: in order" in check.stdout
     assert "column 'colour' is not used" in check.stderr
 
 
-def test_help_names_every_command_and_the_exit_codes() -> None:
+def test_help_has_commands_and_exit_codes() -> None:
     text = run_command("--help").stdout
     for command in (
         "serve",
@@ -163,12 +169,12 @@
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
-def test_completion(shell: str) -> None:
+def test_completion_script_is_printed(shell: str) -> None:
     assert "kelpfront" in run_command("completion", shell).stdout
 
 
 @pytest.mark.timeout(180)
-def test_a_short_bad_day_keeps_the_rules() -> None:
+def test_short_bad_day_breaks_no_rule() -> None:
     """Placers, machines and owners as processes, everything of the script in a few seconds."""
     day = ("--seconds", "8", "--machines", "9", "--placers", "3", "--rate", "12", "--seed", "5")
     done = run_command("bad-day", *day, "--json")
@@ -176,26 +182,27 @@
     figures = json.loads(done.stdout)
     assert figures["without_final"] == 0
     assert set(figures["violations"].values()) == {0}
-    assert figures["tasks"] > 50 and figures["final"]["Placed"] > 30
+    assert figures["tasks"] > 50
+    assert figures["final"]["Placed"] > 30
     assert (
         figures["held_when_killed"] + sum(figures["final"].values()) + figures["withdrawn"]
         == figures["tasks"]
     )
 
 
-def test_the_demo_places_its_job() -> None:
+def test_demo_places_its_job() -> None:
     done = run_command("demo")
     assert done.exit_code == 0, done.stderr
     assert done.stdout.count("Running n0") == 3
 
 
-def test_a_wrong_placer_is_planted_where_the_command_takes_it_from(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a plant that changes nothing: the judge would be trusted for what it was not shown."""
+def test_faulty_controller_is_put_where_the_command_takes_it_from(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without it the verification would be trusted for a fault that no placer had."""
     monkeypatch.setattr(app, "PlacerService", app.PlacerService)  # put back afterwards
     monkeypatch.setattr(sys, "argv", ["wrongserve", "NeverStops", "serve"])
     monkeypatch.setattr(wrongserve, "main", lambda: None)
     wrongserve.serve()
     from kelpfront.service.app import PlacerService  # as cli/serve.py does when it is called
 
-    planted: Any = PlacerService
-    assert planted.keywords["controller_class"] is NeverStops
+    service_class: Any = PlacerService
+    assert service_class.keywords["controller_class"] is NeverStops
