--- a/kelpfront/cli/common.py
+++ b/kelpfront/cli/common.py
@@ -10,7 +10,7 @@
 import json
 import signal
 import sys
-from collections.abc import Callable, Coroutine, Iterable, Sequence
+from collections.abc import Callable, Coroutine, Iterable, Mapping, Sequence
 from pathlib import Path
 from typing import Any, NoReturn, ParamSpec, TypeVar
 
@@ -133,6 +133,22 @@
             console().print(table())
 
 
+def progress_printer(*, as_json: bool) -> Callable[[str], None]:
+    """Return what prints a line of progress on standard error: for people, or beside JSON on a terminal."""
+    is_shown = sys.stderr.isatty() or not as_json
+
+    def print_progress(text: str) -> None:
+        if is_shown:
+            click.echo(text, err=True)
+
+    return print_progress
+
+
+def print_figures(figures: Mapping[str, Any], *, as_json: bool) -> None:
+    """Print figures as one JSON object: on one line for programs, indented for people."""
+    click.echo(json.dumps(figures, indent=None if as_json else 2))
+
+
 def plain_table(*columns: str) -> Table:
     """Return an empty table without lines, with numbers to the right."""
     table = Table(box=None, pad_edge=False, header_style="bold")
--- a/kelpfront/cli/costs.py
+++ b/kelpfront/cli/costs.py
@@ -1,9 +1,11 @@
-"""Commands of the laboratory that measure what a part of the program costs."""
+"""Commands of the laboratory that measure what a part of the program costs.
+
+Measuring is left to the modules of `kelpfront.lab`; here are options, their checks and the output.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import re
 import sys
 import tempfile
@@ -11,7 +13,7 @@
 
 import click
 
-from kelpfront.cli.common import fail, require_lab_packages
+from kelpfront.cli.common import fail, print_figures, progress_printer, require_lab_packages
 
 
 @click.command("agent-cost")
@@ -28,13 +30,11 @@
     except ValueError:
         fail(f"--tasks: {tasks!r}; whole numbers with commas between are expected")
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
     with tempfile.TemporaryDirectory(prefix="kelpfront-agent-cost-") as folder:
-        figures = asyncio.run(AgentCost(counts, Path(folder), say).run())
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
+        figures = asyncio.run(AgentCost(counts, Path(folder), print_progress).run())
+    print_figures(figures, as_json=as_json)
 
 
 @click.command("protocols")
@@ -52,14 +52,12 @@
     configure_logs("error", "auto")
     raise_file_limit()
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
     with tempfile.TemporaryDirectory(prefix="kelpfront-protocols-") as folder:
-        measuring = Protocols(machines, seconds, rounds, at_a_time, Path(folder), say)
+        measuring = Protocols(machines, seconds, rounds, at_a_time, Path(folder), print_progress)
         figures = asyncio.run(measuring.run())
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
+    print_figures(figures, as_json=as_json)
 
 
 @click.command("store-cost")
@@ -78,12 +76,14 @@
     if not re.fullmatch(r"[1-9][0-9]{0,3}(,[1-9][0-9]{0,3})*", groups):
         fail(f"--groups: {groups!r} is not numbers from 1 to 9999 with commas between them")
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         if sys.stderr.isatty():
             click.echo(text, err=True)
 
-    found = measure_store([int(group) for group in groups.split(",")], commits, rounds, folder, say)
-    click.echo(json.dumps({"results": found}, indent=None if as_json else 2))
+    found = measure_store(
+        [int(group) for group in groups.split(",")], commits, rounds, folder, print_progress
+    )
+    print_figures({"results": found}, as_json=as_json)
 
 
 @click.command("core-cost")
@@ -104,15 +104,13 @@
     if 0 in counts:
         fail("--machines: at least 1 is wanted")
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
     middle = sorted(loads)[len(loads) // 2]
     sizes = dict.fromkeys([(count, middle) for count in counts] + [(at, load) for load in loads])
-    results = measure_core(list(sizes), events, rounds, say)
+    results = measure_core(list(sizes), events, rounds, print_progress)
     figures = {"results": results, "message_bytes": message_bytes(), "resident_mb": resident_mb()}
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
+    print_figures(figures, as_json=as_json)
 
 
 @click.command("growth")
@@ -128,14 +126,12 @@
     if not re.fullmatch(r"[1-9][0-9]{0,4}(,[1-9][0-9]{0,4})*", sizes):
         fail(f"--sizes: {sizes!r} is not numbers from 1 to 99999 with commas between them")
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
-    results = measure_growth([int(size) for size in sizes.split(",")], tasks, rounds, say)
+    results = measure_growth([int(size) for size in sizes.split(",")], tasks, rounds, print_progress)
     if plot_to is not None:
         plot_growth(results, plot_to)
-    click.echo(json.dumps({"results": results}, indent=None if as_json else 2))
+    print_figures({"results": results}, as_json=as_json)
 
 
 @click.command("capacity")
--- a/kelpfront/cli/experiments.py
+++ b/kelpfront/cli/experiments.py
@@ -1,4 +1,7 @@
-"""`kelpfront lab experiment` and `kelpfront lab report`."""
+"""`kelpfront lab experiment` and `kelpfront lab report`: many runs, and a page made from their results.
+
+Planning, running and drawing is left to `kelpfront.lab.experiments` and `kelpfront.lab.report`.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,11 @@
 
 
 def day_text(name: str) -> str:
-    """A day of the laboratory's own by name, or of a file; OSError where there is none."""
+    """Return the text of a scenario: of the laboratory's own by name, else of a file.
+
+    Raises:
+        OSError: there is no such file.
+    """
     own = DAYS / f"{name}.yaml"
     path = own if "/" not in name and own.exists() else Path(name)
     return path.read_text(encoding="utf-8")
@@ -62,22 +69,22 @@
     )
     try:
         with (
-            opened(path) as kept,
+            opened(path) as stored_results,
             Progress(*columns, console=Console(stderr=True), disable=not sys.stderr.isatty()) as bar,
         ):
             task = bar.add_task(read.name, total=len(read.runs()))
 
-            def show(result: Result, done: int, _: int) -> None:
+            def print_result(result: Result, done: int, _: int) -> None:
                 bar.update(task, completed=done)
                 if result.error:
                     place = f"{result.scenario}, {result.variant}, seed {result.seed}"
                     click.echo(f"{place}: {result.error}", err=True)
 
-            ran, broke = run_plan(read, kept, processes, show)
+            run_count, failed_count = run_plan(read, stored_results, processes, print_result)
     except (ResultsError, RuntimeError) as error:
         fail(str(error))
-    click.echo(f"{path}: {len(read.runs())} runs, {ran} of them now, {broke} broke off")
-    if broke:
+    click.echo(f"{path}: {len(read.runs())} runs, {run_count} of them now, {failed_count} broke off")
+    if failed_count:
         raise SystemExit(1)
 
 
@@ -92,8 +99,8 @@
     from kelpfront.lab.report.page import ReportError, make
 
     try:
-        with opened(results) as kept:
-            for path in make(kept, out or results.with_suffix(""), seed, beside):
+        with opened(results) as stored_results:
+            for path in make(stored_results, out or results.with_suffix(""), seed, beside):
                 click.echo(str(path))
     except (ResultsError, ReportError) as error:
         fail(str(error))
--- a/kelpfront/cli/fleet.py
+++ b/kelpfront/cli/fleet.py
@@ -1,13 +1,15 @@
-"""`kelpfront lab fleet`: many processes of the program, and what they do to what they share."""
+"""`kelpfront lab fleet`: many processes of the program, and what they do to what they share.
+
+Playing and measuring is left to `kelpfront.lab.fleet`.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import json
-import sys
 
 import click
 
+from kelpfront.cli.common import print_figures, progress_printer
 from kelpfront.cli.scale import scale
 
 
@@ -49,12 +51,10 @@
 
     shape = ColdStart(placers, machines, rate, up_after, down_at, 2.0, with_file, longest)
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
-    figures = asyncio.run(play(shape, say))
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
+    figures = asyncio.run(play(shape, print_progress))
+    print_figures(figures, as_json=as_json)
     if figures["died"] or None in (figures["ready_s"]["100%"], figures["told_s"]["100%"]):
         raise SystemExit(1)
 
@@ -91,12 +91,10 @@
 
     shape = Restart(placers, machines, tasks, killed, outage, sockets, memory_mb, share, longest)
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
-    figures = asyncio.run(play(shape, say))
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
+    figures = asyncio.run(play(shape, print_progress))
+    print_figures(figures, as_json=as_json)
     if figures["died"] or figures["found"] != figures["handed_over"]:
         raise SystemExit(1)
 
@@ -129,7 +127,7 @@
 
     shape = Leavers(placers, machines, seconds, rate, leave, stops, seed)
     figures = asyncio.run(play(shape, lambda text: click.echo(text, err=True)))
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
+    print_figures(figures, as_json=as_json)
     if figures["died"] or figures["over_100_ms"]:
         raise SystemExit(1)
 
@@ -168,11 +166,9 @@
 
     shape = ColdRamp(placers, machines, budget, load, seconds, kill_every, restarts, seed)
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
-    figures = asyncio.run(play(shape, say))
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
+    figures = asyncio.run(play(shape, print_progress))
+    print_figures(figures, as_json=as_json)
     if figures["died"] or figures["worst_window"] > figures["bound"]:
         raise SystemExit(1)
--- a/kelpfront/cli/rehearse.py
+++ b/kelpfront/cli/rehearse.py
@@ -1,15 +1,18 @@
-"""`kelpfront bad-day` and `kelpfront demo`: the whole program on loopback, once."""
+"""`kelpfront bad-day` and `kelpfront demo`: the whole program on loopback, once.
+
+Playing and judging is left to `kelpfront.lab`.
+"""
 
 from __future__ import annotations
 
 import asyncio
-import json
-import sys
 from pathlib import Path
 
 import click
 
-from kelpfront.cli.common import console, fail, require_lab_packages
+from kelpfront.cli.common import console, fail, print_figures, progress_printer, require_lab_packages
+
+MAX_PRINTED_VIOLATIONS = 20  # more would hide the figures above them
 
 
 @click.command("bad-day")
@@ -66,21 +69,26 @@
     if wrong and wrong not in WRONG:
         fail(f"--wrong: {wrong!r} is not one of {', '.join(WRONG)}")
     shape = DayShape(seed, placers, machines, rate, seconds)
-    interactive = sys.stderr.isatty() or not as_json
-
-    def say(text: str) -> None:
-        if interactive:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
     try:
         model = msgspec.json.decode(model_text, type=FleetModel)
     except msgspec.DecodeError as error:
         fail(f"--model: {error}")
     verdict, figures = asyncio.run(
-        play(shape, keep, model, quiet=quiet_day, say=say, agents=agents, protocol=protocol, wrong=wrong)
+        play(
+            shape,
+            keep,
+            model,
+            quiet=quiet_day,
+            say=print_progress,
+            agents=agents,
+            protocol=protocol,
+            wrong=wrong,
+        )
     )
-    click.echo(json.dumps(figures, indent=None if as_json else 2))
-    for violation in verdict.violations[:20]:
+    print_figures(figures, as_json=as_json)
+    for violation in verdict.violations[:MAX_PRINTED_VIOLATIONS]:
         click.echo(f"{violation.rule}: {violation.text}", err=True)
     if verdict.violations or verdict.without_final or any(figures["exit_codes"]):
         raise SystemExit(1)
@@ -95,14 +103,14 @@
     from kelpfront.client import Client
     from kelpfront.lab.demo import run_demo
 
-    async def show(client: Client) -> None:
+    async def print_tables(client: Client) -> None:
         for resource in (JOBS, MACHINES):
             objects, _ = await client.list_objects(resource)
             click.echo()
             console().print(objects_table(resource, objects, wide=resource.namespaced))
 
     try:
-        placed = asyncio.run(run_demo(keep, click.echo, show))
+        placed = asyncio.run(run_demo(keep, click.echo, print_tables))
     except KeyboardInterrupt:
         return
     if not placed:
--- a/kelpfront/cli/scale.py
+++ b/kelpfront/cli/scale.py
@@ -1,16 +1,18 @@
-"""`kelpfront lab fleet scale`: a placer's cost at the sizes of a whole fleet."""
+"""`kelpfront lab fleet scale`: a placer's cost at the sizes of a whole fleet.
+
+Playing and measuring is left to `kelpfront.lab.fleet.scale`.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
-import sys
 from pathlib import Path
 from typing import Any
 
 import click
 
-from kelpfront.cli.common import fail
+from kelpfront.cli.common import fail, progress_printer
 
 SWEEPS = (
     "held",
@@ -54,19 +56,17 @@
     from kelpfront.lab.fleet.scale.shape import Fault, Shape, ShapeError
     from kelpfront.lab.fleet.scale.table import slope_table, table
 
-    def say(text: str) -> None:
-        if sys.stderr.isatty() or not as_json:
-            click.echo(text, err=True)
+    print_progress = progress_printer(as_json=as_json)
 
     if sweeps:
         from kelpfront.lab.fleet.scale.sweep import play_sweeps
 
         chosen = SWEEPS if "all" in sweeps else tuple(dict.fromkeys(sweeps))
-        summary = asyncio.run(play_sweeps(chosen, into, say))
+        summary = asyncio.run(play_sweeps(chosen, into, print_progress))
         slopes = summary.pop("slopes")
         click.echo(json.dumps(summary) if as_json else slope_table(slopes))
-        for broken in summary["breaks"]:
-            click.echo(broken, err=True)
+        for violation in summary["breaks"]:
+            click.echo(violation, err=True)
         if summary["breaks"]:
             raise SystemExit(1)
         return
@@ -77,10 +77,10 @@
         shape = Shape(**options, faults=faults)
     except ShapeError as error:
         fail(str(error))
-    figures = asyncio.run(play(shape, say))
-    found = breaks(figures)
-    click.echo(json.dumps(figures | {"breaks": found}) if as_json else table(figures))
-    for broken in found:
-        click.echo(broken, err=True)
-    if found:
+    figures = asyncio.run(play(shape, print_progress))
+    violations = breaks(figures)
+    click.echo(json.dumps(figures | {"breaks": violations}) if as_json else table(figures))
+    for violation in violations:
+        click.echo(violation, err=True)
+    if violations:
         raise SystemExit(1)
--- a/kelpfront/cli/serve.py
+++ b/kelpfront/cli/serve.py
@@ -1,4 +1,7 @@
-"""`kelpfront serve` and `kelpfront machines`: the processes."""
+"""`kelpfront serve` and `kelpfront machines`: a placer, or stand-in machines for rehearsal, until a signal.
+
+The programs themselves are left to `kelpfront.service` and `kelpfront.lab.standins`.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,7 @@
 import json
 import signal
 import sys
+from collections.abc import Sequence
 from pathlib import Path
 from typing import TYPE_CHECKING, Literal
 
@@ -18,8 +22,12 @@
 from kelpfront.inventory import InventoryError
 
 if TYPE_CHECKING:
+    from kelpfront.lab.recording import Recorder
+    from kelpfront.lab.standins import Fault, Fleet
     from kelpfront.service.app import PlacerService
 
+RECORDING_FLUSH_S = 0.5  # how much of a recording may be lost with the process
+
 
 @click.command()
 @config_option
@@ -34,31 +42,35 @@
     from kelpfront.logs import configure_logs
     from kelpfront.service.app import PlacerService, load_inventory
 
-    its = load_config(config_path, overrides)
-    if its.placer.grpc is not None and importlib.util.find_spec("grpc") is None:
+    settings = load_config(config_path, overrides)
+    if settings.placer.grpc is not None and importlib.util.find_spec("grpc") is None:
         fail("[placer] grpc: the gRPC API needs more packages: pip install 'kelpfront[grpc]'")
-    if its.tracing.file is not None and importlib.util.find_spec("opentelemetry") is None:
+    if settings.tracing.file is not None and importlib.util.find_spec("opentelemetry") is None:
         fail("[tracing] file: tracing needs more packages: pip install 'kelpfront[tracing]'")
-    path = inventory or config_path.parent / its.placer.inventory
-    its = its.model_copy(update={"placer": its.placer.model_copy(update={"inventory": str(path)})})
-    configure_logs(its.log.level, its.log.format, placer=its.placer.name)
+    settings = _with_inventory(settings, inventory or config_path.parent / settings.placer.inventory)
+    configure_logs(settings.log.level, settings.log.format, placer=settings.placer.name)
     try:
-        hosts = load_inventory(its)
+        hosts = load_inventory(settings)
     except InventoryError as error:
         fail(str(error))
 
     async def run() -> None:
-        service = PlacerService(its, hosts)
+        service = PlacerService(settings, hosts)
         await service.run(lambda started: click.echo(json.dumps(addresses(started))))
 
     try:
         asyncio.run(run())
     except OSError as error:
-        fail(f"{its.placer.listen}: {error.strerror or error}")
+        fail(f"{settings.placer.listen}: {error.strerror or error}")
+
+
+def _with_inventory(settings: Config, path: Path) -> Config:
+    placer = settings.placer.model_copy(update={"inventory": str(path)})
+    return settings.model_copy(update={"placer": placer})
 
 
 def addresses(service: PlacerService) -> dict[str, str]:
-    """Where a placer is reached."""
+    """Return the URLs and targets at which a placer is reached, as `serve` prints them."""
     found = {"url": service.url}
     if service.grpc_target:
         found["grpc"] = service.grpc_target
@@ -114,12 +126,11 @@
     from kelpfront.logs import configure_logs
     from kelpfront.service.app import load_inventory
 
-    its: Config = load_config(config_path, overrides)
-    path = inventory or config_path.parent / its.placer.inventory
-    its = its.model_copy(update={"placer": its.placer.model_copy(update={"inventory": str(path)})})
-    configure_logs(its.log.level, its.log.format)
+    settings = load_config(config_path, overrides)
+    settings = _with_inventory(settings, inventory or config_path.parent / settings.placer.inventory)
+    configure_logs(settings.log.level, settings.log.format)
     try:
-        hosts = [host for host in load_inventory(its).hosts.values() if not rooms or host.room in rooms]
+        hosts = [host for host in load_inventory(settings).hosts.values() if not rooms or host.room in rooms]
         model = msgspec.json.decode(model_text, type=FleetModel)
         faults = (
             [] if faults_path is None else msgspec.json.decode(faults_path.read_bytes(), type=list[Fault])
@@ -130,13 +141,10 @@
         fail(f"--model or --faults: {error}")
 
     async def run() -> None:
-        loop = asyncio.get_running_loop()
-        stop = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
+        stop = _stop_on_signals()
         recorder = Recorder("machines", record)
         board = None if copies is None else FileCopies(copies)
-        fleet = Fleet(its, hosts, model, seed, CommonClock().now, recorder, board, protocol)
+        fleet = Fleet(settings, hosts, model, seed, CommonClock().now, recorder, board, protocol)
         ports = None
         if write_inventory is None:
             ports = {host.name: int(host.address.rpartition(":")[2]) for host in hosts}
@@ -145,20 +153,35 @@
             write_csv(write_inventory, Inventory("", {host.name: host for host in addressed}))
         click.echo(json.dumps({"machines": len(addressed)}))
         sys.stdout.flush()
-        # The faults' clock starts with a line on standard input, or at once where there is none to come.
-        if faults and not sys.stdin.isatty():
-            await asyncio.to_thread(sys.stdin.readline)
-        fleet.play(faults)
-        while not stop.is_set():
-            recorder.flush()
-            try:
-                await asyncio.wait_for(stop.wait(), 0.5)
-            except TimeoutError:
-                continue
-        fleet.close()
-        recorder.close()
+        await _play_faults(fleet, faults, recorder, stop)
 
     try:
         asyncio.run(run())
     except OSError as error:
         fail(f"machines: {error.strerror or error}")
+
+
+def _stop_on_signals() -> asyncio.Event:
+    loop = asyncio.get_running_loop()
+    stop = asyncio.Event()
+    for number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(number, stop.set)
+    return stop
+
+
+async def _play_faults(
+    fleet: Fleet, faults: Sequence[Fault], recorder: Recorder, stop: asyncio.Event
+) -> None:
+    """Play the faults and write the recording out as it grows, until the program is told to stop."""
+    # The faults' clock starts with a line on standard input, or at once where there is none to come.
+    if faults and not sys.stdin.isatty():
+        await asyncio.to_thread(sys.stdin.readline)
+    fleet.play(faults)
+    while not stop.is_set():
+        recorder.flush()
+        try:
+            await asyncio.wait_for(stop.wait(), RECORDING_FLUSH_S)
+        except TimeoutError:
+            continue
+    fleet.close()
+    recorder.close()
