--- a/tests/platform/test_platform_sockets.py
+++ b/tests/platform/test_platform_sockets.py
@@ -447,10 +447,8 @@
     info = platforms.info()
     for category in info["Categories"]:
         category["DeadlineMs"] = 1000.0
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-    raw = platforms.raw_config(member("m-1", machine.address), settings=info, listen=f"127.0.0.1:{port}")
+    host, port = platforms.free_address()
+    raw = platforms.raw_config(member("m-1", machine.address), settings=info, listen=f"{host}:{port}")
     (tmp_path / "config.json").write_text(json.dumps(raw))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -463,13 +461,13 @@
         async with asyncio.timeout(60):
             while True:
                 try:
-                    client = Peer(*await asyncio.open_connection("127.0.0.1", port))
+                    client = Peer(*await asyncio.open_connection(host, port))
                     break
                 except OSError:
                     await asyncio.sleep(0.01)
         process.send_signal(signal.SIGTERM)
         process.send_signal(signal.SIGTERM)
-        later = Peer(*await asyncio.open_connection("127.0.0.1", port))
+        later = Peer(*await asyncio.open_connection(host, port))
         client.say(offer())
         later.say(offer(SECOND))
         await ops(client, "accept")
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -4,6 +4,8 @@
 
 import asyncio
 import json
+import os
+import socket
 from pathlib import Path
 from typing import Any
 
@@ -147,3 +149,16 @@
             if self.begun > self.prompt:
                 await self.up.wait()
         return await self._open(host, port, **kwargs)
+
+
+def free_address() -> tuple[str, int]:
+    """A loopback address of this process alone, and a port that is free there.
+
+    Between the choice of a port and the start of the program under test, any other socket of the machine may
+    get a port of 127.0.0.1; a client of the test would then be connected to something else.
+    """
+    pid = os.getpid()
+    host = f"127.{2 + (pid >> 16) % 250}.{pid >> 8 & 255}.{pid & 255}"
+    with socket.socket() as free:
+        free.bind((host, 0))
+        return host, int(free.getsockname()[1])
