--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -114,12 +114,13 @@
     shown: dict[str, Any] = {"kind": item.param_type_name, "names": [*item.opts, *item.secondary_opts]}
     if isinstance(item, click.Argument):
         shown["names"] = [item.human_readable_name]
+    described = described_default(item)
     default = None if repr(item.default).startswith("Sentinel") or callable(item.default) else item.default
     choices = list(item.type.choices) if isinstance(item.type, click.Choice) else None
     bounds = [getattr(item.type, name, None) for name in ("min", "max")]
     return shown | {
         "type": item.type.name,
-        "default": default,
+        "default": default if described is None else described,
         "choices": choices,
         "bounds": bounds,
         "required": item.required,
@@ -130,6 +131,33 @@
     }
 
 
+def described_default(item: click.Parameter) -> str | None:
+    """Return the words that help prints for a default that depends on the machine, None for others."""
+    described = getattr(item, "show_default", None)
+    return described if isinstance(described, str) else None
+
+
+def machine_dependent_defaults() -> dict[str, tuple[str, Any]]:
+    """Return the words of help and the value on this machine, by command and option."""
+    return _machine_dependent(cli.main, click.Context(cli.main), ())
+
+
+def _machine_dependent(
+    command: click.Command, context: click.Context, path: tuple[str, ...]
+) -> dict[str, tuple[str, Any]]:
+    found: dict[str, tuple[str, Any]] = {}
+    for item in command.params:
+        described = described_default(item)
+        if described is not None:
+            found[" ".join((*path, item.opts[0]))] = (described, item.default)
+    if isinstance(command, click.Group):
+        for name in command.list_commands(context):
+            subcommand = command.get_command(context, name)
+            if subcommand is not None:
+                found |= _machine_dependent(subcommand, context, (*path, name))
+    return found
+
+
 def printed_addresses(service: PlacerService) -> dict[str, str]:
     """What `kelpfront serve` prints as JSON once it serves."""
     return addresses(service)
