--- a/kelpfront/controller/__init__.py
+++ b/kelpfront/controller/__init__.py
@@ -1,5 +1,5 @@
-"""The core behind the REST and gRPC fronts: jobs, tasks and machines around the decisions of a scheduler.
+"""The core behind the REST and gRPC fronts: the state of jobs, tasks and machines around a scheduler.
 
-`job_controller` is its entrance and hands each input to the part in charge. Nothing here has a socket, a
-clock or a thread: `kelpfront.service` calls in with the time and carries out the intents that come back.
+`job_controller` is the entry point and dispatches each input to the module that handles it. The package does
+no I/O and has no clock or threads: `kelpfront.service` passes in the time and executes the returned intents.
 """
--- a/kelpfront/controller/admission.py
+++ b/kelpfront/controller/admission.py
@@ -1,7 +1,8 @@
-"""Checks whether a job can still be accepted in time, before anything of it is stored. Pure functions.
+"""Checks whether a job can be answered before its deadline, before anything about it is stored.
 
-A controller that accepts more than it can handle answers late, and a late answer breaks the promise of one
-answer in time. A job that is rejected here was never started, so its client may retry without harm.
+A controller that accepts more than it can handle answers late, which breaks the guarantee that every task is
+answered by its deadline. A job rejected here was never started, so its client can safely retry. All functions
+are pure.
 """
 
 from __future__ import annotations
@@ -9,13 +10,13 @@
 from dataclasses import dataclass
 
 MAX_QUEUE_WAIT_MS = 900.0
-"""Longest wait of a request before it was read: it had its chance while it was new."""
+"""Longest wait of a request before it is read; under overload newer requests are served first (LIFO)."""
 MAX_PENDING_TASKS = 1_000
-"""Accepted tasks that the scheduler has not been given yet: some hundred milliseconds of work."""
+"""Limit on accepted tasks that wait for the scheduler; working them off takes some hundred milliseconds."""
 MIN_REMAINING_TICKS = 5
-"""Least remaining time, in ticks of the timers: less is spent on the way to a machine and back."""
+"""Least remaining time, in timer ticks; anything shorter is spent on the round trip to a machine."""
 MAX_CLIENT_SENT_AGE_MS = 60_000.0
-"""Oldest credible time of sending in a request: anything older comes from a clock that is wrong."""
+"""Oldest send time that is accepted in a request; an older one means that the client's clock is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,9 +24,9 @@
     """The times of a submission, in milliseconds of the common clock.
 
     Attributes:
-        now: the present.
-        received_at: when the request came in.
-        sent_at: when the client says that it sent the request, if it says so.
+        now: the current time.
+        received_at: when the request was received.
+        sent_at: when the client sent the request according to its own clock; None if it did not say.
         timeout_ms: how long the client waits for an answer.
     """
 
@@ -36,17 +37,17 @@
 
 
 def timeout_starts_at(arrival: Arrival) -> float:
-    """Return when the client's timeout began: when it sent the request, if it says so credibly."""
-    sent = arrival.sent_at
-    if sent is None or not arrival.received_at - MAX_CLIENT_SENT_AGE_MS <= sent <= arrival.received_at:
+    """Return when the client's timeout began: the client's send time if plausible, else the receive time."""
+    sent_at = arrival.sent_at
+    if sent_at is None or not arrival.received_at - MAX_CLIENT_SENT_AGE_MS <= sent_at <= arrival.received_at:
         return arrival.received_at
-    return sent
+    return sent_at
 
 
 def overload_reason(now: float, received_at: float) -> str:
-    """Return why a request that would bring work is rejected unread; empty where it is not.
+    """Return why a request to create work is rejected because of overload; empty if it is accepted.
 
-    It is called before a body is parsed: under overload a rejection must cost little.
+    This runs before the body is parsed, because a rejection must be cheap under overload.
     """
     waited_ms = now - received_at
     if waited_ms > MAX_QUEUE_WAIT_MS:
@@ -55,11 +56,11 @@
 
 
 def rejection_reason(arrival: Arrival, pending_count: int, tick_ms: float) -> str:
-    """Return why a job is not accepted now; empty where it is.
+    """Return why a job is rejected; empty if it is accepted.
 
     Args:
         arrival: the times of the submission.
-        pending_count: accepted tasks that the scheduler has not been given yet.
+        pending_count: the number of accepted tasks that were not passed to the scheduler yet.
         tick_ms: the resolution of the timers.
     """
     if pending_count >= MAX_PENDING_TASKS:
--- a/kelpfront/controller/answers.py
+++ b/kelpfront/controller/answers.py
@@ -1,6 +1,6 @@
-"""Gives each task its one answer, and keeps a failed one for as long as it may turn out to run.
+"""Answers each task exactly once, and keeps a failed task while it may still turn out to be running.
 
-What the answer is follows from the scheduler's decisions and from what machines report; it is decided there.
+The answer itself follows from the scheduler's decisions and from what machines report.
 """
 
 from __future__ import annotations
@@ -11,19 +11,22 @@
 from kelpfront.scheduling.events import TaskId
 
 FINAL_ANSWER_EVENTS = {TaskState.REFUSED: "task refused", TaskState.FAILED: "task failed"}
-"""The log's event for each final answer."""
+"""The log event for each final answer."""
 NOT_EXECUTED_ENDS = frozenset({"refused"})
-"""How an attempt that was sent may end so that it is known not to have been executed."""
+"""Ends of a sent attempt which prove that the machine did not execute it."""
 
 
 class TaskAnswers:
-    """Answers tasks, each once."""
+    """Records and publishes the answers of tasks."""
 
     def __init__(self, context: ControllerContext) -> None:
         self._context = context
 
     def answer(self, now: float, task: Task, state: TaskState) -> None:
-        """Move a task to the state that is its answer; a failed task that is found to run keeps its own."""
+        """Move a task to a state that answers it.
+
+        A failed task that turns out to be running moves to the new state but keeps its answer.
+        """
         context = self._context
         if task.needs_answer:
             context.task_table.record_answered()
@@ -32,11 +35,11 @@
         context.publisher.job_answered(task.job)
 
     def finish_unplaced(self, now: float, task_id: TaskId, state: TaskState, retry_after_ms: float) -> None:
-        """Answer a task that the scheduler gave up, with REFUSED or FAILED.
+        """Answer a task that the scheduler gave up on with REFUSED or FAILED.
 
         Args:
-            now: the present.
-            task_id: the task as the scheduler knows it.
+            now: the current time.
+            task_id: the scheduler's id of the task.
             state: the final state.
             retry_after_ms: how long its client should wait before it submits the task again.
         """
@@ -53,10 +56,10 @@
             context.task_table.remove(task)
         else:
             recheck_at = now + context.cluster.settings.orphan_check_ms
-            context.timers.set(recheck_at, lambda then: self._stop_looking(then, task))
+            context.timers.set(recheck_at, lambda fired_at: self._on_recheck_expired(fired_at, task))
 
-    def _stop_looking(self, _now: float, task: Task) -> None:
-        """The time is over in which a failed task may turn out to run: its client may submit it again."""
+    def _on_recheck_expired(self, _now: float, task: Task) -> None:
+        """Stop and remove a failed task that may still be running: its client may now submit it again."""
         if task.state not in (TaskState.REFUSED, TaskState.FAILED):
             return
         for attempt in task.attempts:
@@ -66,7 +69,7 @@
 
 
 def _reason_of_last_attempt(task: Task) -> str:
-    """Return why a task has no place, as clients read it."""
+    """Return why a task was not placed, as the API shows it."""
     last = next((attempt for attempt in reversed(task.attempts) if attempt.end), None)
     if last is not None:
         return last.reason or last.end.upper().replace(" ", "_")
--- a/kelpfront/controller/arrivals.py
+++ b/kelpfront/controller/arrivals.py
@@ -1,7 +1,7 @@
-"""Accepted tasks on their way to the scheduler: a few at a time, by priority and by turns between namespaces.
+"""Queues accepted tasks for the scheduler and hands them over in small batches.
 
-A job of a thousand tasks must not hold up everything else, and yet each task must be answered in time. What
-the scheduler does with a task is its own matter.
+Tasks are ordered by priority and, among namespaces, by fair queueing. A job with a thousand tasks must not
+block everything else, and yet each task must be answered by its deadline.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from kelpfront.timers import Timers
 
 MAX_TASKS_PER_BATCH = 8
-"""Tasks that are handed over before other work has its turn."""
-LATE_HANDOVER_TICKS = 2
-"""Ticks of the timers before its deadline by which a task is handed over, to be answered in time."""
+"""Tasks that are handed to the scheduler in one batch, before the controller does other work."""
+HANDOVER_MARGIN_TICKS = 2
+"""Margin before a task's deadline, in timer ticks, at which it is handed over to be answered in time."""
 
 
 class ArrivalQueue:
-    """Tasks that the scheduler was not given yet.
+    """Accepted tasks that were not handed to the scheduler yet.
 
     Attributes:
-        pending_count: how many of them are still wanted.
+        pending_count: the number of these tasks that were not withdrawn.
     """
 
     def __init__(
@@ -39,15 +39,15 @@
         self._queue: FairQueue[Task] = FairQueue(degradation.client_weight)
 
     def __bool__(self) -> bool:
-        """Whether anything is queued, wanted or not."""
+        """Whether the queue has any entries, including withdrawn tasks."""
         return bool(self._queue)
 
     def ensure_deadline(self, job: Job, added_count: int, deadline: float) -> None:
-        """Have tasks that are about to be added handed over before their deadline, whatever is queued."""
+        """Set a timer that hands over the tasks about to be added before their deadline if still queued."""
         if added_count + self.pending_count <= MAX_TASKS_PER_BATCH:
-            return  # their turn comes at once
-        due = deadline - LATE_HANDOVER_TICKS * self._tick_ms
-        self._timers.set(due, lambda then: self._hand_over_late(then, job))
+            return  # the next batch includes all of them
+        due = deadline - HANDOVER_MARGIN_TICKS * self._tick_ms
+        self._timers.set(due, lambda fired_at: self._hand_over_overdue(fired_at, job))
 
     def push(self, task: Task) -> None:
         """Queue a task."""
@@ -56,18 +56,18 @@
         self.pending_count += 1
 
     def discard(self, task: Task) -> None:
-        """Count a task that was not handed over as not wanted any more."""
+        """Exclude a withdrawn task from the handover; its queue entry is skipped later."""
         task.handed_over = True
         self.pending_count -= 1
 
-    def hand_over_some(self, now: float) -> None:
-        """Give the scheduler as many tasks as one turn allows."""
-        handed_over = 0
-        while self._queue and handed_over < MAX_TASKS_PER_BATCH:
+    def hand_over_batch(self, now: float) -> None:
+        """Hand the next batch of tasks to the scheduler."""
+        handed_over_count = 0
+        while self._queue and handed_over_count < MAX_TASKS_PER_BATCH:
             task = self._queue.pop()
             if not task.handed_over:
                 self._hand_over(now, task)
-                handed_over += 1
+                handed_over_count += 1
 
     def _hand_over(self, now: float, task: Task) -> None:
         task.handed_over = True
@@ -82,8 +82,8 @@
         )
         self._driver.feed(now, arrived)
 
-    def _hand_over_late(self, now: float, job: Job) -> None:
-        """The time of a job's tasks is up; the scheduler rejects those that it had not seen yet."""
+    def _hand_over_overdue(self, now: float, job: Job) -> None:
+        """Hand over a job's tasks that are still queued near the deadline; the scheduler rejects them."""
         for task in list(job.tasks.values()):
             if task.needs_answer and not task.handed_over:
                 self._hand_over(now, task)
--- a/kelpfront/controller/attempts.py
+++ b/kelpfront/controller/attempts.py
@@ -1,7 +1,7 @@
-"""Records how attempts go (accepted by a machine, ended, ended after the task ran) and tells the scheduler.
+"""Records the progress of attempts (accepted, ended, ended after the task ran) and notifies the scheduler.
 
-Messages from connections and streams are translated by `dispatch` and `reconciliation`; what follows from an
-end (another attempt, an answer) is the scheduler's to decide.
+`dispatch` and `reconciliation` translate the messages of machines into calls of this module. The scheduler
+decides what follows the end of an attempt: another attempt or an answer.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from kelpfront.scheduling.settings import Idempotency
 
 MOVED = "MOVED"
-"""The reason of a task that is stopped so that its client submits it again, for a better place."""
+"""The reason shown for a task that is stopped so that its client resubmits it for a better placement."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,12 +36,12 @@
     """How an attempt ended.
 
     Attributes:
-        outcome: for the scheduler.
-        text: for clients, as the API shows it.
-        reason: for the scheduler, where the machine says why.
-        reason_name: the same by its name in the machines' protocol, for clients.
-        message: what the machine or the connection said.
-        task_finished: whether the task itself is over with it.
+        outcome: the outcome that is reported to the scheduler.
+        text: the end as the API shows it.
+        reason: the machine's reason, as reported to the scheduler.
+        reason_name: the same reason by its name in the machine protocol, as the API shows it.
+        message: the machine's message, or an error of the connection.
+        task_finished: whether the task ended with the attempt, so that no other attempt follows.
     """
 
     outcome: AttemptOutcome
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceEnd:
-    """How an instance that a machine held ended, in the machines' words; None for what it did not say."""
+    """How a task instance on a machine ended, as reported by the machine; None for what was not reported."""
 
     cause: wire.GoneCause
     exit_code: int | None = None
@@ -63,13 +63,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndMeaning:
-    """What the cause of an instance's end means.
+class CauseOutcome:
+    """What is recorded for the cause of an instance's end.
 
     Attributes:
-        outcome: for the scheduler.
-        reason: for the scheduler.
-        lost_reason: why the client lost the task; empty where it ended by itself.
+        outcome: the outcome that is reported to the scheduler.
+        reason: the reason that is reported to the scheduler.
+        lost_reason: why the task was lost, as the API shows it; empty if the task exited by itself.
     """
 
     outcome: AttemptOutcome
@@ -77,19 +77,19 @@
     lost_reason: str = ""
 
 
-END_MEANINGS: dict[wire.GoneCause, EndMeaning] = {
-    "ended": EndMeaning(AttemptOutcome.ENDED),
-    "stopped": EndMeaning(AttemptOutcome.CANCELLED, lost_reason="STOPPED"),
-    "failed": EndMeaning(AttemptOutcome.ERROR, lost_reason="START_FAILED"),
-    "evicted": EndMeaning(AttemptOutcome.RESET, OutcomeReason.EVICTED, "EVICTED"),
-    "pushed-out": EndMeaning(AttemptOutcome.RESET, OutcomeReason.PREEMPTED, "PUSHED_OUT"),
-    "sent-away": EndMeaning(AttemptOutcome.RESET, OutcomeReason.DRAINED, "SENT_AWAY"),
-    "lost": EndMeaning(AttemptOutcome.RESET, lost_reason="MACHINE_LOST"),
+CAUSE_OUTCOMES: dict[wire.GoneCause, CauseOutcome] = {
+    "ended": CauseOutcome(AttemptOutcome.ENDED),
+    "stopped": CauseOutcome(AttemptOutcome.CANCELLED, lost_reason="STOPPED"),
+    "failed": CauseOutcome(AttemptOutcome.ERROR, lost_reason="START_FAILED"),
+    "evicted": CauseOutcome(AttemptOutcome.RESET, OutcomeReason.EVICTED, "EVICTED"),
+    "pushed-out": CauseOutcome(AttemptOutcome.RESET, OutcomeReason.PREEMPTED, "PUSHED_OUT"),
+    "sent-away": CauseOutcome(AttemptOutcome.RESET, OutcomeReason.DRAINED, "SENT_AWAY"),
+    "lost": CauseOutcome(AttemptOutcome.RESET, lost_reason="MACHINE_LOST"),
 }
 
 
 class AttemptTracker:
-    """Accepts and ends attempts, each end once."""
+    """Records when attempts are accepted and when they end, each end exactly once."""
 
     def __init__(self, context: ControllerContext, answers: TaskAnswers, orphans: OrphanHandler) -> None:
         self._context = context
@@ -99,10 +99,10 @@
     # ---- Accepted -------------------------------------------------------------------------------------
 
     def accept(self, now: float, attempt: Attempt, *, running: bool) -> None:
-        """A machine has accepted the task, or runs it. Both may be reported more than once."""
+        """Record that a machine has accepted or runs the task; either may be reported more than once."""
         task = attempt.task
         if not attempt.placed and (task.withdrawn or not task.needs_answer):
-            # Answered while it was out: whatever the machine holds now is an instance that was given up.
+            # The task was answered or withdrawn while the attempt was outstanding: the instance is an orphan.
             self.close(now, attempt, AttemptEnd(AttemptOutcome.CANCELLED, "given up", task_finished=True))
             self._orphans.on_found(now, attempt.host, task.uid, attempt.number)
         elif not attempt.placed:
@@ -140,20 +140,20 @@
     # ---- Ended after the machine had accepted it ------------------------------------------------------
 
     def finish(self, now: float, attempt: Attempt, end: InstanceEnd) -> None:
-        """A placed task is over."""
+        """Record that a placed task has ended."""
         context = self._context
         task = attempt.task
-        meaning = END_MEANINGS[end.cause]
+        cause_outcome = CAUSE_OUTCOMES[end.cause]
         entry = context.registry.entries.get(attempt.host)
         if entry is not None:
             entry.task_count -= 1
         task.exit_code = end.exit_code
         task.cpu_s = end.cpu_s
         if not task.withdrawn:
-            lost_reason = MOVED if task.reason == MOVED else meaning.lost_reason
+            lost_reason = MOVED if task.reason == MOVED else cause_outcome.lost_reason
             self._record_final_state(now, attempt, lost_reason)
         closed = AttemptEnd(
-            meaning.outcome, end.cause, meaning.reason, message=end.message, task_finished=True
+            cause_outcome.outcome, end.cause, cause_outcome.reason, message=end.message, task_finished=True
         )
         self.close(now, attempt, closed)
         context.task_table.remove(task)
@@ -172,7 +172,7 @@
     # ---- Ended ----------------------------------------------------------------------------------------
 
     def close(self, now: float, attempt: Attempt, end: AttemptEnd) -> None:
-        """End an attempt, once, and tell the scheduler."""
+        """End an open attempt and notify the scheduler."""
         context = self._context
         task = attempt.task
         self._record_end(now, attempt, end)
@@ -187,8 +187,8 @@
         context.publisher.job_changed(task.job)
         context.driver.feed(now, _closed_event(now, attempt, end, task_finished=task_finished))
         if orphan is not None and orphan_machine is not None:
-            # An instance turned up while this attempt was out: it is adopted before another is tried.
-            self._orphans.adopt_anew(now, task, orphan_machine, orphan.attempt_number)
+            # A machine reported an orphan during this attempt: adopt it instead of starting another attempt.
+            self._orphans.adopt_with_new_id(now, task, orphan_machine, orphan.attempt_number)
         elif orphan is not None:
             context.stops.request(orphan.host, task.uid, orphan.attempt_number, "given up")
         if task.withdrawn:
@@ -213,7 +213,7 @@
         )
 
     def _abandon_if_possibly_executed(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Stop waiting for the machine, and have it stop the task where another instance may be started."""
+        """Abandon the offer, and request a stop if the task is idempotent or withdrawn."""
         possibly_executed = attempt.sent_at is not None and not attempt.placed and outcome not in NOT_EXECUTED
         if not possibly_executed or outcome is AttemptOutcome.ERROR:
             return
@@ -230,7 +230,7 @@
 
 
 def _closed_event(now: float, attempt: Attempt, end: AttemptEnd, *, task_finished: bool) -> AttemptClosed:
-    began_at = attempt.decided_at if attempt.sent_at is None else attempt.sent_at
+    started_at = attempt.decided_at if attempt.sent_at is None else attempt.sent_at
     return AttemptClosed(
         attempt.task.scheduler_id,
         attempt.scheduler_number,
@@ -238,5 +238,5 @@
         end.outcome,
         end.reason,
         task_finished,
-        now - began_at,
+        now - started_at,
     )
--- a/kelpfront/controller/cluster.py
+++ b/kelpfront/controller/cluster.py
@@ -1,7 +1,7 @@
-"""The cluster as it is configured: the scheduler's settings and the names behind its numbers.
+"""The configured cluster: the scheduler's settings and the names of its classes and machine kinds.
 
-The scheduler knows classes and kinds of machines by index; the API and the machines know them by name. The
-settings are read and checked by `kelpfront.config`.
+The scheduler identifies task classes and machine kinds by index, the API and the machines by name.
+`kelpfront.config` reads and validates the settings.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cluster:
-    """The scheduler's settings, with the names that the API uses for its numbers.
+    """The scheduler's settings, with the mapping between indexes and the names that the API uses.
 
     Attributes:
-        settings: the settings of the scheduler.
-        kinds: the names of the kinds of machines, by index.
+        settings: the scheduler's settings.
+        kinds: the names of the machine kinds, by index.
         lost_after_ms: how long a machine may be disconnected before its tasks are declared lost.
         class_numbers: the index of each task class, by name.
-        kind_numbers: the index of each kind, by name.
+        kind_numbers: the index of each machine kind, by name.
     """
 
     settings: SchedulerSettings
@@ -35,9 +35,9 @@
         object.__setattr__(self, "kind_numbers", {name: number for number, name in enumerate(self.kinds)})
 
     def task_class(self, name: str) -> TaskClass:
-        """Return the class of a name; KeyError where there is none."""
+        """Return the task class with a name; KeyError if there is none."""
         return self.settings.classes[self.class_numbers[name]]
 
     def required_kind_name(self, cls: TaskClass) -> str:
-        """Return the kind of machine that a class requires; empty where any will do."""
+        """Return the machine kind that a class requires; empty if it accepts any kind."""
         return "" if cls.required_kind is None else self.kinds[cls.required_kind]
--- a/kelpfront/controller/context.py
+++ b/kelpfront/controller/context.py
@@ -1,6 +1,6 @@
-"""The records of one controller and its ways out, which its parts share.
+"""The records and outputs of one controller, shared by its components.
 
-Each record has one owner here, and each part is handed this context and the parts that it calls.
+Each component gets this context and the components that it calls as constructor arguments.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerContext:
-    """What the parts of one controller share.
+    """The records and outputs that the components of one controller share.
 
     Attributes:
         cluster: the settings.
-        store: the objects that the API shows.
+        store: the objects that the API serves.
         registry: the machines.
         task_table: the index of tasks.
         job_table: the index of jobs.
-        stops: the requests to machines to stop a task.
-        publisher: brings changes to the store.
+        stops: the unconfirmed requests to machines to stop a task.
+        publisher: writes changes of jobs and machines to the store.
         degradation: the levels of reduced service.
-        driver: the way to the scheduler.
-        timers: calls that are due at a time.
-        intents: what is to be done by the code that has sockets.
-        log: log lines about tasks.
+        driver: passes events to the scheduler.
+        timers: scheduled callbacks.
+        intents: the I/O that the service is to carry out.
+        log: writes log lines about tasks.
     """
 
     cluster: Cluster
@@ -55,5 +55,5 @@
     log: TaskLog
 
     def class_of(self, task: Task) -> TaskClass:
-        """Return the class of a task."""
+        """Return the task class of a task."""
         return self.cluster.settings.classes[task.job.class_index]
--- a/kelpfront/controller/degradation.py
+++ b/kelpfront/controller/degradation.py
@@ -1,7 +1,6 @@
-"""Connects the controller with the levels of reduced service: reports what happens, and publishes the level.
+"""Connects the controller to the levels of reduced service: reports events and publishes the level.
 
-It decides nothing: which level applies and what is accepted at it is left to `kelpfront.degradation`.
-No I/O.
+`kelpfront.degradation` decides which level applies and what is accepted at it. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -43,16 +42,22 @@
 from kelpfront.units import format_duration
 
 PUBLISH_PERIOD_MS = 2_000.0
-"""Between changes of the object that only renew its figures."""
+"""Minimum time between updates of the Level object that only refresh its figures."""
 PUBLISHED_CHANGES = 20
-"""How many of the last changes of level the object shows."""
+"""Number of the most recent level changes that the Level object shows."""
 NO_CAPACITY = frozenset({OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY, OutcomeReason.QUEUE_FULL})
-"""Reasons of a rejected offer which say that the machine is full."""
+"""Reasons of a rejected offer that mean that the machine is full."""
 
 
 @dataclass(slots=True)
 class _RoomCores:
-    """Cores of the machines of one room: all, those in reach, and of these those with a late heartbeat."""
+    """Cores of the machines in one room.
+
+    Attributes:
+        known: cores of all machines that have connected at least once.
+        ready: cores of the machines that are ready.
+        overdue: cores of the ready machines whose heartbeat is late.
+    """
 
     known: float = 0.0
     ready: float = 0.0
@@ -60,12 +65,12 @@
 
 
 class ProcessLoad:
-    """What the process tells of its own load, between two observations.
+    """The load of this process since the last observation.
 
     Attributes:
-        lag_ms: by how much a timer was late at the worst.
-        busy_ms: how long the scheduler was at work.
-        memory_share: the memory in use, as a share of what is allowed.
+        lag_ms: the largest delay of a timer.
+        busy_ms: the time spent in the scheduler.
+        memory_share: the memory in use, as a share of the limit.
     """
 
     def __init__(self) -> None:
@@ -75,7 +80,7 @@
         self._observed_at: float | None = None
 
     def record_timer_lag(self, lag_ms: float) -> None:
-        """A timer was late by so much."""
+        """Record that a timer fired `lag_ms` late."""
         self.lag_ms = max(self.lag_ms, lag_ms)
 
     def observe(
@@ -84,10 +89,10 @@
         """Return what was observed since the last call.
 
         Args:
-            now: the present.
+            now: the current time.
             registry: the machines.
-            open_share: tasks without an answer, as a share of the limit.
-            mean_cores: what a task requests in the mean.
+            open_share: the number of tasks without an answer, as a share of the limit.
+            mean_cores: the mean number of cores that a task requests.
         """
         span_ms = 0.0 if self._observed_at is None else now - self._observed_at
         busy_share = min(1.0, self.busy_ms / span_ms) if span_ms > 0 else 0.0
@@ -96,7 +101,7 @@
         free_cores = 0.0
         for entry in registry.entries.values():
             if not entry.boot or entry.removed:
-                continue  # what was never in contact is not lost, what was taken out is not missed
+                continue  # neither a machine that never connected nor a removed one counts as lost capacity
             room = rooms.setdefault(entry.host.room, _RoomCores())
             room.known += entry.host.cores
             if entry.state is State.READY:
@@ -122,11 +127,13 @@
 
 
 class DegradationReporter:
-    """The levels of one controller; their object in the API has the controller's name.
+    """Reports events to the degradation levels of one controller and publishes its Level object.
+
+    The object has the controller's name.
 
     Attributes:
         governor: decides which level applies and what is accepted at it.
-        process_load: the load of the process itself.
+        process_load: the load of this process.
     """
 
     def __init__(
@@ -150,17 +157,17 @@
         return self.governor.level
 
     @property
-    def measures(self) -> LevelPolicy:
-        """What is done less often, or not at all, at this level."""
+    def policy(self) -> LevelPolicy:
+        """The policy of the current level: what is done less often or not at all."""
         return self.governor.policy
 
-    # ---- Work -----------------------------------------------------------------------------------------
+    # ---- Jobs and tasks -------------------------------------------------------------------------------
 
     def check_admission(self, now: float, request: AdmissionRequest, name: str) -> None:
-        """Check that a job is accepted at the present level.
+        """Check that a job is accepted at the current level.
 
         Raises:
-            ApiError: 429; nothing of the job went anywhere.
+            ApiError: 429; no part of the job was stored or sent.
         """
         rejection = self.governor.decide_admission(now, request)
         if rejection is not None:
@@ -175,48 +182,51 @@
             )
 
     def on_accepted(self, job: Job, count: int) -> None:
-        """So many tasks of a job need their answer from now on."""
+        """Record that `count` tasks of a job were accepted and need an answer."""
         self.governor.on_admitted(job.class_index, job.namespace, count)
 
     def on_withdrawn(self, job: Job) -> None:
-        """A task of the job that had no answer needs none any more."""
+        """Record that an unanswered task of the job was withdrawn."""
         self.governor.on_withdrawn(job.class_index, job.namespace)
 
     def on_rejected_early(self, now: float, count: int) -> None:
-        """Tasks were rejected before they were checked: still a sign of what is wanted."""
+        """Record tasks that were rejected before admission; they still count as demand."""
         self.governor.on_rejected_elsewhere(now, count)
 
     def on_answered(self, now: float, task: Task, state: TaskState) -> None:
-        """A task has its answer."""
+        """Record that a task was answered."""
         job = task.job
-        if not job.feasible:  # its refusal says nothing of the cluster
+        if not job.feasible:  # the refusal of a task that fits no machine is no sign of overload
             self.governor.on_withdrawn(job.class_index, job.namespace)
             return
         record = self.governor.on_placed if state is TaskState.PLACED else self.governor.on_not_placed
         record(now, AnsweredTask(job.class_index, job.namespace, now - task.created_at, job.timeout_ms))
 
-    def on_offer_closed(self, now: float, task: Task, how: AttemptOutcome, reason: OutcomeReason) -> None:
-        """An offer was accepted, or its attempt ended."""
-        if how in (AttemptOutcome.REJECTED, AttemptOutcome.ENDED):
-            full = how is AttemptOutcome.REJECTED and reason in NO_CAPACITY
-            self.governor.on_offer_answered(now, task.job.class_index, rejected_as_full=full)
+    def on_offer_closed(self, now: float, task: Task, outcome: AttemptOutcome, reason: OutcomeReason) -> None:
+        """Record that an offer was accepted, or that its attempt ended without acceptance."""
+        if outcome in (AttemptOutcome.REJECTED, AttemptOutcome.ENDED):
+            rejected_as_full = outcome is AttemptOutcome.REJECTED and reason in NO_CAPACITY
+            self.governor.on_offer_answered(now, task.job.class_index, rejected_as_full=rejected_as_full)
 
     def priority_rank(self, task: Task) -> int:
-        """Return the rank of a task's class, the most important first."""
+        """Return the priority rank of a task's class; the most important class ranks first."""
         return self.governor.priority_order.rank_of_class[task.job.class_index]
 
     def client_weight(self, namespace: str) -> float:
-        """Return the share of a namespace in what is handed to the scheduler."""
+        """Return the fair-queueing weight of a namespace."""
         return self.governor.load_shedder.owners.weight(namespace)
 
     def placement_time_ms(self, task: Task, remaining_ms: float) -> float:
-        """Return how long a task is tried: at reduced levels less than remains, for fewer attempts."""
+        """Return how long the scheduler may try to place a task.
+
+        At reduced levels this is shorter than the remaining time, which limits the number of attempts.
+        """
         return self.governor.attempt_time_ms(task.job.class_index, remaining_ms)
 
     # ---- Levels ---------------------------------------------------------------------------------------
 
     def observe(self, now: float, registry: MachineRegistry, open_share: float) -> list[LogLine]:
-        """Evaluate what is observed, and return log lines of what changed."""
+        """Evaluate the load, publish the level when due, and return log lines of a level change."""
         change = self.governor.observe(
             now, self.process_load.observe(now, registry, open_share, self._mean_cores)
         )
@@ -226,21 +236,21 @@
             self._published_at = -math.inf
         if (
             change is not None
-            or now >= self._published_at + PUBLISH_PERIOD_MS * self.measures.background_interval_factor
+            or now >= self._published_at + PUBLISH_PERIOD_MS * self.policy.background_interval_factor
         ):
             self.publish(now)
-        return [] if change is None else [self._line(change)]
+        return [] if change is None else [self._log_line(change)]
 
     def pin(self, now: float, level: Level | None, for_ms: float) -> list[LogLine]:
-        """Hold a level by an operator's word, or let go of it; return log lines of what changed."""
+        """Pin a level for an operator, or unpin it if `level` is None; return log lines of a level change."""
         change = self.governor.pin(now, level, for_ms)
         self._pin = None if level is None else {"level": level.api_name, "for": format_duration(for_ms)}
         self._pin_until = now + for_ms
         self._generation += 1
         self.publish(now)
-        return [] if change is None else [self._line(change)]
+        return [] if change is None else [self._log_line(change)]
 
-    def _line(self, change: LevelChange) -> LogLine:
+    def _log_line(self, change: LevelChange) -> LogLine:
         raised = change.after > change.before
         fields: dict[str, Any] = {
             "before": change.before.api_name,
@@ -253,7 +263,7 @@
     # ---- The API --------------------------------------------------------------------------------------
 
     def publish(self, now: float) -> None:
-        """Bring the object to the store."""
+        """Write the Level object to the store."""
         if self._published_at == -math.inf and not self._created_at:
             self._created_at = now
         self._published_at = now
@@ -264,7 +274,7 @@
             self._store.update(LEVELS, key, self.to_api(now))
 
     def to_api(self, now: float) -> Object:
-        """Return the object as the API shows it."""
+        """Return the Level object as the API shows it."""
         return {
             "apiVersion": API_VERSION,
             "kind": "Level",
@@ -304,7 +314,7 @@
         return status
 
     def _timestamp(self, now: float, at: float) -> str:
-        """Return a moment of the elapsed time that the levels count in."""
+        """Return the timestamp of a time on the governor's clock of elapsed milliseconds."""
         return timestamp(now - (self.governor.elapsed_ms - at))
 
     def _class_statuses(self) -> list[Object]:
@@ -331,7 +341,7 @@
             "after": change.after.api_name,
             "why": change.reason,
             "evidence": [
-                {"symptom": one.signal, "value": round(one.value, 4), "bound": one.threshold}
-                for one in change.evidence
+                {"symptom": reading.signal, "value": round(reading.value, 4), "bound": reading.threshold}
+                for reading in change.evidence
             ],
         }
--- a/kelpfront/controller/dispatch.py
+++ b/kelpfront/controller/dispatch.py
@@ -1,7 +1,8 @@
-"""Sends the scheduler's decisions to machines: offers, the gate before each send, their answers and timeouts.
+"""Sends the scheduler's decisions to machines as offers, and handles their answers, failures and timeouts.
 
-It decides no placement. The gate is the last point at which what has changed since the decision can hold an
-offer back; from then on the attempt may have been executed.
+A final check runs right before an offer is sent. It is the last point at which an offer can be held back
+because something changed since the decision; afterwards the attempt may have been executed. Placement is
+decided by the scheduler alone.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
     "PUSHED_OUT": OutcomeReason.PREEMPTED,
     "SENT_AWAY": OutcomeReason.DRAINED,
 }
-"""Reasons by their names in the machines' protocol."""
+"""Rejection reasons by their names in the machine protocol."""
 
 
 class Dispatcher:
-    """Carries out what the scheduler decides about attempts, and takes in what came of their offers."""
+    """Carries out the scheduler's decisions about attempts, and handles the results of their offers."""
 
     def __init__(
         self,
@@ -68,36 +69,37 @@
         task.attempts.append(attempt)
         task.move(now, TaskState.PLACING)
         context.publisher.job_changed(task.job)
-        context.timers.set(attempt.timeout_at, lambda then: self._on_timeout(then, attempt))
+        context.timers.set(attempt.timeout_at, lambda fired_at: self._on_timeout(fired_at, attempt))
         context.intents.append(SendOffer(entry.name, make_offer(context.cluster, task, attempt)))
 
     def cancel(self, now: float, cancel: CancelAttempt) -> None:
-        """Give up an attempt that is out."""
+        """Cancel an outstanding attempt."""
         task = self._context.task_table.by_scheduler_id.get(cancel.task)
         if task is None:
             return
         for attempt in task.attempts:
-            is_out = attempt.is_open and not attempt.placed
-            if is_out and attempt.scheduler_number == cancel.attempt:
+            is_outstanding = attempt.is_open and not attempt.placed
+            if is_outstanding and attempt.scheduler_number == cancel.attempt:
                 end = AttemptEnd(AttemptOutcome.CANCELLED, "given up", task_finished=not task.needs_answer)
                 self._attempts.close(now, attempt, end)
 
     def migrate(self, migrate: Migrate) -> None:
-        """Stop a placed task, so that its client submits it again for a better place."""
+        """Stop a placed task so that its client resubmits it for a better placement."""
         task = self._context.task_table.by_scheduler_id.get(migrate.task)
         attempt = None if task is None else task.open_attempt
         if task is not None and attempt is not None and attempt.placed:
             task.reason = MOVED
             self._context.stops.request(attempt.host, task.uid, attempt.number, "moved")
 
-    # ---- The gate -------------------------------------------------------------------------------------
+    # ---- The check before sending ---------------------------------------------------------------------
 
     def clear_to_send(self, now: float, task_uid: str, attempt_number: int) -> bool:
-        """Return whether an offer may go out, right before its first byte; if not, it was not executed.
+        """Return whether an offer may be sent; called right before its first byte is written.
 
-        It guards against what may have changed while a connection was made: the task was answered or
-        withdrawn, its time is up, its machine drains or is gone, the window of a repeat with an idempotency
-        key is over, or the offer was held up for longer than the slow-start slots allow for.
+        This detects changes while the connection was being made: the task was answered or withdrawn, the
+        attempt timed out, the machine is draining or gone, the window for a retry with an idempotency key has
+        ended, or the offer was delayed for longer than the slow-start slots allow. An offer that is not
+        cleared counts as not executed.
         """
         attempt = self._context.task_table.find_attempt(task_uid, attempt_number)
         if attempt is None or not attempt.is_open or attempt.sent_at is not None:
@@ -115,10 +117,10 @@
         in_time = now < attempt.timeout_at and now <= attempt.send_deadline
         return is_usable and in_time and delay_ms <= self._context.cluster.settings.connect_timeout_ms
 
-    # ---- What came of an offer ------------------------------------------------------------------------
+    # ---- Results of offers ----------------------------------------------------------------------------
 
     def on_answered(self, now: float, task_uid: str, attempt_number: int, answer: wire.Answer) -> None:
-        """A machine answered an offer."""
+        """Handle a machine's answer to an offer."""
         attempt = self._find_unanswered(task_uid, attempt_number)
         if attempt is None:
             return
@@ -138,7 +140,10 @@
         self._endpoints.publish_due(now)
 
     def on_failed(self, now: float, task_uid: str, attempt_number: int, message: str) -> None:
-        """An offer got no answer: no connection, or one that broke. Whether it went out is known here."""
+        """Handle an offer that got no answer because the connection failed or broke.
+
+        Whether the offer had been sent decides the outcome.
+        """
         attempt = self._find_unanswered(task_uid, attempt_number)
         if attempt is None:
             return
@@ -152,10 +157,10 @@
         self._endpoints.publish_due(now)
 
     def _find_unanswered(self, task_uid: str, attempt_number: int) -> Attempt | None:
-        """Return an attempt that is out; None where the stream told before what the machine holds."""
+        """Return an outstanding attempt; None if it ended or the machine's stream reported it as accepted."""
         attempt = self._context.task_table.find_attempt(task_uid, attempt_number)
-        is_out = attempt is not None and attempt.is_open and not attempt.placed
-        return attempt if is_out else None
+        is_outstanding = attempt is not None and attempt.is_open and not attempt.placed
+        return attempt if is_outstanding else None
 
     def _on_timeout(self, now: float, attempt: Attempt) -> None:
         if not attempt.is_open or attempt.placed:
--- a/kelpfront/controller/endpoint_publisher.py
+++ b/kelpfront/controller/endpoint_publisher.py
@@ -1,6 +1,6 @@
-"""Tells the scheduler which machines there are, as the registry sees them.
+"""Sends changes of the registry's machines to the scheduler as updates of its endpoint list.
 
-When an update is due is the registry's to say; this module turns it into an event.
+The registry decides when an update is due.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
         self._driver = driver
 
     def publish_due(self, now: float) -> None:
-        """Tell the scheduler what has changed, where an update is due."""
+        """Send the pending changes to the scheduler if an update is due."""
         if not self._registry.endpoint_update_due(now):
             return
         update = self._registry.take_endpoint_update(now)
--- a/kelpfront/controller/intents.py
+++ b/kelpfront/controller/intents.py
@@ -1,6 +1,6 @@
-"""What the controller wants done by the code that has sockets, as plain data in the order to be carried out.
+"""Intents: the I/O and log lines that the controller requests, as plain data in the order of execution.
 
-`kelpfront.service` carries the intents out and reports back what came of each.
+`kelpfront.service` executes the intents and reports their results to the controller.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendOffer:
-    """Offer a task to a machine. `JobController.clear_to_send` is to be asked right before the first byte."""
+    """Send an offer to a machine; call `JobController.clear_to_send` right before its first byte."""
 
     host: str
     offer: Offer
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonOffer:
-    """Stop waiting for the answer to an offer: break its connection."""
+    """Stop waiting for the answer to an offer by closing its connection."""
 
     host: str
     task: str
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendStop:
-    """Tell a machine that a task is no longer wanted, until it confirms."""
+    """Tell a machine to stop a task, repeatedly until it confirms."""
 
     host: str
     stop: StopRequest
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Ask a machine whether it is healthy."""
+    """Send a health check to a machine."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """A line for the log: an event in ordinary words, and what it is about as fields."""
+    """A structured log line: an event name and its fields."""
 
     level: LogLevel
     event: str
@@ -60,7 +60,7 @@
 
 
 class IntentQueue:
-    """Intents that were not taken yet, in their order."""
+    """The pending intents, in order."""
 
     def __init__(self) -> None:
         self._intents: list[Intent] = []
@@ -74,7 +74,7 @@
         self._intents.extend(intents)
 
     def take(self) -> list[Intent]:
-        """Return all intents and forget them."""
+        """Return all pending intents and clear the queue."""
         intents, self._intents = self._intents, []
         return intents
 
@@ -83,7 +83,7 @@
     """Writes log lines about tasks.
 
     Attributes:
-        verbose: whether lines of level debug are made at all; there are several for each task.
+        verbose: whether debug lines are created; there are several for each task.
     """
 
     def __init__(self, intents: IntentQueue) -> None:
@@ -91,15 +91,15 @@
         self.verbose = False
 
     def debug(self, event: str, task: Task, **fields: Any) -> None:
-        """Log an event of the ordinary course of a task."""
+        """Log a routine event of a task."""
         if self.verbose:
             self._append("debug", event, task, fields)
 
     def info(self, event: str, task: Task, **fields: Any) -> None:
-        """Log an event that concerns the client or the engineer on duty."""
+        """Log an event that matters to the client or the engineer on call."""
         self._append("info", event, task, fields)
 
     def _append(self, level: LogLevel, event: str, task: Task, fields: Mapping[str, Any]) -> None:
         job = task.job
-        about = {"job": f"{job.namespace}/{job.name}", "task": task.uid, "class": job.spec["class"]}
-        self._intents.append(LogLine(level, event, {**about, **fields}))
+        task_fields = {"job": f"{job.namespace}/{job.name}", "task": task.uid, "class": job.spec["class"]}
+        self._intents.append(LogLine(level, event, {**task_fields, **fields}))
--- a/kelpfront/controller/job_controller.py
+++ b/kelpfront/controller/job_controller.py
@@ -1,9 +1,9 @@
-"""The entrance to the controller: each input goes to the part in charge, and the intents come out.
+"""The entry point of the controller: dispatches each input to its component and returns intents.
 
-Whoever holds a `JobController` calls a method for each thing that happens, with the time in milliseconds of
-the common clock; then takes the intents and carries them out in order, and calls `advance` when `next_timer`
-is due. It decides nothing that the scheduler decides, and has no socket, clock or thread: the same controller
-runs in the service, in tests and in virtual time.
+The owner of a `JobController` calls a method for each event, with the time in milliseconds of the common
+clock. It then takes the intents, executes them in order, and calls `advance` when `next_timer` is due. The
+controller does no I/O and has no clock or threads, so that the same code runs in the service, in tests and in
+virtual time. Placement is decided by the scheduler alone.
 """
 
 from __future__ import annotations
@@ -57,17 +57,17 @@
 from kelpfront.timers import Timers
 
 CHECK_PERIOD_MS = 100.0
-"""Between checks of which machines are in contact and of the level of service."""
+"""Time between checks for lost machines and of the service level."""
 
 
 @dataclass(frozen=True, slots=True)
 class ControllerIdentity:
-    """Who a controller is.
+    """The identity of a controller.
 
     Attributes:
-        name: what machines know it by; the same after a restart.
-        incarnation: of this start alone.
-        seed: of all its random choices.
+        name: the name under which machines know it; stays the same after a restart.
+        incarnation: an id that is unique to this start.
+        seed: the seed of all random choices.
     """
 
     name: str
@@ -77,13 +77,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerOptions:
-    """What a controller may be given beyond what it needs.
+    """Optional parameters of a controller.
 
     Attributes:
-        limits: bounds on what it accepts.
-        scheduler: makes the decisions; None for one by the cluster's settings.
-        levels: the levels of reduced service; none are entered unless they are enabled.
-        stopwatch: tells milliseconds of the process's own time, for what work costs.
+        limits: bounds on the jobs and tasks that are accepted.
+        scheduler: makes the placement decisions; None to create one from the cluster's settings.
+        levels: the settings of the levels of reduced service; disabled by default.
+        stopwatch: returns the elapsed process time in milliseconds, to measure the cost of work.
     """
 
     limits: JobLimits = field(default_factory=JobLimits)
@@ -93,21 +93,21 @@
 
 
 class JobController:
-    """Jobs, tasks and machines of one process, around the decisions of one scheduler.
+    """Manages the jobs, tasks and machines of one process around one scheduler.
 
     Attributes:
         cluster: the settings.
-        store: the objects that the API shows.
-        name: what machines know this controller by.
-        incarnation: tells this start of it from earlier ones.
-        context: the records that the parts share.
-        arrivals: accepted tasks that the scheduler was not given yet.
-        answers: gives each task its answer.
-        orphans: handles instances that were given up and turn up.
-        attempts: records how attempts go.
+        store: the objects that the API serves.
+        name: the name under which machines know this controller.
+        incarnation: distinguishes this start from earlier ones.
+        context: the records that the components share.
+        arrivals: accepted tasks that were not handed to the scheduler yet.
+        answers: answers tasks.
+        orphans: handles orphaned instances of tasks.
+        attempts: records the progress of attempts.
         dispatcher: sends offers.
-        job_manager: carries out what clients want.
-        machine_monitor: follows the machines.
+        job_manager: submits, updates and deletes jobs.
+        machine_monitor: handles inventory changes and messages of machines.
     """
 
     def __init__(
@@ -118,7 +118,7 @@
         new_uid: Callable[[], str],
         options: ControllerOptions | None = None,
     ) -> None:
-        """Make a controller that knows no machine; jobs get their uids of `new_uid`."""
+        """Create a controller without machines; `new_uid` generates the uids of jobs."""
         options = options or ControllerOptions()
         self.cluster = cluster
         self.store = store
@@ -149,7 +149,7 @@
         intents = IntentQueue()
         degradation = DegradationReporter(cluster, store, identity.name, options.levels, identity.seed)
         scheduler = options.scheduler or Scheduler(cluster.settings, identity.seed)
-        driver = SchedulerDriver(scheduler, self._carry_out, degradation.process_load, options.stopwatch)
+        driver = SchedulerDriver(scheduler, self._execute_action, degradation.process_load, options.stopwatch)
         return ControllerContext(
             cluster=cluster,
             store=store,
@@ -165,7 +165,7 @@
             log=TaskLog(intents),
         )
 
-    # ---- What others may know -------------------------------------------------------------------------
+    # ---- State ----------------------------------------------------------------------------------------
 
     @property
     def registry(self) -> MachineRegistry:
@@ -179,16 +179,16 @@
 
     @property
     def open_tasks(self) -> int:
-        """How many tasks still need their answer."""
+        """How many tasks still need an answer."""
         return self.context.task_table.open_count
 
     @property
     def pending_count(self) -> int:
-        """How many tasks were accepted and not yet handed to the scheduler."""
+        """How many accepted tasks were not handed to the scheduler yet."""
         return self.arrivals.pending_count
 
     def longest_remaining_ms(self, now: float) -> float:
-        """Return how long until the last open task has its deadline; 0 where none is open."""
+        """Return the time until the latest deadline of the open tasks; 0 if none is open."""
         return self.context.task_table.longest_remaining_ms(now)
 
     # ---- Jobs -----------------------------------------------------------------------------------------
@@ -198,79 +198,79 @@
         return self.job_manager.timeout_ms(spec)
 
     def check_spec(self, name: str, spec: JobSpec) -> None:
-        """Check that the job can be one of this cluster; ApiError 422 where it cannot."""
+        """Check a job's spec against the cluster's settings; raise ApiError 422 if it is invalid."""
         self.job_manager.check_spec(name, spec)
 
     def find_by_client_token(self, namespace: str, token: str) -> StoredObject | None:
-        """Return the job that was made with a client's token; None where there is none."""
+        """Return the job that was created with a client token; None if there is none."""
         job = self.context.job_table.find_by_token(namespace, token)
         return None if job is None else self.store.find(JOBS, job.key)
 
     def submit(self, now: float, submission: Submission) -> StoredObject:
-        """Accept a job: each of its tasks is owed one answer. ApiError where it is not accepted."""
+        """Accept a job, each task of which then gets one answer; raise ApiError if it is rejected."""
         return self.job_manager.submit(now, submission)
 
     def update(self, now: float, key: tuple[str, str], update: JobUpdate) -> StoredObject:
-        """Change a job's labels, annotations or count. ApiError where this is not accepted."""
+        """Change a job's labels, annotations or count; raise ApiError if the change is rejected."""
         return self.job_manager.update(now, key, update)
 
     def delete(self, now: float, key: tuple[str, str]) -> StoredObject:
-        """Remove a job and withdraw its tasks; nothing more is owed for them."""
+        """Delete a job and withdraw its tasks, which then need no answer."""
         return self.job_manager.delete(now, key)
 
     def record_early_rejection(self, now: float, count: int, *, is_retry: bool) -> None:
-        """Tasks were rejected before they came here: a sign of what is wanted, the first time."""
+        """Record tasks that were rejected before submission; only first tries count as demand."""
         if not is_retry:
             self.degradation.on_rejected_early(now, count)
 
     def pin_level(self, now: float, level: Level | None, for_ms: float) -> StoredObject:
-        """Hold a level of service by an operator's word, or let go of it."""
+        """Pin a service level for an operator, or unpin it if `level` is None."""
         self.context.intents.extend(self.degradation.pin(now, level, for_ms))
         return self.store.get(LEVELS, ("", self.name))
 
     # ---- Offers ---------------------------------------------------------------------------------------
 
     def clear_to_send(self, now: float, task_uid: str, attempt_number: int) -> bool:
-        """Return whether an offer may go out, right before its first byte; if not, it was not executed."""
+        """Return whether an offer may be sent, right before its first byte; if not, it is not executed."""
         return self.dispatcher.clear_to_send(now, task_uid, attempt_number)
 
     def on_offer_answered(self, now: float, task_uid: str, attempt_number: int, answer: wire.Answer) -> None:
-        """A machine answered an offer."""
+        """Handle a machine's answer to an offer."""
         self.dispatcher.on_answered(now, task_uid, attempt_number, answer)
 
     def on_offer_failed(self, now: float, task_uid: str, attempt_number: int, message: str) -> None:
-        """An offer got no answer: no connection, or one that broke."""
+        """Handle an offer that got no answer because the connection failed or broke."""
         self.dispatcher.on_failed(now, task_uid, attempt_number, message)
 
     # ---- Machines -------------------------------------------------------------------------------------
 
     def apply_inventory(self, now: float, inventory: Inventory) -> None:
-        """Take over the machines that there are from now on."""
+        """Apply a new inventory of machines."""
         self.machine_monitor.apply_inventory(now, inventory)
 
     def cordon(self, now: float, host: str, *, unschedulable: bool) -> StoredObject:
-        """Drain a machine by its operator's word, or take that back."""
+        """Start or stop draining a machine for an operator."""
         return self.machine_monitor.cordon(now, host, unschedulable=unschedulable)
 
     def on_link_down(self, now: float, host: str) -> None:
-        """A machine's stream broke."""
+        """Handle the loss of a machine's stream."""
         self.registry.on_link_down(now, host)
 
     def on_machine_message(self, now: float, host: str, message: wire.StreamMessage) -> None:
-        """A message of a machine's stream, in the order of the stream."""
+        """Handle a message from a machine's stream; messages must be passed in stream order."""
         self.machine_monitor.on_message(now, host, message)
 
     def on_stop_confirmed(self, host: str, task_uid: str) -> None:
-        """The machine has received that a task is no longer wanted."""
+        """Handle a machine's confirmation of a stop request."""
         self.context.stops.confirm(host, task_uid)
 
     def on_health_check(self, now: float, host: str, result: HealthCheckResult) -> None:
-        """A health check was answered, or was not answered in time."""
+        """Handle the result of a health check, including a timeout."""
         self.machine_monitor.on_health_check(now, host, result)
 
     # ---- The scheduler's decisions --------------------------------------------------------------------
 
-    def _carry_out(self, now: float, action: SchedulerAction) -> None:
+    def _execute_action(self, now: float, action: SchedulerAction) -> None:
         match action:
             case Bind():
                 self.dispatcher.bind(now, action)
@@ -289,11 +289,11 @@
             case LogMachineEjected():
                 self._log_ejection(action)
             case Subscribe() | FetchEndpointList():
-                pass  # the endpoint list is fed as it changes
+                pass  # changes of the endpoint list are sent as they happen
 
     def _set_timer(self, action: SetTimer) -> None:
         fired = TimerFired(action.token)
-        self.context.timers.set(action.at, lambda then: self.context.driver.feed(then, fired))
+        self.context.timers.set(action.at, lambda fired_at: self.context.driver.feed(fired_at, fired))
 
     def _check_health(self, machine_id: MachineId) -> None:
         entry = self.registry.by_id.get(machine_id)
@@ -313,37 +313,37 @@
     # ---- Time -----------------------------------------------------------------------------------------
 
     def next_timer(self) -> float:
-        """Return when `advance` is to be called next."""
+        """Return when `advance` must be called next."""
         if self.arrivals:
             return -math.inf
-        publish_at = self.context.publisher.due_at(self.degradation.measures.publish_interval_ms)
+        publish_at = self.context.publisher.due_at(self.degradation.policy.publish_interval_ms)
         return min(self.context.timers.next(), self._check_at, publish_at)
 
     def advance(self, now: float) -> None:
-        """Do what is due by now: timers in their order, checks of machines, and some accepted tasks."""
+        """Run the due timers in order and the periodic checks, and hand a batch of tasks to the scheduler."""
         self.context.timers.run(now)
         if now >= self._check_at:
             self._check_at = now + CHECK_PERIOD_MS
             self._check(now)
-        self.arrivals.hand_over_some(now)
+        self.arrivals.hand_over_batch(now)
         self._endpoints.publish_due(now)
 
     def _check(self, now: float) -> None:
         self.machine_monitor.advance(now)
-        self.context.publisher.refresh_machines(now, self.degradation.measures.background_interval_factor)
+        self.context.publisher.refresh_machines(now, self.degradation.policy.background_interval_factor)
         open_share = self.open_tasks / self._limits.open_tasks
         self.context.intents.extend(self.degradation.observe(now, self.registry, open_share))
 
     # ---- Outputs --------------------------------------------------------------------------------------
 
     def flush(self, now: float) -> None:
-        """Bring all changes since the last call to the store."""
+        """Write all unpublished changes to the store."""
         self.context.publisher.flush(now)
 
     def publish_due(self, now: float) -> None:
-        """Bring changes to the store, no more often than the present level of service has it."""
-        self.context.publisher.flush_due(now, self.degradation.measures.publish_interval_ms)
+        """Write changes to the store, at most as often as the current service level allows."""
+        self.context.publisher.flush_due(now, self.degradation.policy.publish_interval_ms)
 
     def take_intents(self) -> list[Intent]:
-        """Return what is to be done, in order, and forget it."""
+        """Return the pending intents in order and clear the queue."""
         return self.context.intents.take()
--- a/kelpfront/controller/job_table.py
+++ b/kelpfront/controller/job_table.py
@@ -1,7 +1,4 @@
-"""The index of jobs, and how long finished ones are kept for their clients to read.
-
-Which tasks a job has and what becomes of them is not its matter.
-"""
+"""The index of jobs. Finished jobs stay readable by their clients until their number exceeds a limit."""
 
 from __future__ import annotations
 
@@ -25,14 +22,14 @@
     def __init__(
         self, store: ResourceStore, publisher: StatusPublisher, tasks: TaskTable, max_finished: int
     ) -> None:
-        """Keep at most `max_finished` finished jobs; those that finished first go first."""
+        """Keep at most `max_finished` finished jobs; the one that finished first is removed first."""
         self.by_key: dict[tuple[str, str], Job] = {}
         self._store = store
         self._publisher = publisher
         self._tasks = tasks
         self._max_finished = max_finished
         self._by_token: dict[tuple[str, str], Job] = {}
-        self._finished: OrderedDict[tuple[str, str], None] = OrderedDict()  # in the order of their ends
+        self._finished: OrderedDict[tuple[str, str], None] = OrderedDict()  # in order of finishing
 
     @property
     def unfinished_count(self) -> int:
@@ -46,15 +43,15 @@
             self._by_token[job.namespace, job.token] = job
 
     def find_by_token(self, namespace: str, token: str) -> Job | None:
-        """Return the job that was made with a client's token."""
+        """Return the job that was created with a client token."""
         return self._by_token.get((namespace, token))
 
     def mark_active(self, job: Job) -> None:
-        """Count a job as not finished: it has tasks to place or to run again."""
+        """Count a job as not finished: it has new tasks to place, or a finished task runs after all."""
         self._finished.pop(job.key, None)
 
     def check_finished(self, job: Job) -> None:
-        """Count a job as finished where it is, and forget the oldest such jobs beyond the limit."""
+        """Count a job as finished if it is, and remove the oldest finished jobs beyond the limit."""
         if job.deleted or job.phase is not Phase.FINISHED:
             return
         self._finished[job.key] = None
@@ -74,7 +71,7 @@
     def forget(self, job: Job) -> None:
         """Remove a job from all indexes."""
         del self.by_key[job.key]
-        # Tasks refer to their job: without this both would be left to the garbage collector.
+        # Break the reference cycle with the tasks: otherwise only the garbage collector frees them.
         job.tasks.clear()
         self._finished.pop(job.key, None)
         self._publisher.discard_job(job)
--- a/kelpfront/controller/jobs.py
+++ b/kelpfront/controller/jobs.py
@@ -1,6 +1,6 @@
-"""What clients do with jobs: submit, update and delete them. Each task of an accepted job is owed one answer.
+"""Submits, updates and deletes jobs on behalf of clients. Each task of an accepted job gets one answer.
 
-Where a task goes is left to the scheduler; what a request may contain was checked by `operations`.
+`operations` validates the contents of requests, and the scheduler decides on which machine a task is placed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from kelpfront.units import format_duration, parse_duration
 
 RETRY_AFTER_LIMIT_S = 1
-"""When a client that met a limit should try again: tasks are answered within seconds."""
+"""Seconds until a client that hit a limit should retry; tasks are answered within seconds."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +30,9 @@
     """How many jobs and tasks one controller accepts; each is a bound on memory and work.
 
     Attributes:
-        open_tasks: tasks without an answer; those that wait are examined again and again.
-        jobs: jobs that are not finished.
-        finished_jobs: finished jobs that are kept for their clients to read.
+        open_tasks: the most tasks without an answer; waiting ones are examined repeatedly, which costs time.
+        jobs: the most unfinished jobs.
+        finished_jobs: the most finished jobs that are kept for clients to read.
     """
 
     open_tasks: int = 5_000
@@ -45,8 +45,8 @@
     """A job as a client submits it.
 
     Attributes:
-        received_at: from when the client's timeout counts, in milliseconds of the common clock.
-        is_retry: whether the client has submitted it before and was told to come back.
+        received_at: the start of the client's timeout, in milliseconds of the common clock.
+        is_retry: whether an earlier submission of the job was rejected with a request to retry.
     """
 
     namespace: str
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobUpdate:
-    """A change of a job's labels, annotations or count; new tasks' timeouts count from `received_at`."""
+    """A change of a job's labels, annotations or count; the timeout of new tasks starts at `received_at`."""
 
     spec: JobSpec
     labels: dict[str, str]
@@ -69,7 +69,7 @@
 
 
 class JobManager:
-    """Carries out what clients want done with jobs."""
+    """Carries out the requests of clients that create, change or delete jobs."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         limits: JobLimits,
         new_uid: Callable[[], str],
     ) -> None:
-        """Make jobs with uids of `new_uid`, within `limits`."""
+        """Accept jobs within `limits`; `new_uid` generates their uids."""
         self._context = context
         self._arrivals = arrivals
         self._attempts = attempts
@@ -89,7 +89,7 @@
     # ---- Checks ---------------------------------------------------------------------------------------
 
     def timeout_ms(self, spec: JobSpec) -> float:
-        """Return how long a job's client waits: its own word, or its class's; 0 for an unknown class."""
+        """Return how long a client waits: `spec.patience` or the class deadline; 0 for an unknown class."""
         if spec.patience is not None:
             return parse_duration(spec.patience)
         cluster = self._context.cluster
@@ -97,16 +97,16 @@
         return 0.0 if class_index is None else cluster.settings.classes[class_index].deadline_ms
 
     def check_spec(self, name: str, spec: JobSpec) -> None:
-        """Check that the job can be one of this cluster.
+        """Check a job's spec against the cluster's settings.
 
         Raises:
-            ApiError: 422 with the fields that are wrong.
+            ApiError: 422 with the invalid fields.
         """
-        cause = self._spec_fault(spec)
+        cause = self._find_spec_error(spec)
         if cause is not None:
             raise invalid(JOBS, name, (cause,))
 
-    def _spec_fault(self, spec: JobSpec) -> Cause | None:
+    def _find_spec_error(self, spec: JobSpec) -> Cause | None:
         cluster = self._context.cluster
         class_index = cluster.class_numbers.get(spec.class_)
         if class_index is None:
@@ -120,12 +120,12 @@
         return None
 
     def _is_feasible(self, class_index: int, spec: JobSpec) -> bool:
-        """Return whether any machine of the inventory could run such a task if it held nothing else."""
+        """Return whether any machine of the inventory could run such a task if the machine were empty."""
         settings = self._context.cluster.settings
         kind = settings.classes[class_index].required_kind
         cores = spec.cores / settings.cores_overcommit
         memory = spec.memory / settings.memory_overcommit
-        return self._context.registry.any_fits(kind, cores, memory)
+        return self._context.registry.any_machine_fits(kind, cores, memory)
 
     def _check_limits(self, submission: Submission) -> None:
         open_count = self._context.task_table.open_count
@@ -147,10 +147,10 @@
     # ---- Submit ---------------------------------------------------------------------------------------
 
     def submit(self, now: float, submission: Submission) -> StoredObject:
-        """Accept a job: from here on each of its tasks is owed one answer.
+        """Accept a job; each of its tasks then gets one answer.
 
         Raises:
-            ApiError: the job is not accepted, and nothing of it went anywhere.
+            ApiError: the job is rejected, and no part of it was stored or sent.
         """
         context = self._context
         spec = submission.spec
@@ -172,8 +172,8 @@
         job = self._make_job(submission, class_index, feasible=feasible)
         context.job_table.add(job)
         self._add_tasks(job, spec.count, submission.received_at)
-        self._arrivals.hand_over_some(now)
-        context.publisher.discard_job(job)  # what is decided by now is in what is published first
+        self._arrivals.hand_over_batch(now)
+        context.publisher.discard_job(job)  # the object created below includes all decisions so far
         return context.store.create(JOBS, job.key, job.to_api(), 1 + len(job.tasks))
 
     def _make_job(self, submission: Submission, class_index: int, *, feasible: bool) -> Job:
@@ -210,10 +210,10 @@
     # ---- Update ---------------------------------------------------------------------------------------
 
     def update(self, now: float, key: tuple[str, str], update: JobUpdate) -> StoredObject:
-        """Change a job's labels, annotations or count; a lower count withdraws tasks, the newest first.
+        """Change a job's labels, annotations or count; a lower count withdraws the newest tasks.
 
         Raises:
-            ApiError: the change is not accepted, and nothing was changed.
+            ApiError: the change is rejected, and nothing was changed.
         """
         context = self._context
         job = context.job_table.by_key[key]
@@ -235,7 +235,7 @@
             self._withdraw_newest(now, job, -added_count)
         context.job_table.check_finished(job)
         context.publisher.job_changed(job)
-        self._arrivals.hand_over_some(now)
+        self._arrivals.hand_over_batch(now)
         context.publisher.flush(now)
         return context.store.get(JOBS, key)
 
@@ -259,7 +259,7 @@
     # ---- Delete ---------------------------------------------------------------------------------------
 
     def delete(self, now: float, key: tuple[str, str]) -> StoredObject:
-        """Remove a job and withdraw its tasks; nothing more is owed for them."""
+        """Delete a job and withdraw its tasks, which then need no answer."""
         context = self._context
         job = context.job_table.by_key[key]
         context.publisher.flush(now)
@@ -270,7 +270,7 @@
         return context.store.delete(JOBS, key)
 
     def withdraw(self, now: float, task: Task) -> None:
-        """The client no longer wants the task, wherever it is."""
+        """Withdraw a task that its client no longer wants, and stop it if it is on a machine."""
         if task.withdrawn or task.state in FINAL_STATES:
             return
         context = self._context
--- a/kelpfront/controller/load_reports.py
+++ b/kelpfront/controller/load_reports.py
@@ -1,7 +1,4 @@
-"""Passes the load that machines report, and the results of health checks, on to the scheduler.
-
-What the figures mean for a placement is the scheduler's to decide.
-"""
+"""Forwards the load that machines report and the results of health checks to the scheduler."""
 
 from __future__ import annotations
 
@@ -16,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """What came of a health check: `load` is None where the machine reported none."""
+    """The result of a health check; `load` is None if the machine reported none."""
 
     ok: bool
     elapsed_ms: float
@@ -24,18 +21,18 @@
 
 
 class LoadReports:
-    """Translates machines' reports into events of the scheduler."""
+    """Translates reports of machines into scheduler events."""
 
     def __init__(self, cluster: Cluster, driver: SchedulerDriver) -> None:
         self._uses_measured_usage = cluster.settings.reports_measured_usage
         self._driver = driver
 
     def on_load(self, now: float, machine: MachineRecord, load: wire.LoadReport) -> None:
-        """A machine reported its load with something else: this proves that it is healthy."""
+        """Handle load reported along with another message; the report proves that the machine is healthy."""
         self.on_health_check(now, machine, HealthCheckResult(ok=True, elapsed_ms=0.0, load=load))
 
     def on_health_check(self, now: float, machine: MachineRecord, result: HealthCheckResult) -> None:
-        """A health check was answered, or was not answered in time."""
+        """Handle the result of a health check, including a timeout."""
         load = None if result.load is None else self._convert(result.load)
         no_response = not result.ok
         self._driver.feed(
--- a/kelpfront/controller/machine_monitor.py
+++ b/kelpfront/controller/machine_monitor.py
@@ -1,7 +1,7 @@
-"""Takes in what concerns machines: the inventory, operators' drains, streams, health checks, lost contact.
+"""Handles machine events: inventory changes, drains, stream messages, health checks and lost contact.
 
-It keeps the registry up to date and passes on what follows: to the store, to the scheduler, and for the tasks
-that machines hold to `reconciliation`.
+It updates the registry and forwards the resulting changes to the store and the scheduler. Reports about the
+tasks on a machine go to `reconciliation`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class MachineMonitor:
-    """Follows the machines."""
+    """Keeps the registry of machines up to date and forwards its changes."""
 
     def __init__(
         self,
@@ -35,30 +35,30 @@
         self._reconciler = reconciler
 
     def apply_inventory(self, now: float, inventory: Inventory) -> None:
-        """Take over the machines that there are from now on."""
+        """Apply a new inventory of machines."""
         self._apply(now, self._registry.apply_inventory(now, inventory))
         self._endpoints.publish_due(now)
 
     def cordon(self, now: float, host: str, *, unschedulable: bool) -> StoredObject:
-        """Drain a machine by its operator's word, or take that back."""
+        """Start or stop draining a machine for an operator."""
         self._apply(now, self._registry.cordon(now, host, unschedulable=unschedulable))
         self._endpoints.publish_due(now)
         self._context.publisher.flush(now)
         return self._context.store.get(MACHINES, ("", host))
 
     def advance(self, now: float) -> None:
-        """Find the machines that have been out of contact for too long."""
+        """Update the states of machines that lost contact, and declare their tasks lost when due."""
         self._apply(now, self._registry.advance(now))
 
     def on_health_check(self, now: float, host: str, result: HealthCheckResult) -> None:
-        """A health check was answered, or was not answered in time."""
+        """Handle the result of a health check, including a timeout."""
         entry = self._registry.entries.get(host)
         if entry is not None:
             self._load_reports.on_health_check(now, entry, result)
             self._endpoints.publish_due(now)
 
     def on_message(self, now: float, host: str, message: wire.StreamMessage) -> None:
-        """A message of a machine's stream, in the order of the stream."""
+        """Handle a message from a machine's stream; messages must be passed in stream order."""
         entry = self._registry.entries.get(host)
         if entry is None:
             return
@@ -72,7 +72,7 @@
             case wire.Snapshot():
                 self._reconciler.on_snapshot(now, entry, message)
                 entry.reconciled = True
-                # A job that was found is not to be seen without its tasks.
+                # Publish at once, so that clients never see a recovered job without its tasks.
                 self._context.publisher.flush(now)
             case wire.Taken():
                 self._reconciler.on_taken(now, host, message)
@@ -88,7 +88,7 @@
         self._context.stops.resend(entry.name)
 
     def _apply(self, now: float, changes: MachineChanges) -> None:
-        for entry in changes.states:
+        for entry in changes.updated:
             self._context.publisher.machine_changed(entry)
         for entry in changes.lost:
             self._reconciler.declare_lost(now, entry)
--- a/kelpfront/controller/machine_record.py
+++ b/kelpfront/controller/machine_record.py
@@ -1,6 +1,6 @@
-"""The record of one machine: what it is, what it reported, and how the API shows it. No I/O.
+"""The record of one machine: its inventory entry, its latest report, and its representation in the API.
 
-Which state follows from the record is decided by `machine_registry`.
+`machine_registry` derives the machine's state from the record. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,35 +16,35 @@
 from kelpfront.scheduling.events import Endpoint, MachineId
 
 MAX_MISSED_HEARTBEATS = 4
-"""Heartbeats a machine may miss: one that is late by a stall is ordinary, four in a row are not."""
+"""Missed heartbeats after which a machine is gone: a stall may delay one, but not four in a row."""
 RECONNECT_MS = 1_000.0
-"""How long a broken stream may take to be back before its machine counts as gone."""
+"""Time in which a broken stream may reconnect before its machine counts as gone."""
 STATUS_PERIOD_MS = 5_000.0
-"""Between changes of a machine's object that only renew its figures."""
+"""Minimum time between updates of a Machine object that only refresh its figures."""
 STATUS_PERIOD_TASKS_MS = 1_000.0
-"""Between such changes where the machine's number of tasks is another."""
+"""Minimum time between such updates if the machine's number of tasks has changed."""
 
 
 @dataclass(slots=True, eq=False)
 class MachineRecord:
-    """One machine of the inventory, or one that was and still holds tasks.
+    """One machine of the inventory, or a removed machine that still holds tasks.
 
     Attributes:
-        machine_id: the machine as the scheduler knows it.
-        cell: its rack, as the scheduler counts it; `zone` is its room.
-        cordoned: whether an operator drains it.
-        removed: whether the inventory names it no longer.
-        link_up: whether its stream is connected; `down_since` tells since when it is not.
-        last_contact_at: when its last message came.
-        boot: the id of its agent's start; empty before the first contact.
+        machine_id: the scheduler's id of the machine.
+        cell: the scheduler's number of its rack; `zone` is the number of its room.
+        cordoned: whether an operator is draining it.
+        removed: whether it is no longer in the inventory.
+        link_up: whether its stream is connected; if not, `down_since` is when it was lost.
+        last_contact_at: when the last message was received from it.
+        boot: the boot id of its agent; empty before the first contact.
         reconciled: whether it has reported which of this controller's tasks it holds.
-        reported_state: the state by its own word.
+        reported_state: the state that its agent reported last.
         state_since: when it entered `state`.
-        published_endpoint: what the scheduler was told of it last.
-        endpoint_changed: whether the scheduler may have to be told something new.
-        published_at: when its object was last brought to the store, with `published_task_count` tasks.
+        published_endpoint: the endpoint that was last sent to the scheduler.
+        endpoint_changed: whether the endpoint may differ from the published one.
+        published_at: when its object was last written to the store, with `published_task_count` tasks.
         declared_lost: whether its tasks were declared lost.
-        task_count: how many tasks are placed on it.
+        task_count: the number of tasks placed on it.
     """
 
     host: Host
@@ -89,14 +89,14 @@
         return not self.link_up and now >= self.down_since + RECONNECT_MS
 
     def status_due(self, now: float, period_factor: float = 1.0) -> bool:
-        """Return whether figures that only drift are to be published again.
+        """Return whether the machine's figures are due to be published again.
 
         Args:
-            now: the present.
-            period_factor: how many times less often than usual this is done.
+            now: the current time.
+            period_factor: the factor by which the usual period is extended.
         """
-        same_tasks = self.task_count == self.published_task_count
-        period_ms = STATUS_PERIOD_MS if same_tasks else STATUS_PERIOD_TASKS_MS
+        same_task_count = self.task_count == self.published_task_count
+        period_ms = STATUS_PERIOD_MS if same_task_count else STATUS_PERIOD_TASKS_MS
         return self.load is not None and now >= self.published_at + period_factor * period_ms
 
     def to_api(self) -> Object:
--- a/kelpfront/controller/machine_registry.py
+++ b/kelpfront/controller/machine_registry.py
@@ -1,7 +1,8 @@
 """The machines as one controller sees them: the inventory, their reports, and whether they are in contact.
 
-It decides what the endpoint list says to the scheduler: which machines are ready, draining or removed.
-Whether a ready machine is *healthy* is left to the scheduler, which judges by what its offers meet. No I/O.
+The registry determines the endpoint list of the scheduler: which machines are ready, draining or removed.
+Whether a ready machine is *healthy* is decided by the scheduler from the results of its offers. This module
+does no I/O.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from kelpfront.scheduling.events import Endpoint, EndpointList, EndpointListKind, MachineId, MachineState
 
 ENDPOINT_UPDATE_PERIOD_MS = 250.0
-"""Between updates that tell only of capacity: finer than what the scheduler allows for lag."""
+"""Minimum time between updates that only change capacity; shorter than the lag the scheduler allows for."""
 ENDPOINT_STATES = {
     State.READY: MachineState.READY,
     State.DRAINING: MachineState.DRAINING,
@@ -36,14 +37,14 @@
 
 @dataclass(slots=True)
 class MachineChanges:
-    """What came of an input.
+    """The machines that an input changed.
 
     Attributes:
-        states: machines whose object changed.
-        lost: machines whose tasks are to be declared lost.
+        updated: machines whose API object changed.
+        lost: machines whose tasks must be declared lost.
     """
 
-    states: list[MachineRecord] = field(default_factory=list)
+    updated: list[MachineRecord] = field(default_factory=list)
     lost: list[MachineRecord] = field(default_factory=list)
 
 
@@ -52,15 +53,15 @@
 
     Attributes:
         entries: the machines by name.
-        by_id: the machines by the id that the scheduler knows.
+        by_id: the machines by their scheduler id.
     """
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._places = FailureDomainNumbers()
+        self._failure_domains = FailureDomainNumbers()
         self.entries: dict[str, MachineRecord] = {}
         self.by_id: dict[MachineId, MachineRecord] = {}
-        self._sizes: set[_MachineSize] | None = None  # None: to be collected anew
+        self._sizes: set[_MachineSize] | None = None  # None until it is computed again
         self._version = 0
         self._updated_at = -math.inf
         self._update_is_urgent = False
@@ -68,14 +69,14 @@
     # ---- Inputs ---------------------------------------------------------------------------------------
 
     def apply_inventory(self, now: float, inventory: Inventory) -> MachineChanges:
-        """Take over the machines that there are from now on. One that is named no more is gone."""
+        """Apply a new inventory; a machine that is no longer listed is gone."""
         changes = MachineChanges()
         self._sizes = None
         for name, entry in self.entries.items():
             self._apply_host(now, entry, inventory.hosts.get(name), changes)
         for name, host in inventory.hosts.items():
             if name not in self.entries:
-                changes.states.append(self._add(now, host))
+                changes.updated.append(self._add(now, host))
         return changes
 
     def _apply_host(
@@ -88,26 +89,26 @@
         elif host is not None and (entry.removed or host != entry.host):
             entry.removed = False
             entry.generation += 1
-            self._describe(entry, host)
+            self._set_host(entry, host)
             entry.endpoint_changed = True
             self._update_state(now, entry, changes)
 
     def _add(self, now: float, host: Host) -> MachineRecord:
         entry = MachineRecord(host, machine_number(host.name), 0, 0, 0, created_at=now, state_since=now)
-        self._describe(entry, host)
+        self._set_host(entry, host)
         self.entries[host.name] = entry
         self.by_id[entry.machine_id] = entry
         return entry
 
-    def _describe(self, entry: MachineRecord, host: Host) -> None:
+    def _set_host(self, entry: MachineRecord, host: Host) -> None:
         entry.host = host
         entry.kind = self._cluster.kind_numbers[host.kind]
-        entry.cell = self._places.rack_number(host.room, host.rack)
-        entry.zone = self._places.zone_number(host.room)
+        entry.cell = self._failure_domains.rack_number(host.room, host.rack)
+        entry.zone = self._failure_domains.zone_number(host.room)
 
-    def any_fits(self, kind: int | None, cores: float, memory: float) -> bool:
-        """Return whether some machine, of a kind if one is given, is as large as this."""
-        if self._sizes is None:  # there are few sizes, however many machines
+    def any_machine_fits(self, kind: int | None, cores: float, memory: float) -> bool:
+        """Return whether any machine, of the given kind if there is one, has this much capacity in total."""
+        if self._sizes is None:  # a cluster has few distinct sizes, even with many machines
             self._sizes = {
                 _MachineSize(entry.kind, entry.host.cores, entry.host.memory)
                 for entry in self.entries.values()
@@ -119,19 +120,19 @@
         )
 
     def cordon(self, now: float, name: str, *, unschedulable: bool) -> MachineChanges:
-        """Drain a machine by an operator's word, or take that back."""
+        """Start or stop draining a machine for an operator."""
         changes = MachineChanges()
         entry = self.entries[name]
         if entry.cordoned != unschedulable:
             entry.cordoned = unschedulable
             entry.generation += 1
             self._update_state(now, entry, changes)
-            if entry not in changes.states:
-                changes.states.append(entry)
+            if entry not in changes.updated:
+                changes.updated.append(entry)
         return changes
 
     def on_hello(self, now: float, name: str, hello: Hello) -> MachineChanges:
-        """A machine's stream is up."""
+        """Handle the hello at the start of a machine's stream."""
         changes = MachineChanges()
         entry = self.entries[name]
         entry.link_up = True
@@ -148,7 +149,7 @@
         return changes
 
     def on_heartbeat(self, now: float, name: str, heartbeat: Heartbeat) -> MachineChanges:
-        """A machine reports its state and load."""
+        """Handle a machine's report of its state and load."""
         changes = MachineChanges()
         entry = self.entries[name]
         entry.last_contact_at = now
@@ -159,18 +160,18 @@
         return changes
 
     def record_contact(self, now: float, name: str) -> None:
-        """A message of the machine came, of whatever kind."""
+        """Record that a message of any kind was received from a machine."""
         self.entries[name].last_contact_at = now
 
     def on_link_down(self, now: float, name: str) -> None:
-        """A machine's stream broke."""
+        """Handle the loss of a machine's stream."""
         entry = self.entries.get(name)
         if entry is not None and entry.link_up:
             entry.link_up = False
             entry.down_since = now
 
     def advance(self, now: float) -> MachineChanges:
-        """Find the machines that have been out of contact for too long."""
+        """Update the states of machines that lost contact, and find those whose tasks are lost."""
         changes = MachineChanges()
         for entry in self.entries.values():
             self._update_state(now, entry, changes)
@@ -185,7 +186,7 @@
         return now >= entry.state_since + self._cluster.lost_after_ms
 
     def forget(self, name: str) -> None:
-        """Drop a removed machine that holds nothing any more."""
+        """Delete the record of a removed machine that holds no tasks."""
         entry = self.entries.pop(name)
         del self.by_id[entry.machine_id]
 
@@ -199,10 +200,10 @@
         entry.state_since = now
         entry.endpoint_changed = True
         self._update_is_urgent = True
-        changes.states.append(entry)
+        changes.updated.append(entry)
 
     def evaluate_state(self, now: float, entry: MachineRecord) -> tuple[State, str]:
-        """Return a machine's state by what is known of it, and why for its operator."""
+        """Return a machine's state and the reason for it, as shown to operators."""
         return self._out_of_contact(now, entry) or self._reported(entry)
 
     @staticmethod
@@ -219,7 +220,7 @@
 
     @staticmethod
     def _reported(entry: MachineRecord) -> tuple[State, str]:
-        if entry.load is None:  # a hello without its first heartbeat: neither capacity nor state is known
+        if entry.load is None:  # a hello without a heartbeat yet: neither capacity nor state is known
             return (State.UNKNOWN if entry.published_endpoint is None else State.GONE), "no heartbeat yet"
         if entry.cordoned:
             return State.DRAINING, "unschedulable"
@@ -230,11 +231,11 @@
     # ---- The endpoint list ----------------------------------------------------------------------------
 
     def endpoint_update_due(self, now: float) -> bool:
-        """Return whether there may be something to tell: states at once, capacity now and then."""
+        """Return whether an update may be due: state changes at once, capacity changes periodically."""
         return self._update_is_urgent or now >= self._updated_at + ENDPOINT_UPDATE_PERIOD_MS
 
     def take_endpoint_update(self, now: float) -> EndpointList | None:
-        """Return the changes since the last update; None where there are none."""
+        """Return the changes since the last update; None if there are none."""
         endpoints = tuple(self._changed_endpoints(self.entries.values()))
         self._updated_at = now
         self._update_is_urgent = False
@@ -254,13 +255,13 @@
                 yield endpoint
 
     def endpoint_of(self, entry: MachineRecord) -> Endpoint | None:
-        """Return a machine as the scheduler is to see it; None where it is not to be told of yet."""
+        """Return the scheduler's view of a machine; None if the machine has not reported yet."""
         if entry.state is State.UNKNOWN:
             return None
         state = ENDPOINT_STATES[entry.state]
         if entry.load is None:
-            known = entry.published_endpoint
-            return None if known is None else replace(known, state=state)
+            published = entry.published_endpoint
+            return None if published is None else replace(published, state=state)
         return Endpoint(
             entry.machine_id,
             entry.kind,
--- a/kelpfront/controller/offers.py
+++ b/kelpfront/controller/offers.py
@@ -1,6 +1,6 @@
-"""Translation between a job as its client wrote it and the offers of its tasks as machines receive them.
+"""Converts a job as its client wrote it to the offers that machines receive, and offers back to the job.
 
-An offer carries enough of the job for a controller that starts anew to show the job again.
+An offer carries enough of the job for a restarted controller to restore it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def make_offer(cluster: Cluster, task: Task, attempt: Attempt) -> Offer:
-    """Return the offer of one attempt."""
+    """Return the offer for one attempt."""
     job = task.job
     cls = cluster.settings.classes[job.class_index]
     spec = job.spec
@@ -52,7 +52,7 @@
 
 
 def restore_job(cluster: Cluster, class_index: int, offer: Offer, now: float) -> Job:
-    """Return the job that an offer belongs to, as far as the offer tells; annotations and age are lost."""
+    """Restore the job of an offer; its annotations and creation time are not in the offer and are lost."""
     ref = offer.job
     timeout_ms = cluster.settings.classes[class_index].deadline_ms
     namespace, _, service = offer.service.partition("/")
--- a/kelpfront/controller/operations.py
+++ b/kelpfront/controller/operations.py
@@ -1,6 +1,6 @@
-"""What clients and operators may do, whatever the protocol: checked here, carried out by the controller.
+"""The operations of the API, independent of the protocol: validated here and executed by the controller.
 
-Every front calls these. An `ApiError` is the answer where something is not done. No I/O.
+All fronts call them. A rejected operation raises an `ApiError`. This module does no I/O.
 """
 
 from __future__ import annotations
@@ -37,19 +37,19 @@
 from kelpfront.units import parse_duration
 
 NAME_ALPHABET = "bcdfghjklmnpqrstvwxz2456789"
-"""Letters and digits of made-up names: no vowels, so that no words come out, and none that look alike."""
+"""Characters of generated names: no vowels, which could form words, and none that look alike."""
 NAME_SUFFIX_LENGTH = 8
 NAME_CANDIDATES = 4
-"""Made-up names that are tried before one that is taken is refused: a clash is rare as it is."""
+"""Number of generated names to try before the request fails because of a clash, which is rare anyway."""
 RETRY_AFTER_S = 1
-"""When a client that was rejected should try again: what stands in its way is over in about a second."""
-MAX_ATTEMPT_MARK_DIGITS = 9
-"""Digits that are read of a client's mark: more say nothing, and a long number costs time."""
+"""Seconds until a rejected client should retry; the causes of a rejection last about a second."""
+MAX_ATTEMPT_NUMBER_DIGITS = 9
+"""Digits of a client's attempt number that are parsed; more add no information and take time to convert."""
 
 
 @dataclass(frozen=True, slots=True)
 class Written:
-    """An object after a write; `created` is False where a repeated request found what the first had made."""
+    """An object after a write; `created` is False if an earlier identical request had created the object."""
 
     stored: StoredObject
     created: bool = False
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestOrigin:
-    """How a submission came in.
+    """When a submission was sent and received, and whether it is a retry.
 
     Attributes:
-        received_at: when its request came in, in milliseconds of the common clock.
-        sent_at: when its client says that it sent it, if it says so.
-        is_retry: whether its client has submitted it before and was told to come back.
+        received_at: when the request was received, in milliseconds of the common clock.
+        sent_at: when the client sent the request by its own clock; None if it did not say.
+        is_retry: whether an earlier submission was rejected with a request to retry.
     """
 
     received_at: float
@@ -72,17 +72,17 @@
 
 
 class Operations:
-    """The operations of one controller.
+    """The API operations of one controller.
 
     Attributes:
-        closed: why no jobs are accepted; empty where they are.
-        starting: whether it is not known yet what runs.
-        first_tries: submissions that came in and were no retries, by their clients' marks.
-        retries: those that were.
+        closed: why no jobs are accepted; empty if they are accepted.
+        starting: whether machines have yet to report which tasks they run.
+        first_tries: the number of submissions that were not retries, according to their clients.
+        retries: the number of submissions that were retries.
     """
 
     def __init__(self, controller: JobController, now: Callable[[], float], rng: random.Random) -> None:
-        """Act on `controller`; `now` tells the common clock, `rng` makes up names."""
+        """Operate on `controller`; `now` returns the common clock's time, `rng` generates names."""
         self._controller = controller
         self._now = now
         self._rng = rng
@@ -91,27 +91,27 @@
         self.first_tries = 0
         self.retries = 0
 
-    def count_try(self, mark: str) -> bool:
-        """Count a submission by the number of the try that its client gave; return whether it is a retry."""
-        is_number = mark.isascii() and mark.isdigit()
-        is_retry = is_number and int(mark[:MAX_ATTEMPT_MARK_DIGITS]) > 0
+    def count_try(self, attempt_number: str) -> bool:
+        """Count a submission, and return whether it is a retry by the attempt number that its client sent."""
+        is_number = attempt_number.isascii() and attempt_number.isdigit()
+        is_retry = is_number and int(attempt_number[:MAX_ATTEMPT_NUMBER_DIGITS]) > 0
         self.retries += is_retry
         self.first_tries += not is_retry
         return is_retry
 
     @property
     def store(self) -> ResourceStore:
-        """The objects that the API shows."""
+        """The objects that the API serves."""
         return self._controller.store
 
     def get(self, resource: Resource, key: tuple[str, str]) -> StoredObject:
         """Return an object.
 
-        While the controller starts, machines have yet to report the jobs that run. A client that was told
-        that its job does not exist would submit it again, or take it for deleted.
+        While the controller is starting, machines have yet to report the jobs that run. A 404 at that time
+        would make a client submit its job again, or assume that the job was deleted.
 
         Raises:
-            ApiError: 404 where there is none, 503 where that is not known yet.
+            ApiError: 404 if there is no such object, 503 if that is not known yet.
         """
         if self.starting and resource is JOBS and self.store.find(resource, key) is None:
             raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
@@ -120,22 +120,22 @@
     # ---- Jobs -----------------------------------------------------------------------------------------
 
     def check_open(self, received_at: float) -> None:
-        """Check, before a request's body is read, that work is accepted now; ApiError 503 where it is not."""
-        why = overload_reason(self._now(), received_at)
-        if why:
-            raise ApiError(503, why, retry_after_s=RETRY_AFTER_S)
+        """Check, before a request's body is read, that work is accepted; raise ApiError 503 if it is not."""
+        reason = overload_reason(self._now(), received_at)
+        if reason:
+            raise ApiError(503, reason, retry_after_s=RETRY_AFTER_S)
 
     def create_job(
         self, namespace: str, data: Object, origin: RequestOrigin, validation: FieldValidation = "Strict"
     ) -> Written:
-        """Accept a job, or find the one that the same client token made before."""
+        """Accept a job, or return the job that was created earlier with the same client token."""
         self._check_namespace(namespace)
         job, warnings = decode(JOB_INPUT, JOBS, data, validation)
         self._check_metadata(JOBS, job.metadata, namespace, job.metadata.name)
-        known = self._find_by_token(namespace, job.spec)
-        if known is not None:
-            self._check_same(known, job)
-            return Written(known, warnings=warnings)
+        existing = self._find_by_token(namespace, job.spec)
+        if existing is not None:
+            self._check_same_job(existing, job)
+            return Written(existing, warnings=warnings)
         if self.closed:
             raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
         name = self._name(namespace, job)
@@ -161,36 +161,36 @@
         return self._controller.find_by_client_token(namespace, spec.client_token)
 
     def _check_in_time(self, arrival: Arrival, count: int, origin: RequestOrigin) -> None:
-        """ApiError 503 where a job's tasks could not be answered in time."""
+        """Raise ApiError 503 if a job's tasks could not be answered in time."""
         tick_ms = self._controller.cluster.settings.timer_resolution_ms
-        why = rejection_reason(arrival, self._controller.pending_count, tick_ms)
-        if why:
+        reason = rejection_reason(arrival, self._controller.pending_count, tick_ms)
+        if reason:
             self._controller.record_early_rejection(arrival.now, count, is_retry=origin.is_retry)
-            raise ApiError(503, why, retry_after_s=RETRY_AFTER_S)
+            raise ApiError(503, reason, retry_after_s=RETRY_AFTER_S)
 
-    def _check_same(self, known: StoredObject, job: JobInput) -> None:
-        """ApiError 409 where a token that made one job comes with another."""
+    def _check_same_job(self, existing: StoredObject, job: JobInput) -> None:
+        """Raise ApiError 409 if a client token is reused for a different job."""
         new = job.spec.model_dump(by_alias=True, exclude_none=True)
-        old = known.body["spec"]
-        # The count may have been changed since, and a retry has less of its time left than the first try.
+        old = existing.body["spec"]
+        # The count may have been updated since, and a retry has less time left than the first try.
         compared = [name for name in new if name not in ("count", "patience")]
         differing = [name for name in compared if old.get(name) != new[name]]
-        if job.metadata.name is not None and job.metadata.name != known.name:
+        if job.metadata.name is not None and job.metadata.name != existing.name:
             differing.insert(0, "metadata.name")
         if differing:
             raise conflict(
-                JOBS, known.name, f"its clientToken comes with another {', '.join(differing)} than before"
+                JOBS, existing.name, f"its clientToken comes with another {', '.join(differing)} than before"
             )
 
     def _name(self, namespace: str, job: JobInput) -> str:
-        """Return the client's name for the job, or one made of its token, or one made up."""
+        """Return the client's name for the job, a name derived from its token, or a generated name."""
         if job.metadata.name is not None:
             return job.metadata.name
         prefix = job.metadata.generate_name or "job-"
         if job.spec.client_token is not None:
             candidates = [name_of_token(job.spec.client_token, prefix)]
         else:
-            candidates = [self._made_up_name(prefix) for _ in range(NAME_CANDIDATES)]
+            candidates = [self._generate_name(prefix) for _ in range(NAME_CANDIDATES)]
         try:
             check_name(candidates[0])
         except ValueError as error:
@@ -198,7 +198,7 @@
         free = [name for name in candidates if self.store.find(JOBS, (namespace, name)) is None]
         return free[0] if free else candidates[0]
 
-    def _made_up_name(self, prefix: str) -> str:
+    def _generate_name(self, prefix: str) -> str:
         return "".join([prefix, *self._rng.choices(NAME_ALPHABET, k=NAME_SUFFIX_LENGTH)])
 
     def replace_job(
@@ -227,7 +227,7 @@
     ) -> Written:
         """Change a job's spec, labels and annotations by a JSON merge patch."""
         stored = self.store.get(JOBS, (namespace, name))
-        merged = self._patched(JOBS, stored, patch)
+        merged = self._apply_patch(JOBS, stored, patch)
         job, warnings = decode(JOB_INPUT, JOBS, merged, validation)
         self._check_metadata(JOBS, job.metadata, namespace, name)
         self.store.check_revision(JOBS, stored, job.metadata.resource_version)
@@ -243,30 +243,30 @@
         return self._controller.update(self._now(), stored.key, update)
 
     def delete_job(self, namespace: str, name: str, options: Object | None = None) -> StoredObject:
-        """Remove a job, if the preconditions on uid and resourceVersion hold."""
+        """Delete a job, if the preconditions on uid and resourceVersion hold."""
         stored = self.store.get(JOBS, (namespace, name))
         self._check_preconditions(JOBS, stored, options or {})
         return self._controller.delete(self._now(), stored.key)
 
     def delete_jobs(self, namespace: str, selector: Selector) -> list[StoredObject]:
-        """Remove all jobs of a namespace that a selector chooses."""
+        """Delete all jobs of a namespace that match a selector."""
         page = self.store.list_objects(JOBS, namespace, selector)
         return [self._controller.delete(self._now(), stored.key) for stored in page.items]
 
     # ---- Machines -------------------------------------------------------------------------------------
 
     def replace_machine(self, name: str, data: Object, validation: FieldValidation = "Strict") -> Written:
-        """Replace a machine's spec, of which only `unschedulable` may differ."""
+        """Replace a machine's spec, in which only `unschedulable` may change."""
         stored = self.store.get(MACHINES, ("", name))
         return self._write_machine(stored, data, validation)
 
     def patch_machine(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> Written:
         """Change a machine's `unschedulable` by a JSON merge patch."""
         stored = self.store.get(MACHINES, ("", name))
-        return self._write_machine(stored, self._patched(MACHINES, stored, patch), validation)
+        return self._write_machine(stored, self._apply_patch(MACHINES, stored, patch), validation)
 
     def _write_machine(self, stored: StoredObject, data: Object, validation: FieldValidation) -> Written:
-        """Only `unschedulable` is the API's to change: it drains the machine."""
+        """Write a machine's spec, in which only `unschedulable` may change; it drains the machine."""
         machine, warnings = decode(MACHINE_INPUT, MACHINES, data, validation)
         self._check_metadata(MACHINES, machine.metadata, "", stored.name)
         self.store.check_revision(MACHINES, stored, machine.metadata.resource_version)
@@ -286,39 +286,39 @@
     # ---- Levels ---------------------------------------------------------------------------------------
 
     def replace_level(self, name: str, data: Object, validation: FieldValidation = "Strict") -> Written:
-        """Replace a level's spec: pin the level, or let go of it."""
+        """Replace a level's spec: pin or unpin the level."""
         stored = self.store.get(LEVELS, ("", name))
         return self._write_level(stored, data, validation)
 
     def patch_level(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> Written:
-        """Change a level's pin by a JSON merge patch; a pin that is named has its time begin anew."""
+        """Change a level's pin by a JSON merge patch; a pin in the patch restarts its duration."""
         stored = self.store.get(LEVELS, ("", name))
-        merged = self._patched(LEVELS, stored, patch)
-        named = isinstance(patch.get("spec"), dict) and "pin" in patch["spec"]
-        return self._write_level(stored, merged, validation, renew=named)
+        merged = self._apply_patch(LEVELS, stored, patch)
+        patches_pin = isinstance(patch.get("spec"), dict) and "pin" in patch["spec"]
+        return self._write_level(stored, merged, validation, renew=patches_pin)
 
     def _write_level(
         self, stored: StoredObject, data: Object, validation: FieldValidation, *, renew: bool = False
     ) -> Written:
-        """Only the pin is the API's to change.
+        """Write a level's spec. Only the pin can be changed through the API.
 
-        One that is written back unchanged is left; with `renew` its time begins anew.
+        Writing an unchanged pin has no effect, unless `renew` is set, which restarts its duration.
         """
         level, warnings = decode(LEVEL_INPUT, LEVELS, data, validation)
         self._check_metadata(LEVELS, level.metadata, "", stored.name)
         self.store.check_revision(LEVELS, stored, level.metadata.resource_version)
         pin = level.spec.pin
-        known_pin = stored.body["spec"].get("pin")
+        current_pin = stored.body["spec"].get("pin")
         new_pin = None if pin is None else pin.model_dump(by_alias=True)
         renews_pin = renew and pin is not None
-        if new_pin == known_pin and not renews_pin:
+        if new_pin == current_pin and not renews_pin:
             return Written(stored, warnings=warnings)
         level_to_pin = None if pin is None else Level.from_api_name(pin.level)
         for_ms = 0.0 if pin is None else parse_duration(pin.for_)
         pinned = self._controller.pin_level(self._now(), level_to_pin, for_ms)
         return Written(pinned, warnings=warnings)
 
-    # ---- Both -----------------------------------------------------------------------------------------
+    # ---- Checks shared by all resources ---------------------------------------------------------------
 
     @staticmethod
     def _check_namespace(namespace: str) -> None:
@@ -329,7 +329,7 @@
 
     @staticmethod
     def _check_metadata(resource: Resource, metadata: ObjectMeta, namespace: str, name: str | None) -> None:
-        """What a client writes must be about the object that it names in the path."""
+        """Check that the metadata of a written object matches the namespace and name of the request."""
         if metadata.namespace is not None and metadata.namespace != namespace:
             raise ApiError(
                 400, f"metadata.namespace is {metadata.namespace!r}, the request's is {namespace!r}"
@@ -339,26 +339,26 @@
             raise invalid(resource, name, (cause,))
 
     @staticmethod
-    def _patched(resource: Resource, stored: StoredObject, patch: Any) -> Object:
+    def _apply_patch(resource: Resource, stored: StoredObject, patch: Any) -> Object:
         if not isinstance(patch, dict):
             raise ApiError(400, "a merge patch of an object is an object")
         merged: Object = merge_patch({k: v for k, v in stored.body.items() if k != "status"}, patch)
         if not isinstance(merged.get("metadata"), dict):
             raise invalid(resource, stored.name, (Cause("metadata", "must be an object"),))
-        given = patch.get("metadata") or {}
-        if "resourceVersion" not in given:  # the patch is meant for whatever revision there is
+        patch_metadata = patch.get("metadata") or {}
+        if "resourceVersion" not in patch_metadata:  # the patch applies to any revision
             merged["metadata"].pop("resourceVersion", None)
         return merged
 
     @staticmethod
     def _check_preconditions(resource: Resource, stored: StoredObject, options: Object) -> None:
-        wanted = options.get("preconditions") or {}
-        if not isinstance(wanted, dict):
+        preconditions = options.get("preconditions") or {}
+        if not isinstance(preconditions, dict):
             raise ApiError(400, "preconditions: an object is expected")
         uid = stored.body["metadata"]["uid"]
-        if wanted.get("uid") not in (None, uid):
+        if preconditions.get("uid") not in (None, uid):
             raise conflict(resource, stored.name, f"the uid in the precondition is not its uid ({uid})")
-        revision = wanted.get("resourceVersion")
+        revision = preconditions.get("resourceVersion")
         if revision not in (None, str(stored.revision)):
             raise conflict(
                 resource, stored.name, f"the resourceVersion in the precondition is not {stored.revision}"
--- a/kelpfront/controller/orphans.py
+++ b/kelpfront/controller/orphans.py
@@ -1,7 +1,7 @@
-"""Decides about orphaned instances: copies of a task that were given up and that a machine turns out to hold.
+"""Handles orphaned instances: instances of a task whose attempt was given up, but which a machine holds.
 
-A machine may accept an offer and answer after the timeout, or its answer may be lost. The instance is then
-either adopted, so that the task stays one, or stopped. Carrying out a stop is left to `stop_requests`.
+An orphan arises when a machine accepts an offer but answers after the timeout, or when its answer is lost.
+The instance is then either adopted as the task's only instance, or stopped through `stop_requests`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from kelpfront.scheduling.settings import Idempotency
 
 FIRST_ATTEMPT_NUMBER = 0
-"""The scheduler counts a task that it is told to run already as placed by its first attempt."""
+"""The scheduler treats a task that is reported as already running as placed by its first attempt."""
 
 
 class OrphanDecision(Enum):
@@ -29,26 +29,26 @@
     ADOPT = "adopt"
     STOP = "stop"
     WAIT = "wait"
-    """Wait until the attempt that is out has ended, then decide again."""
+    """Wait until the outstanding attempt has ended, then decide again."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrphanSituation:
-    """What is known when an orphaned instance turns up.
+    """The state of a task when an orphaned instance of it is found.
 
     Attributes:
-        idempotency: of the task's class.
-        answer: the task's answer so far.
-        attempt_out: whether another attempt is out.
-        placed: whether the task is placed elsewhere or over.
-        wanted: whether its client still wants it.
-        given_up_ms: how long ago the instance's attempt was given up.
-        recheck_ms: for how long a failed task may turn out to run.
+        idempotency: the idempotency of the task's class.
+        answer: the task's answer; None if it has none yet.
+        attempt_outstanding: whether another attempt is outstanding.
+        placed: whether the task is placed elsewhere or has ended.
+        wanted: whether the client still wants the task.
+        given_up_ms: the time since the instance's attempt was given up.
+        recheck_ms: how long after its failure a task may still be adopted.
     """
 
     idempotency: Idempotency
     answer: Answer | None
-    attempt_out: bool
+    attempt_outstanding: bool
     placed: bool
     wanted: bool
     given_up_ms: float
@@ -58,32 +58,32 @@
 def decide(situation: OrphanSituation) -> OrphanDecision:
     """Return what to do with an orphaned instance.
 
-    - Idempotent tasks: stopped. The instance costs capacity, and a new one does no harm.
-    - A task that is placed elsewhere, is no longer wanted, or was refused: stopped. After a refusal its
-      client may have submitted it again.
-    - Other tasks without an answer: adopted, unless another attempt is still out, which is waited for: its
-      machine may hold the one copy, or refuse because of this one.
-    - Other tasks that failed: adopted within `recheck_ms`, since such a task cannot simply be started again.
-      Later its client may have submitted it again, so the instance is stopped.
+    - The task is idempotent: stop. The instance uses capacity, and starting a new one is harmless.
+    - The task is placed elsewhere, has ended, was withdrawn or was refused: stop. After a refusal the client
+      may have submitted it again.
+    - Any other task without an answer: adopt. If another attempt is outstanding, wait for it first, because
+      its machine may hold the only instance, or may refuse the offer because of this instance.
+    - Any other task that failed: adopt within `recheck_ms`, because such a task cannot safely be started
+      again. After that the client may have submitted it again: stop.
     """
     unwanted = situation.placed or not situation.wanted or situation.answer is Answer.REFUSED
     if unwanted or situation.idempotency is Idempotency.IDEMPOTENT:
         return OrphanDecision.STOP
     if situation.answer is None:
-        return OrphanDecision.WAIT if situation.attempt_out else OrphanDecision.ADOPT
+        return OrphanDecision.WAIT if situation.attempt_outstanding else OrphanDecision.ADOPT
     within_recheck = situation.given_up_ms <= situation.recheck_ms
     return OrphanDecision.ADOPT if within_recheck else OrphanDecision.STOP
 
 
 class OrphanHandler:
-    """Stops, adopts or remembers orphaned instances as they turn up."""
+    """Adopts or stops orphaned instances, or records them until the outstanding attempt has ended."""
 
     def __init__(self, context: ControllerContext, answers: TaskAnswers) -> None:
         self._context = context
         self._answers = answers
 
     def on_found(self, now: float, host: str, task_uid: str, attempt_number: int) -> None:
-        """A machine holds an instance that was given up, or that nobody here knows."""
+        """Handle an instance on a machine whose attempt was given up or whose task is unknown."""
         context = self._context
         task = context.task_table.by_uid.get(task_uid)
         if task is None:
@@ -97,7 +97,7 @@
             task.orphan = OrphanedInstance(host, attempt_number)
         else:
             context.driver.feed(now, TaskWithdrawn(task.scheduler_id))
-            self.adopt_anew(now, task, entry, attempt_number)
+            self.adopt_with_new_id(now, task, entry, attempt_number)
 
     def _situation(self, now: float, task: Task, attempt_number: int) -> OrphanSituation:
         given_up = task.attempt(attempt_number)
@@ -107,22 +107,22 @@
         return OrphanSituation(
             idempotency=self._context.class_of(task).idempotency,
             answer=task.answer,
-            attempt_out=current is not None and not current.placed,
+            attempt_outstanding=current is not None and not current.placed,
             placed=placed_elsewhere or task.state in (TaskState.ENDED, TaskState.LOST),
             wanted=not task.withdrawn,
             given_up_ms=now - given_up_at,
             recheck_ms=self._context.cluster.settings.orphan_check_ms,
         )
 
-    def adopt_anew(self, now: float, task: Task, entry: MachineRecord, attempt_number: int) -> None:
-        """Adopt a running instance of a task that the scheduler had before and has no more."""
+    def adopt_with_new_id(self, now: float, task: Task, entry: MachineRecord, attempt_number: int) -> None:
+        """Adopt a running instance of a task that the scheduler has dropped, under a new scheduler id."""
         self._context.task_table.renumber(task)
         self.adopt(now, task, entry, attempt_number, running=True)
 
     def adopt(
         self, now: float, task: Task, entry: MachineRecord, attempt_number: int, *, running: bool
     ) -> None:
-        """Make an instance that a machine holds the placed task, and tell the scheduler that it was found."""
+        """Make an instance that a machine holds the task's placed attempt, and notify the scheduler."""
         context = self._context
         self._reopen_attempt(now, task, entry, attempt_number)
         context.job_table.mark_active(task.job)
--- a/kelpfront/controller/reconciliation.py
+++ b/kelpfront/controller/reconciliation.py
@@ -1,12 +1,12 @@
-"""Settles with machines what they hold: from each message of their streams, and from whole snapshots.
+"""Reconciles the task records with what machines report in stream messages and snapshots.
 
-A snapshot comes after a break that was too long to resume the stream, or after a restart of either side. What
-follows for a single attempt or instance is left to `attempts`, `orphans` and `recovery`.
+A machine sends a snapshot after an interruption that was too long to resume the stream, or after a restart of
+either side. `attempts`, `orphans` and `recovery` handle the single attempts and instances.
 """
 
 from __future__ import annotations
 
-from kelpfront.controller.attempts import END_MEANINGS, AttemptEnd, AttemptTracker, InstanceEnd
+from kelpfront.controller.attempts import CAUSE_OUTCOMES, AttemptEnd, AttemptTracker, InstanceEnd
 from kelpfront.controller.context import ControllerContext
 from kelpfront.controller.machine_record import MachineRecord
 from kelpfront.controller.orphans import OrphanHandler
@@ -21,11 +21,11 @@
     "service": StatusTopic.SERVICE,
     "pressure": StatusTopic.MEMORY_PRESSURE,
 }
-"""Topics of status reports by their names in the machines' protocol."""
+"""Topics of status reports by their names in the machine protocol."""
 
 
 class Reconciler:
-    """Brings the records of tasks in line with what machines report."""
+    """Updates the task records to match what machines report."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         orphans: OrphanHandler,
         recovery: TaskRecovery,
     ) -> None:
-        """Tell the tasks of this start of the controller from earlier ones by `incarnation`."""
+        """Create a reconciler; `incarnation` distinguishes tasks of this start from those of earlier ones."""
         self._context = context
         self._incarnation = incarnation
         self._attempts = attempts
@@ -45,7 +45,7 @@
     # ---- Single messages ------------------------------------------------------------------------------
 
     def on_taken(self, now: float, host: str, message: wire.Taken) -> None:
-        """A machine holds an attempt: the answer to its offer, the news that it runs, or an orphan."""
+        """Handle a report that a machine holds an attempt: accepted, now running, or orphaned."""
         attempt = self._context.task_table.find_attempt(message.task, message.attempt)
         if attempt is not None and attempt.is_open and attempt.host == host:
             self._attempts.accept(now, attempt, running=message.running)
@@ -53,7 +53,7 @@
             self._orphans.on_found(now, host, message.task, message.attempt)
 
     def on_gone(self, now: float, host: str, message: wire.Gone) -> None:
-        """A machine holds an attempt no more."""
+        """Handle a report that a machine no longer holds an attempt."""
         context = self._context
         context.stops.confirm(host, message.task)
         task = context.task_table.by_uid.get(message.task)
@@ -71,22 +71,22 @@
             self._attempts.close(now, attempt, _end_before_accepted(message))
 
     def on_status_report(self, now: float, host: str, report: wire.Note) -> None:
-        """A machine reports how a placed task fares."""
+        """Forward a machine's status report of a placed task to the scheduler."""
         attempt = self._context.task_table.find_attempt(report.task, report.attempt)
         if attempt is None or not attempt.placed or attempt.host != host:
             return
         topic = STATUS_TOPICS[report.topic]
-        if topic is StatusTopic.SERVICE and not self._context.degradation.measures.migration_allowed:
-            return  # at this level no task is migrated for faring badly: the scheduler is not told of it
+        if topic is StatusTopic.SERVICE and not self._context.degradation.policy.migration_allowed:
+            return  # no migration for poor service at this level, so the scheduler needs no report
         status = TaskStatusReported(
             attempt.task.scheduler_id, attempt.scheduler_number, attempt.machine_id, topic, report.value
         )
         self._context.driver.feed(now, status)
 
-    # ---- All that a machine holds ---------------------------------------------------------------------
+    # ---- Snapshots ------------------------------------------------------------------------------------
 
     def on_snapshot(self, now: float, entry: MachineRecord, snapshot: wire.Snapshot) -> None:
-        """A machine reports all that it holds of this controller's."""
+        """Handle a machine's report of all tasks that it holds for this controller."""
         reports = {report.offer.task: report for report in snapshot.tasks}
         for task in list(self._context.task_table.by_uid.values()):
             attempt = task.open_attempt
@@ -97,7 +97,7 @@
         self._context.stops.retain_only(entry.name, reports)
 
     def _reconcile_attempt(self, now: float, attempt: Attempt, report: wire.TaskReport | None) -> None:
-        """Settle an open attempt at the machine with what the machine reports of its task."""
+        """Update an open attempt from its machine's report of the task; None if the task was not reported."""
         if report is not None and report.offer.attempt != attempt.number:
             report = None
         if report is None:
@@ -112,7 +112,7 @@
             self._attempts.accept(now, attempt, running=report.phase == "running")
 
     def _reconcile_report(self, now: float, entry: MachineRecord, report: wire.TaskReport) -> None:
-        """Settle what a machine holds beyond open attempts: ended, orphaned, of an earlier incarnation."""
+        """Handle a reported task without an open attempt: ended, orphaned, or of an earlier incarnation."""
         context = self._context
         offer = report.offer
         if report.phase == "ended":
@@ -128,7 +128,7 @@
             context.stops.request(entry.name, offer.task, offer.attempt, "unknown to its placer")
 
     def declare_lost(self, now: float, entry: MachineRecord) -> None:
-        """Count all that is placed on a machine as lost: it was out of contact for too long."""
+        """Declare all tasks placed on a machine lost, after it was out of contact for too long."""
         for task in list(self._context.task_table.by_uid.values()):
             attempt = task.open_attempt
             if attempt is not None and attempt.placed and attempt.host == entry.name:
@@ -137,10 +137,10 @@
 
 
 def _end_before_accepted(message: wire.Gone) -> AttemptEnd:
-    """Return how an attempt ended whose answer was not known when its machine held it no more."""
+    """Return the end of an attempt that the machine dropped before its answer was known."""
     if message.ran:
         return AttemptEnd(AttemptOutcome.ERROR, "error", message=message.message or message.cause)
-    meaning = END_MEANINGS[message.cause]
+    cause_outcome = CAUSE_OUTCOMES[message.cause]
     return AttemptEnd(
-        AttemptOutcome.REJECTED, "refused", meaning.reason, meaning.lost_reason, message.message
+        AttemptOutcome.REJECTED, "refused", cause_outcome.reason, cause_outcome.lost_reason, message.message
     )
--- a/kelpfront/controller/recovery.py
+++ b/kelpfront/controller/recovery.py
@@ -1,7 +1,7 @@
-"""Takes over tasks that a machine holds for an earlier incarnation of this controller, after a restart.
+"""Recovers tasks that machines still hold for an earlier incarnation of this controller, after a restart.
 
-Offers carry enough of their job to show it again. Whether a reported task is one of an earlier incarnation is
-found out by `reconciliation`.
+Offers carry enough of their job to restore it. `reconciliation` detects which reported tasks belong to an
+earlier incarnation.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class TaskRecovery:
-    """Makes tasks of an earlier incarnation this one's."""
+    """Recovers tasks of an earlier incarnation from the reports of machines."""
 
     def __init__(self, context: ControllerContext, jobs: JobManager, orphans: OrphanHandler) -> None:
         self._context = context
@@ -29,7 +29,7 @@
         self._orphans = orphans
 
     def recover(self, now: float, entry: MachineRecord, report: wire.TaskReport) -> None:
-        """Take over a task that a machine reports, with its job where that is not known."""
+        """Recover a task that a machine reports, and restore its job if the job is unknown."""
         context = self._context
         offer = report.offer
         class_index = context.cluster.class_numbers.get(offer.cls)
@@ -47,10 +47,10 @@
         self._orphans.adopt(now, task, entry, offer.attempt, running=report.phase == "running")
 
     def _replace_unsent(self, now: float, job: Job, ref: wire.JobRef) -> bool:
-        """Withdraw the task that the found one can stand for, in a job that was submitted again meanwhile.
+        """Withdraw the task that a found task replaces, in a job that its client has since submitted again.
 
         Returns:
-            Whether there was one of which nothing was sent, so that the found one can take its place.
+            Whether there was such a task without any attempt, so that the found task can replace it.
         """
         new_task = job.tasks.get(ref.index)
         if new_task is None or not new_task.needs_answer or new_task.attempts:
@@ -67,7 +67,7 @@
         return job
 
     def _add_task(self, now: float, job: Job, offer: wire.Offer) -> Task:
-        """Add the found task. It has no answer here: the earlier incarnation may have given it."""
+        """Add the found task without an answer, because the earlier incarnation may have answered it."""
         context = self._context
         scheduler_id = context.task_table.next_scheduler_id()
         index = offer.job.index
--- a/kelpfront/controller/scheduler_driver.py
+++ b/kelpfront/controller/scheduler_driver.py
@@ -1,6 +1,6 @@
-"""Runs the scheduler: hands it events one after the other and has its actions carried out.
+"""Runs the scheduler: passes events to it one at a time and executes the resulting actions.
 
-It decides nothing and knows no task; what an action means is up to the callable that carries it out.
+The actions are executed by a callable that the owner provides.
 """
 
 from __future__ import annotations
@@ -13,46 +13,46 @@
 from kelpfront.scheduling.events import SchedulerEvent
 from kelpfront.scheduling.scheduler import Scheduler
 
-CarryOut = Callable[[float, SchedulerAction], None]
+ActionHandler = Callable[[float, SchedulerAction], None]
 
 
 class SchedulerDriver:
-    """The one caller of a scheduler.
+    """The only caller of a scheduler.
 
     Attributes:
-        scheduler: makes the decisions.
+        scheduler: makes the placement decisions.
     """
 
     def __init__(
         self,
         scheduler: Scheduler,
-        carry_out: CarryOut,
+        execute_action: ActionHandler,
         process_load: ProcessLoad,
         stopwatch: Callable[[], float],
     ) -> None:
-        """Run `scheduler` and hand its actions to `carry_out`; `stopwatch` tells milliseconds."""
+        """Run `scheduler` and execute its actions with `execute_action`; `stopwatch` returns milliseconds."""
         self.scheduler = scheduler
-        self._carry_out = carry_out
+        self._execute_action = execute_action
         self._process_load = process_load
         self._stopwatch = stopwatch
         self._events: deque[SchedulerEvent] = deque()
         self._running = False
 
     def feed(self, now: float, event: SchedulerEvent) -> None:
-        """Hand an event to the scheduler and carry out what it decides.
+        """Pass an event to the scheduler and execute the resulting actions.
 
-        An action that is known to fail at once is an event itself. It waits its turn, so that the scheduler
-        is never called from within its own answer.
+        An action that fails immediately feeds another event. That event is queued, so that the scheduler is
+        never called recursively.
         """
         self._events.append(event)
         if self._running:
             return
         self._running = True
-        began = self._stopwatch()
+        started_at = self._stopwatch()
         try:
             while self._events:
                 for action in self.scheduler.handle(now, self._events.popleft()):
-                    self._carry_out(now, action)
+                    self._execute_action(now, action)
         finally:
             self._running = False
-            self._process_load.busy_ms += self._stopwatch() - began
+            self._process_load.busy_ms += self._stopwatch() - started_at
--- a/kelpfront/controller/status_publisher.py
+++ b/kelpfront/controller/status_publisher.py
@@ -1,7 +1,7 @@
-"""Brings changes of jobs and machines to the store, where the API's clients see them.
+"""Writes changes of jobs and machines to the store, where clients of the API see them.
 
-Changes are collected and published together: one change of the store for each object, however many led to
-it. How often that is done is the caller's to say.
+Changes are batched: however often an object changed, it is written to the store once. The caller decides how
+often that happens.
 """
 
 from __future__ import annotations
@@ -16,36 +16,36 @@
 
 
 class StatusPublisher:
-    """Jobs and machines that have changed and are not published yet."""
+    """Collects jobs and machines with unpublished changes, and publishes them."""
 
     def __init__(self, store: ResourceStore, registry: MachineRegistry) -> None:
         self._store = store
         self._registry = registry
         self._jobs: dict[Job, None] = {}
-        self._answered: dict[Job, None] = {}  # of them, those with an answer that nobody has seen yet
+        self._answered: dict[Job, None] = {}  # the subset of `_jobs` with an unpublished answer
         self._machines: dict[MachineRecord, None] = {}
         self._published_at = -math.inf
 
     def job_changed(self, job: Job) -> None:
-        """A job has changed."""
+        """Mark a job as changed."""
         self._jobs[job] = None
 
     def job_answered(self, job: Job) -> None:
-        """A task of the job has its answer. It is published at once at every level: a client waits."""
+        """Mark a job as answered, which is published at once at every level because a client is waiting."""
         self._jobs[job] = None
         self._answered[job] = None
 
     def machine_changed(self, entry: MachineRecord) -> None:
-        """A machine has changed."""
+        """Mark a machine as changed."""
         self._machines[entry] = None
 
     def discard_job(self, job: Job) -> None:
-        """Forget changes of a job that is gone, or was published otherwise."""
+        """Discard the changes of a job that was removed or already published."""
         self._jobs.pop(job, None)
         self._answered.pop(job, None)
 
     def due_at(self, period_ms: float) -> float:
-        """Return when to publish, if that is done at most once in a period; infinity without changes."""
+        """Return when to publish next, at most once per period except for answers; infinity if unchanged."""
         if self._answered:
             return -math.inf
         if not self._jobs and not self._machines:
@@ -53,7 +53,7 @@
         return self._published_at + period_ms
 
     def flush(self, now: float) -> None:
-        """Publish all changes since the last call."""
+        """Publish all changes."""
         for job in self._jobs:
             if not job.deleted:
                 self._publish_job(job)
@@ -65,7 +65,7 @@
         self._published_at = now
 
     def flush_due(self, now: float, period_ms: float) -> None:
-        """Publish answers, and everything else where the period is over."""
+        """Publish answers at once, and all other changes if the period has passed."""
         if now >= self._published_at + period_ms:
             self.flush(now)
             return
@@ -76,16 +76,16 @@
         self._answered.clear()
 
     def publish_last(self, job: Job) -> None:
-        """Publish a job that is about to go, if it has changed."""
+        """Publish a job that is about to be removed, if it has changed."""
         if job in self._jobs:
             self._publish_job(job)
 
     def refresh_machines(self, now: float, period_factor: float = 1.0) -> None:
-        """Collect machines whose figures have drifted for long enough; drop those that are gone.
+        """Mark machines whose figures are due to be refreshed, and delete removed machines.
 
         Args:
-            now: the present.
-            period_factor: how many times less often than usual figures are renewed.
+            now: the current time.
+            period_factor: the factor by which the usual refresh period is extended.
         """
         for entry in list(self._registry.entries.values()):
             if entry.removed and not entry.task_count and not entry.link_up:
--- a/kelpfront/controller/stop_requests.py
+++ b/kelpfront/controller/stop_requests.py
@@ -1,6 +1,6 @@
 """Requests to machines to stop a task, each kept until the machine confirms it or no longer holds the task.
 
-Whether an instance is to be stopped is decided by the callers; the sending is an intent.
+The callers decide which instances to stop; requests are sent as intents.
 """
 
 from __future__ import annotations
@@ -13,40 +13,40 @@
 
 
 class InstanceKey(NamedTuple):
-    """An instance of a task: the machine that holds it, and the task's uid."""
+    """Identifies an instance of a task by the machine that holds it and the task's uid."""
 
     host: str
     task_uid: str
 
 
 class StopRequests:
-    """All requests that are not confirmed."""
+    """The unconfirmed stop requests of one controller."""
 
     def __init__(self, controller_name: str, intents: IntentQueue) -> None:
         self._controller_name = controller_name
         self._intents = intents
-        self._attempts: dict[InstanceKey, int] = {}  # the number of the attempt that is to be stopped
+        self._attempts: dict[InstanceKey, int] = {}  # the number of the attempt to stop
 
     def __len__(self) -> int:
         return len(self._attempts)
 
     def request(self, host: str, task_uid: str, attempt_number: int, why: str) -> None:
-        """Have a machine stop a task; it is asked again until it confirms."""
+        """Request that a machine stops a task; the request is kept until it is confirmed."""
         self._attempts[InstanceKey(host, task_uid)] = attempt_number
         self._send(host, task_uid, attempt_number, why)
 
     def confirm(self, host: str, task_uid: str) -> None:
-        """Forget a request: the machine has received it, or the task is over there."""
+        """Discard a request that the machine has received, or whose task has ended there."""
         self._attempts.pop(InstanceKey(host, task_uid), None)
 
     def resend(self, host: str) -> None:
-        """Send the unconfirmed requests again: the machine's stream was interrupted."""
+        """Resend the unconfirmed requests to a machine after its stream was interrupted."""
         for key, attempt_number in list(self._attempts.items()):
             if key.host == host:
                 self._send(host, key.task_uid, attempt_number)
 
     def retain_only(self, host: str, task_uids: Container[str]) -> None:
-        """Forget the requests to a machine for all tasks but these, which are those that it holds."""
+        """Discard the requests to a machine except for the given tasks, which it still holds."""
         obsolete = [key for key in self._attempts if key.host == host and key.task_uid not in task_uids]
         for key in obsolete:
             del self._attempts[key]
--- a/kelpfront/controller/task_table.py
+++ b/kelpfront/controller/task_table.py
@@ -1,7 +1,4 @@
-"""The index of the tasks that the controller works on, and how many of them still need an answer.
-
-What happens to a task is decided elsewhere; this module only finds it by uid and by the scheduler's id.
-"""
+"""The index of the active tasks by uid and by scheduler id, with a count of those that need an answer."""
 
 from __future__ import annotations
 
@@ -12,13 +9,13 @@
 
 
 class TaskTable:
-    """Tasks that are not over, or over and possibly still on a machine.
+    """The tasks that have not ended, or that may still be on a machine.
 
     Attributes:
-        by_uid: tasks by the uid that clients and machines know.
-        by_scheduler_id: tasks by the id that the scheduler knows.
-        open_count: how many tasks still need their answer.
-        on_removed: is called with each task that is removed, while its records are still whole.
+        by_uid: tasks by the uid that clients and machines use.
+        by_scheduler_id: tasks by their scheduler id.
+        open_count: the number of tasks that still need an answer.
+        on_removed: called with each removed task, before its records are cleared.
     """
 
     def __init__(self) -> None:
@@ -29,43 +26,43 @@
         self._last_id: TaskId = 1
 
     def next_scheduler_id(self) -> TaskId:
-        """Return an id that the scheduler has not seen."""
+        """Return an unused scheduler id."""
         self._last_id += 1
         return self._last_id
 
     def add(self, task: Task) -> None:
-        """Add a task; it counts as open where it needs an answer."""
+        """Add a task; it counts as open if it needs an answer."""
         self.by_uid[task.uid] = task
         self.by_scheduler_id[task.scheduler_id] = task
         if task.needs_answer:
             self.open_count += 1
 
     def record_answered(self) -> None:
-        """Count one open task less: it has its answer, or its client no longer wants one."""
+        """Decrement the number of open tasks: one was answered or withdrawn."""
         self.open_count -= 1
 
     def renumber(self, task: Task) -> None:
-        """Give a task that is handed to the scheduler again a new id there."""
+        """Assign a new scheduler id to a task that is handed to the scheduler again."""
         self.by_scheduler_id.pop(task.scheduler_id, None)
         task.scheduler_id = self.next_scheduler_id()
         self.by_scheduler_id[task.scheduler_id] = task
 
     def find_attempt(self, task_uid: str, attempt_number: int) -> Attempt | None:
-        """Return an attempt by the names that machines know it by."""
+        """Return an attempt by its task's uid and its number, as machines identify it."""
         task = self.by_uid.get(task_uid)
         return None if task is None else task.attempt(attempt_number)
 
     def remove(self, task: Task) -> None:
-        """Forget a task; one that was removed before is left alone."""
+        """Remove a task from the index; a task that was removed before is ignored."""
         if self.on_removed is not None and self.by_uid.get(task.uid) is task:
             self.on_removed(task)
         self.by_uid.pop(task.uid, None)
         self.by_scheduler_id.pop(task.scheduler_id, None)
         if task.job.deleted:
-            # Attempts refer to their task: without this both would be left to the garbage collector.
+            # Break the reference cycle with the attempts: otherwise only the garbage collector frees them.
             task.attempts.clear()
 
     def longest_remaining_ms(self, now: float) -> float:
-        """Return how long until the last open task has its deadline; 0 where none is open."""
+        """Return the time until the latest deadline of the open tasks; 0 if none is open."""
         open_tasks = (task for task in self.by_uid.values() if task.needs_answer and not task.withdrawn)
         return max((task.deadline - now for task in open_tasks), default=0.0)
--- a/kelpfront/controller/tasks.py
+++ b/kelpfront/controller/tasks.py
@@ -1,7 +1,7 @@
-"""Jobs, tasks and attempts as the controller records them, and how the API shows them.
+"""The controller's records of jobs, tasks and attempts, and their representation in the API.
 
-A task's state moves only along `TRANSITIONS`, and its answer is set once. Whatever else goes wrong in the
-controller, these two cannot be got around: a second answer is an error here and never reaches a client.
+A task's state changes only as `TRANSITIONS` allows, and its answer is set once. Both rules are enforced here,
+so that no fault elsewhere in the controller can send a second answer to a client.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     TaskState.PLACED: frozenset({TaskState.RUNNING, TaskState.ENDED, TaskState.LOST}),
     TaskState.RUNNING: frozenset({TaskState.ENDED, TaskState.LOST}),
     TaskState.REFUSED: frozenset(),
-    # A failed task may turn out to run: nothing was promised of it, and now it is found. The answer stays.
+    # A failed task may be found running later: its failure left open whether it ran. The answer stays.
     TaskState.FAILED: frozenset({TaskState.PLACED}),
     TaskState.ENDED: frozenset(),
     TaskState.LOST: frozenset(),
@@ -38,11 +38,11 @@
 
 
 class TaskStateError(RuntimeError):
-    """A transition that no task may make: a fault of the controller itself."""
+    """A task was moved along a transition that is not allowed, which is a bug in the controller."""
 
 
 class OrphanedInstance(NamedTuple):
-    """An instance of a task that was given up and turned up on a machine."""
+    """An instance on a machine whose attempt was given up before."""
 
     host: str
     attempt_number: int
@@ -53,20 +53,20 @@
     """One offer of a task to a machine.
 
     Attributes:
-        scheduler_number: the scheduler's number of the attempt, within one of its tasks.
+        scheduler_number: the scheduler's number of the attempt, counted per scheduler id of the task.
         number: the number that machines and clients see.
-        host: the machine by name.
-        machine_id: the machine as the scheduler knows it.
+        host: the name of the machine.
+        machine_id: the scheduler's id of the machine.
         decided_at: when the scheduler chose the machine.
         timeout_at: when the attempt is given up.
-        send_deadline: when it may begin to go out at the latest.
-        sent_at: when it was cleared to go out; from then on it may have been executed.
-        held_back: whether the gate did not let it go out, for which its machine is not to blame.
+        send_deadline: the latest time at which sending may start.
+        sent_at: when it was cleared to be sent; from then on it may have been executed.
+        held_back: whether it was not cleared to be sent, which does not count against its machine.
         placed: whether the machine has accepted it.
         ended_at: when it ended; None while it is open.
-        end: how it ended, as clients read it.
-        reason: the machine's reason, by its name in the machines' protocol.
-        message: what the machine or the connection said.
+        end: how it ended, as the API shows it.
+        reason: the machine's reason, by its name in the machine protocol.
+        message: the machine's message, or an error of the connection.
     """
 
     task: Task
@@ -106,18 +106,18 @@
     """One task of a job.
 
     Attributes:
-        index: its place in the job; no index is used twice.
-        uid: the name that machines and clients know.
-        scheduler_id: its id with the scheduler, a new one each time it is handed over.
+        index: its index in the job; no index is used twice.
+        uid: the id that machines and clients use.
+        scheduler_id: its id in the scheduler; a new one each time it is handed over.
         deadline: when its answer is due.
-        answer: the one answer, once it is given.
-        host: the machine that accepted it.
-        reason: why it has no place, or lost it; a word of the API.
-        handed_over: whether the scheduler has it.
+        answer: its only answer; None until it is answered.
+        host: the name of the machine that accepted it.
+        reason: why it was not placed or was lost; a value of the API.
+        handed_over: whether it was handed to the scheduler.
         withdrawn: whether its client no longer wants it.
-        found: whether it ran already when this controller learnt of it; its answer, if any, was given by an
-            earlier incarnation.
-        orphan: an instance that was given up and turned up while another attempt is out.
+        found: whether it was already running when this controller learned of it; if it was answered, an
+            earlier incarnation did so.
+        orphan: an orphaned instance that was found while another attempt is outstanding.
     """
 
     job: Job
@@ -143,13 +143,13 @@
     orphan: OrphanedInstance | None = None
 
     def move(self, now: float, state: TaskState) -> None:
-        """Enter a state, and set the answer with the first state that is one.
+        """Enter a state; the first state that implies an answer also sets the answer.
 
         Raises:
             TaskStateError: the transition is not allowed.
         """
         if state not in TRANSITIONS[self.state]:
-            raise TaskStateError(f"task {self.uid}: {self.state} to {state}")
+            raise TaskStateError(f"transition not allowed for task {self.uid}: {self.state} to {state}")
         answer = ANSWER_OF_STATE.get(state)
         if self.answer is None and answer is not None:
             self.answer = answer
@@ -163,21 +163,21 @@
 
     @property
     def needs_answer(self) -> bool:
-        """Whether its client still waits for the answer."""
+        """Whether it has not been answered yet."""
         return self.state in UNANSWERED_STATES
 
     @property
     def open_attempt(self) -> Attempt | None:
-        """The attempt that is out or placed; there is never more than one."""
+        """The outstanding or placed attempt; there is never more than one."""
         return next((attempt for attempt in reversed(self.attempts) if attempt.is_open), None)
 
     @property
     def possibly_executed(self) -> bool:
-        """Whether any attempt was cleared to go out."""
+        """Whether any attempt was cleared to be sent."""
         return any(attempt.sent_at is not None for attempt in self.attempts)
 
     def attempt(self, number: int) -> Attempt | None:
-        """Return an attempt by the number that machines know; of several, the last."""
+        """Return the last attempt with a number, as machines and clients see it."""
         return next((attempt for attempt in reversed(self.attempts) if attempt.number == number), None)
 
     def to_api(self) -> Object:
@@ -217,14 +217,14 @@
     """A job with its tasks.
 
     Attributes:
-        spec: what the client asked for, as the API shows it, with the defaults filled in.
-        class_index: the task class, as the scheduler knows it.
+        spec: the spec as the API shows it, with defaults filled in.
+        class_index: the scheduler's index of the task class.
         timeout_ms: how long the client waits for the answer of each task.
-        feasible: whether any machine of the inventory could run a task of it.
-        next_index: the index of the next task that is added.
-        state_counts: how many tasks are in each state.
-        unanswered_count: how many tasks have no answer yet.
-        deleted: whether it is gone from the API.
+        feasible: whether any machine of the inventory is large enough for one of its tasks.
+        next_index: the index of the next task to be added.
+        state_counts: the number of tasks in each state.
+        unanswered_count: the number of tasks without an answer.
+        deleted: whether it was deleted from the API.
     """
 
     namespace: str
@@ -246,37 +246,37 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Namespace and name, as the store has it."""
+        """The job's key in the store: its namespace and name."""
         return self.namespace, self.name
 
     @property
     def token(self) -> str:
-        """The client's token for the submission; empty where it gave none."""
+        """The client token of the submission; empty if there was none."""
         token: str = self.spec.get("clientToken", "")
         return token
 
     @property
     def phase(self) -> Phase:
-        """How far the job has come."""
+        """The phase of the job, derived from the states of its tasks."""
         if self.unanswered_count:
             return Phase.PLACING
         final_count = sum(self.state_counts[state] for state in FINAL_STATES)
         return Phase.FINISHED if final_count == len(self.tasks) else Phase.ACTIVE
 
     def add(self, task: Task) -> None:
-        """Add a task."""
+        """Add a task and count it."""
         self.tasks[task.index] = task
         self.state_counts[task.state] += 1
         self.unanswered_count += task.needs_answer
 
     def remove(self, task: Task) -> None:
-        """Remove a task."""
+        """Remove a task and its counts."""
         del self.tasks[task.index]
         self.state_counts[task.state] -= 1
         self.unanswered_count -= task.needs_answer
 
     def record_transition(self, before: TaskState, after: TaskState) -> None:
-        """Count a task of this job in another state than before."""
+        """Update the counts after a task moved from one state to another."""
         self.state_counts[before] -= 1
         self.state_counts[after] += 1
         if before in UNANSWERED_STATES and after not in UNANSWERED_STATES:
--- a/tests/controller/test_controller_orphans.py
+++ b/tests/controller/test_controller_orphans.py
@@ -99,7 +99,7 @@
     OrphanSituation,
     idempotency=st.sampled_from(Idempotency),
     answer=st.sampled_from([None, *Answer]),
-    attempt_out=st.booleans(),
+    attempt_outstanding=st.booleans(),
     placed=st.booleans(),
     wanted=st.booleans(),
     given_up_ms=st.floats(0, 10_000),
@@ -116,9 +116,9 @@
         assert situation.wanted
         assert not situation.placed
         assert situation.idempotency is not Idempotency.IDEMPOTENT
-        may_be_adopted = unanswered and not situation.attempt_out
+        may_be_adopted = unanswered and not situation.attempt_outstanding
         assert may_be_adopted or situation.answer in (Answer.FAILED, Answer.PLACED)
         assert unanswered or situation.given_up_ms <= 3000.0
     if decision is OrphanDecision.WAIT:
-        assert situation.attempt_out
+        assert situation.attempt_outstanding
         assert unanswered
