--- a/tests/controller/test_controller_any_sequence.py
+++ b/tests/controller/test_controller_any_sequence.py
@@ -1,4 +1,4 @@
-"""Whatever machines, clients and clocks do, each task has one answer in time."""
+"""Property test: after any sequence of events, each task has exactly one answer before its deadline."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RandomSequence(ControllerDriver):
-    """Draws what happens next, and checks after each step what must hold."""
+    """Draws a random event for each step, and checks the invariants after it."""
 
     def __init__(self, data: st.DataObject) -> None:
         super().__init__(data.draw(st.integers(1, 5)))
@@ -25,32 +25,32 @@
         self.deadlines: dict[str, float] = {}
         self.cleared: set[tuple[str, int]] = set()
 
-    # ---- steps
+    # ---- Steps
 
     def step(self, number: int) -> None:
         kind = self.data.draw(st.sampled_from(STEPS))
-        offers = self.of(SendOffer)
+        offers = self.intents_of(SendOffer)
         sent = self.data.draw(st.sampled_from(offers)) if offers else None
         host = self.data.draw(st.sampled_from(sorted(self.seq)))
         if kind == "submit":
-            self.submit_one(f"j{number}")
+            self.submit_random_job(f"j{number}")
         elif kind == "time":
-            self.let_time_pass()
+            self.advance_time()
         elif kind in ("link", "cordon", "boot"):
             self.change_machine(kind, host)
         elif sent is not None:
             self.change_offer(kind, sent)
         self.collect()
 
-    def submit_one(self, name: str) -> None:
+    def submit_random_job(self, name: str) -> None:
         cls = self.data.draw(st.sampled_from(["web", "ingest", "blend"]))
-        patience = self.data.draw(st.sampled_from(sorted(TIMEOUTS_MS, reverse=True)))
-        self.submit(name, cls, patience=patience, key=("k" if cls == "ingest" else None))
-        self.deadlines[name] = self.now + TIMEOUTS_MS[patience]
+        timeout = self.data.draw(st.sampled_from(sorted(TIMEOUTS_MS, reverse=True)))
+        self.submit(name, cls, patience=timeout, key=("k" if cls == "ingest" else None))
+        self.deadlines[name] = self.now + TIMEOUTS_MS[timeout]
 
-    def let_time_pass(self) -> None:
+    def advance_time(self) -> None:
         ms = self.data.draw(st.sampled_from([1.0, 50.0, 400.0, 2500.0]))
-        self.advance(ms, beats=self.data.draw(st.booleans()))
+        self.advance(ms, heartbeats=self.data.draw(st.booleans()))
 
     def change_machine(self, kind: str, host: str) -> None:
         if kind == "link":
@@ -58,8 +58,8 @@
         elif kind == "cordon":
             self.controller.cordon(self.now, host, unschedulable=self.data.draw(st.booleans()))
         else:
-            self.up(host, boot=self.data.draw(st.sampled_from(["boot-1", "boot-2"])), age_ms=5.0)
-            self.snapshot(host)
+            self.connect(host, boot=self.data.draw(st.sampled_from(["boot-1", "boot-2"])), age_ms=5.0)
+            self.send_snapshot(host)
 
     def change_offer(self, kind: str, sent: SendOffer) -> None:
         attempt = sent.offer.task, sent.offer.attempt
@@ -67,7 +67,7 @@
             if self.clear(sent):
                 self.cleared.add(attempt)
         elif kind == "fail":
-            self.fail(sent)
+            self.fail_offer(sent)
         elif attempt in self.cleared:
             self.report_from_machine(kind, sent)
 
@@ -75,14 +75,14 @@
         if kind == "answer":
             answer = self.data.draw(st.sampled_from(["running", "accepted", "refused", "error"]))
             reason = self.data.draw(st.sampled_from(["", "NO_CORES", "QUEUE_FULL", "NOT_HERE"]))
-            self.answer(sent, answer, reason if answer == "refused" else "")
+            self.answer_offer(sent, answer, reason if answer == "refused" else "")
         elif kind == "taken":
-            self.taken(sent.host, sent.offer.task, sent.offer.attempt)
+            self.report_taken(sent.host, sent.offer.task, sent.offer.attempt)
         else:
             cause = self.data.draw(st.sampled_from(["ended", "evicted", "stopped", "sent-away"]))
-            self.gone(sent.host, sent.offer.task, sent.offer.attempt, cause)
+            self.report_gone(sent.host, sent.offer.task, sent.offer.attempt, cause)
 
-    # ---- what must hold
+    # ---- Invariants
 
     def check(self) -> None:
         for stored in self.store.objects(JOBS):
@@ -100,8 +100,10 @@
 
     @staticmethod
     def check_non_idempotent(task: Object) -> None:
-        possibly_executed = [a for a in task["attempts"] if a.get("end") not in NOT_EXECUTED_ENDS]
-        assert len(possibly_executed) <= 1, "nothing goes out after an attempt that may have been executed"
+        possibly_executed = [
+            attempt for attempt in task["attempts"] if attempt.get("end") not in NOT_EXECUTED_ENDS
+        ]
+        assert len(possibly_executed) <= 1, "no attempt may follow one that may have been executed"
         if task.get("answer") == "Refused":
             assert possibly_executed == []
 
--- a/tests/controller/test_controller_jobs.py
+++ b/tests/controller/test_controller_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs: what clients submit, change and delete, and what is not accepted."""
+"""Jobs: submission, updates and deletion by clients, and the rejection of invalid requests."""
 
 from __future__ import annotations
 
@@ -16,17 +16,20 @@
 
 def test_deleting_a_job_withdraws_its_tasks_in_every_state() -> None:
     driver = ControllerDriver()
-    running = driver.sent("a")
-    driver.answer(running, "running")
-    out = driver.sent("b", "blend")
-    driver.submit("c", cores=1000.0)  # waits
+    running = driver.submit_and_clear("a")
+    driver.answer_offer(running, "running")
+    outstanding = driver.submit_and_clear("b", "blend")
+    driver.submit("c", cores=1000.0)  # fits no machine and stays pending
     for name in "abc":
         driver.controller.delete(driver.now, ("climate", name))
         driver.collect()
-    assert driver.stops == [(running.host, running.offer.task, 0), (out.host, out.offer.task, 0)]
-    assert (out.host, out.offer.task, 0) in driver.abandoned
-    driver.gone(running.host, running.offer.task, cause="stopped")
-    driver.answer(out, "running")
+    assert driver.stops == [
+        (running.host, running.offer.task, 0),
+        (outstanding.host, outstanding.offer.task, 0),
+    ]
+    assert (outstanding.host, outstanding.offer.task, 0) in driver.abandoned
+    driver.report_gone(running.host, running.offer.task, cause="stopped")
+    driver.answer_offer(outstanding, "running")
     driver.advance(10_000.0)
     assert driver.controller.open_tasks == 0
     assert driver.store.count(JOBS) == 0
@@ -34,32 +37,32 @@
     assert driver.controller.context.task_table.by_scheduler_id == {}
 
 
-def test_a_change_of_count_adds_and_withdraws_tasks_and_nothing_else_changes() -> None:
+def test_an_update_of_the_count_adds_or_withdraws_tasks_and_fixed_fields_cannot_change() -> None:
     driver = ControllerDriver()
     driver.submit(count=2)
     spec: dict[str, Any] = {"class": "web", "service": "front", "cores": 1, "memory": 2}
 
     def update(**changes: Any) -> Any:
-        its = JobSpec.model_validate({**spec, **changes})
-        update = JobUpdate(its, {"team": "x"}, {}, driver.now)
+        new_spec = JobSpec.model_validate({**spec, **changes})
+        update = JobUpdate(new_spec, {"team": "x"}, {}, driver.now)
         driver.controller.update(driver.now, ("climate", "a"), update)
         driver.collect()
         return driver.job()
 
     grown = update(count=4)
-    assert [t["index"] for t in grown["status"]["tasks"]] == [0, 1, 2, 3]
+    assert [task["index"] for task in grown["status"]["tasks"]] == [0, 1, 2, 3]
     assert (grown["metadata"]["generation"], grown["metadata"]["labels"]) == (2, {"team": "x"})
     shrunk = update(count=1)
-    assert [t["index"] for t in shrunk["status"]["tasks"]] == [0]
+    assert [task["index"] for task in shrunk["status"]["tasks"]] == [0]
     regrown = update(count=2)
-    assert [t["index"] for t in regrown["status"]["tasks"]] == [0, 4], "an index is never used again"
+    assert [task["index"] for task in regrown["status"]["tasks"]] == [0, 4], "no index is used twice"
     with pytest.raises(ApiError) as error:
         update(cores=2, service="other")
     assert {cause.field for cause in error.value.causes} == {"spec.cores", "spec.service"}
     assert driver.controller.open_tasks == 2
 
 
-def test_a_job_that_does_not_fit_its_class_is_rejected_with_the_field() -> None:
+def test_a_spec_that_does_not_match_its_class_is_rejected_with_the_invalid_field() -> None:
     driver = ControllerDriver()
     for cls, spec, field in (
         ("unknown", {}, "spec.class"),
@@ -89,7 +92,7 @@
         driver.submit("e")
 
 
-def test_a_job_that_is_not_accepted_leaves_nothing_behind() -> None:
+def test_a_rejected_submission_adds_no_tasks_and_no_offers() -> None:
     driver = ControllerDriver()
     first = driver.submit()
     with pytest.raises(ApiError):
@@ -98,7 +101,7 @@
     assert driver.job()["metadata"]["uid"] == first["metadata"]["uid"]
     task_table = driver.controller.context.task_table
     assert len(task_table.by_uid) + len(task_table.by_scheduler_id) <= 2
-    assert {sent.offer.task for sent in driver.of(SendOffer)} == {first["status"]["tasks"][0]["uid"]}
+    assert {sent.offer.task for sent in driver.intents_of(SendOffer)} == {first["status"]["tasks"][0]["uid"]}
 
 
 def test_a_client_token_finds_its_job_until_it_is_deleted() -> None:
@@ -115,8 +118,8 @@
 def test_a_large_job_does_not_delay_a_drain() -> None:
     driver = ControllerDriver()
     driver.submit(count=500, cores=0.01, memory=0.01)
-    assert len(driver.of(SendOffer)) <= 8
+    assert len(driver.intents_of(SendOffer)) <= 8
     driver.controller.cordon(driver.now, "n1", unschedulable=True)
     driver.advance(1.0)
-    assert {sent.host for sent in driver.of(SendOffer)[8:]} <= {"n0", "n2", "n3"}
-    assert len(driver.of(SendOffer)) == 500
+    assert {sent.host for sent in driver.intents_of(SendOffer)[8:]} <= {"n0", "n2", "n3"}
+    assert len(driver.intents_of(SendOffer)) == 500
--- a/tests/controllers.py
+++ b/tests/controllers.py
@@ -1,4 +1,4 @@
-"""A placer's controller with machines that answer as the test says."""
+"""A driver for the controller of a placer, with simulated machines that answer as a test specifies."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 from helpers import settings, task_class
-from machines import offer as an_offer
+from machines import offer as make_offer
 
 from kelpfront.api.jobs import JobSpec
 from kelpfront.api.meta import JOBS, MACHINES
@@ -22,7 +22,7 @@
 LOAD = wire.LoadReport(20.0, 40.0, 20.0, 40.0)
 
 
-def cluster(**changes: Any) -> Cluster:
+def make_cluster(**changes: Any) -> Cluster:
     classes = changes.pop("classes", None) or (
         task_class(Idempotency.IDEMPOTENT, name="web", deadline_ms=4000.0),
         task_class(
@@ -33,11 +33,11 @@
         ),
         task_class(Idempotency.NON_IDEMPOTENT, name="blend", deadline_ms=4000.0),
     )
-    plain = settings(*classes, max_attempts=4, **changes)
-    return Cluster(plain, ("small", "large"), lost_after_ms=5000.0)
+    scheduler_settings = settings(*classes, max_attempts=4, **changes)
+    return Cluster(scheduler_settings, ("small", "large"), lost_after_ms=5000.0)
 
 
-def hosts(count: int, rooms: int = 2) -> Inventory:
+def make_inventory(count: int, rooms: int = 2) -> Inventory:
     return Inventory(
         "test",
         {
@@ -48,19 +48,19 @@
 
 
 class ControllerDriver:
-    """Feeds a controller and keeps what it wants done."""
+    """Passes events to a controller and collects the intents that it returns."""
 
     def __init__(
         self,
         machines: int = 4,
-        its_cluster: Cluster | None = None,
+        cluster: Cluster | None = None,
         incarnation: str = "life-1",
         **options: Any,
     ) -> None:
         self.store = ResourceStore(0)
         uids = itertools.count(1)
         self.controller = JobController(
-            its_cluster or cluster(),
+            cluster or make_cluster(),
             self.store,
             ControllerIdentity("p0", incarnation, seed=7),
             lambda: f"uid{next(uids)}",
@@ -69,100 +69,102 @@
         self.now = 1_000_000.0
         self.intents: list[Intent] = []
         self.seq = {f"n{n}": 0 for n in range(machines)}
-        self.controller.apply_inventory(self.now, hosts(machines))
+        self.controller.apply_inventory(self.now, make_inventory(machines))
         for host in self.seq:
-            self.up(host)
+            self.connect(host)
         self.advance(1.0)
 
-    # ---- machines
+    # ---- Messages of machines
 
-    def tell(self, host: str, message: wire.StreamMessage) -> None:
+    def send_message(self, host: str, message: wire.StreamMessage) -> None:
         self.controller.on_machine_message(self.now, host, message)
         self.collect()
 
-    def up(self, host: str, boot: str = "boot-1", age_ms: float = 1e6, *, resumed: bool = False) -> None:
-        self.tell(host, wire.Hello(boot, age_ms, "small", 1000.0, resumed, self.seq[host] + 1))
-        self.beat(host)
+    def connect(self, host: str, boot: str = "boot-1", age_ms: float = 1e6, *, resumed: bool = False) -> None:
+        self.send_message(host, wire.Hello(boot, age_ms, "small", 1000.0, resumed, self.seq[host] + 1))
+        self.send_heartbeat(host)
 
-    def beat(self, host: str, state: Any = "ready", load: wire.LoadReport = LOAD) -> None:
-        self.tell(host, wire.Heartbeat(state, load))
+    def send_heartbeat(self, host: str, state: Any = "ready", load: wire.LoadReport = LOAD) -> None:
+        self.send_message(host, wire.Heartbeat(state, load))
 
-    def taken(self, host: str, uid: str, attempt: int = 0, *, running: bool = True) -> None:
+    def report_taken(self, host: str, uid: str, attempt: int = 0, *, running: bool = True) -> None:
         self.seq[host] += 1
-        self.tell(host, wire.Taken(self.seq[host], uid, attempt, running))
+        self.send_message(host, wire.Taken(self.seq[host], uid, attempt, running))
 
-    def gone(self, host: str, uid: str, attempt: int = 0, cause: Any = "ended", **more: Any) -> None:
+    def report_gone(self, host: str, uid: str, attempt: int = 0, cause: Any = "ended", **fields: Any) -> None:
         self.seq[host] += 1
-        self.tell(host, wire.Gone(self.seq[host], uid, attempt, cause, more.pop("ran", True), **more))
+        self.send_message(
+            host, wire.Gone(self.seq[host], uid, attempt, cause, fields.pop("ran", True), **fields)
+        )
 
-    def snapshot(self, host: str, *reports: wire.TaskReport) -> None:
-        self.tell(host, wire.Snapshot(self.seq[host], reports))
+    def send_snapshot(self, host: str, *reports: wire.TaskReport) -> None:
+        self.send_message(host, wire.Snapshot(self.seq[host], reports))
 
-    # ---- offers
+    # ---- Offers
 
     def clear(self, sent: SendOffer) -> bool:
         return self.controller.clear_to_send(self.now, sent.offer.task, sent.offer.attempt)
 
-    def answer(self, sent: SendOffer, answer: Any, reason: str = "", message: str = "") -> None:
+    def answer_offer(self, sent: SendOffer, answer: Any, reason: str = "", message: str = "") -> None:
         uid, attempt = sent.offer.task, sent.offer.attempt
         self.controller.on_offer_answered(self.now, uid, attempt, wire.Answer(answer, reason, message))
         self.collect()
 
-    def fail(self, sent: SendOffer) -> None:
+    def fail_offer(self, sent: SendOffer) -> None:
         self.controller.on_offer_failed(self.now, sent.offer.task, sent.offer.attempt, "broke")
         self.collect()
 
-    # ---- jobs
+    # ---- Jobs
 
     def submit(self, name: str = "a", cls: str = "web", received: float | None = None, **spec: Any) -> Any:
         if cls == "ingest":
             spec.setdefault("key", "batch")
-        its = JobSpec.model_validate({"class": cls, "service": "front", "cores": 1, "memory": 2, **spec})
-        at = self.now if received is None else received
-        stored = self.controller.submit(self.now, Submission("climate", name, its, {}, {}, at))
+        job_spec = JobSpec.model_validate({"class": cls, "service": "front", "cores": 1, "memory": 2, **spec})
+        received_at = self.now if received is None else received
+        stored = self.controller.submit(self.now, Submission("climate", name, job_spec, {}, {}, received_at))
         self.collect()
         return stored.body
 
-    def sent(self, name: str = "a", cls: str = "web", **spec: Any) -> SendOffer:
-        """Submit a job of one task and clear its first offer."""
+    def submit_and_clear(self, name: str = "a", cls: str = "web", **spec: Any) -> SendOffer:
+        """Submit a job of one task, and clear its first offer for sending."""
         self.submit(name, cls, **spec)
         sent = self.last_offer()
         assert self.clear(sent)
         return sent
 
     def last_offer(self) -> SendOffer:
-        sent: SendOffer = self.of(SendOffer)[-1]
+        sent: SendOffer = self.intents_of(SendOffer)[-1]
         return sent
 
     def next_offer(self, after: SendOffer) -> SendOffer:
-        """The offer that follows one, cleared; time passes until it comes."""
+        """Advance time until another offer follows `after`; return it, cleared for sending."""
         while self.last_offer() is after:
             assert self.now < after.offer.not_after + 10_000, "no further offer"
             self.advance(10.0)
         assert self.clear(self.last_offer())
         return self.last_offer()
 
-    def of(self, kind: Any) -> list[Any]:
+    def intents_of(self, kind: Any) -> list[Any]:
         return [intent for intent in self.intents if isinstance(intent, kind)]
 
     @property
     def stops(self) -> list[tuple[str, str, int]]:
-        return [(stop.host, stop.stop.task, stop.stop.attempt) for stop in self.of(SendStop)]
+        return [(stop.host, stop.stop.task, stop.stop.attempt) for stop in self.intents_of(SendStop)]
 
     @property
     def abandoned(self) -> list[tuple[str, str, int]]:
-        return [(a.host, a.task, a.attempt) for a in self.of(AbandonOffer)]
+        return [(offer.host, offer.task, offer.attempt) for offer in self.intents_of(AbandonOffer)]
 
     def collect(self) -> None:
         self.intents += self.controller.take_intents()
         self.controller.flush(self.now)
 
-    def advance(self, ms: float, *, beats: bool = True) -> None:
-        """Lets time pass by the controller's own timers; machines that are up go on telling."""
+    def advance(self, ms: float, *, heartbeats: bool = True) -> None:
+        """Advance time from timer to timer of the controller; connected machines stay in contact."""
         until = self.now + ms
-        while (at := self.controller.next_timer()) <= until:
-            self.now = max(self.now, at)
-            if beats:
+        while (due_at := self.controller.next_timer()) <= until:
+            self.now = max(self.now, due_at)
+            if heartbeats:
                 for entry in self.controller.registry.entries.values():
                     if entry.link_up:
                         self.controller.registry.record_contact(self.now, entry.name)
@@ -186,9 +188,13 @@
         return self.store.get(MACHINES, ("", host)).body
 
 
-def report(uid: str, phase: Any = "running", life: str = "life-0", attempt: int = 0, **more: Any) -> Any:
-    """A machine's report of a task of a job that an earlier life of the placer knew."""
-    job = more.pop("job", wire.JobRef("climate", "a", uid.rpartition("-")[0], int(uid.rpartition("-")[2]), 1))
-    cause = more.pop("cause", None)
-    its = an_offer(uid, attempt, job=job, service="climate/front", **more)
-    return wire.TaskReport(its, life, phase, cause)
+def task_report(
+    uid: str, phase: Any = "running", incarnation: str = "life-0", attempt: int = 0, **fields: Any
+) -> Any:
+    """Return a machine's report of a task that was offered by an earlier incarnation of the placer."""
+    job = fields.pop(
+        "job", wire.JobRef("climate", "a", uid.rpartition("-")[0], int(uid.rpartition("-")[2]), 1)
+    )
+    cause = fields.pop("cause", None)
+    offer = make_offer(uid, attempt, job=job, service="climate/front", **fields)
+    return wire.TaskReport(offer, incarnation, phase, cause)
