--- a/kelpfront/controller/attempts.py
+++ b/kelpfront/controller/attempts.py
@@ -143,17 +143,17 @@
         """Record that a placed task has ended."""
         context = self._context
         task = attempt.task
-        cause_outcome = CAUSE_OUTCOMES[end.cause]
+        meaning = CAUSE_OUTCOMES[end.cause]
         entry = context.registry.entries.get(attempt.host)
         if entry is not None:
             entry.task_count -= 1
         task.exit_code = end.exit_code
         task.cpu_s = end.cpu_s
         if not task.withdrawn:
-            lost_reason = MOVED if task.reason == MOVED else cause_outcome.lost_reason
+            lost_reason = MOVED if task.reason == MOVED else meaning.lost_reason
             self._record_final_state(now, attempt, lost_reason)
         closed = AttemptEnd(
-            cause_outcome.outcome, end.cause, cause_outcome.reason, message=end.message, task_finished=True
+            meaning.outcome, end.cause, meaning.reason, message=end.message, task_finished=True
         )
         self.close(now, attempt, closed)
         context.task_table.remove(task)
--- a/kelpfront/controller/reconciliation.py
+++ b/kelpfront/controller/reconciliation.py
@@ -140,7 +140,7 @@
     """Return the end of an attempt that the machine dropped before its answer was known."""
     if message.ran:
         return AttemptEnd(AttemptOutcome.ERROR, "error", message=message.message or message.cause)
-    cause_outcome = CAUSE_OUTCOMES[message.cause]
+    meaning = CAUSE_OUTCOMES[message.cause]
     return AttemptEnd(
-        AttemptOutcome.REJECTED, "refused", cause_outcome.reason, cause_outcome.lost_reason, message.message
+        AttemptOutcome.REJECTED, "refused", meaning.reason, meaning.lost_reason, message.message
     )
