--- a/kelpfront/scheduling/__init__.py
+++ b/kelpfront/scheduling/__init__.py
@@ -1,5 +1,5 @@
 """The scheduling decisions of one placer.
 
-`scheduler.Scheduler` takes the events of `events` in order and returns the actions of `actions`; `settings`
-holds what it is configured with. Pure Python without I/O, clock or third-party imports.
+`scheduler.Scheduler` handles the events of module `events` in order and returns actions of module `actions`;
+`settings` holds its configuration. Pure Python without I/O, clock or third-party imports.
 """
--- a/kelpfront/scheduling/actions.py
+++ b/kelpfront/scheduling/actions.py
@@ -1,6 +1,6 @@
-"""Actions that a scheduler returns, for its caller to carry out in the order given.
+"""Actions that the scheduler returns; the caller executes them in the order given.
 
-Plain data. Times are milliseconds on the clock of the events.
+Plain data. Times are in milliseconds on the clock of the events.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Bind:
-    """Offer the task to a machine. Attempts of a task are numbered 0, 1, 2 ... in this order.
+    """Offer the task to a machine. The attempts of a task are numbered 0, 1, 2 ... in the order of its binds.
 
-    An attempt of which nothing was sent `send_within_ms` from now, for want of a connection, must not be sent
-    any more and ends as NOT_SENT.
+    An attempt that is still unsent after `send_within_ms`, because no connection is available, must not be
+    sent any more and ends as NOT_SENT.
     """
 
     task: TaskId
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not placed, and a retry by the client is harmless."""
+    """Final answer: the task was not placed, and the client can safely submit it again."""
 
     task: TaskId
     retry_after_ms: float = 0.0
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: not placed as far as is known; the task may have been executed."""
+    """Final answer: no machine is known to have accepted the task, but it may have been executed."""
 
     task: TaskId
 
@@ -50,14 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Migrate:
-    """Stop a placed task, so that its client submits it again."""
+    """Stop a placed task so that its client submits it again."""
 
     task: TaskId
 
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Health-check a machine; it has failed after `timeout_ms` without an answer."""
+    """Health-check a machine; the check fails after `timeout_ms` without a response."""
 
     machine: MachineId
     timeout_ms: float = 0.0
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclareMachineLost:
-    """Count what runs on the machine as over: it has been unresponsive for too long."""
+    """Treat all tasks on the machine as ended: it has been unresponsive for too long."""
 
     machine: MachineId
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` with this token at the time `at`."""
+    """Request a `TimerFired` event with this token at the time `at`."""
 
     at: float
     token: int
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Watch the endpoint list, or stop watching it."""
+    """Start watching the endpoint list, or stop if `on` is false."""
 
     on: bool = True
 
@@ -95,9 +95,9 @@
     """Log that a machine was ejected.
 
     Attributes:
-        scope: name of the class for which it is ejected; empty for all classes.
-        cause: the outcome or symptom that led to it.
-        ejection_ms: for how long, unless it is prolonged.
+        scope: name of the class for which the machine is ejected; empty for all classes.
+        cause: the attempt outcome or symptom that caused the ejection.
+        ejection_ms: length of the ejection, unless it is prolonged later.
     """
 
     machine: MachineId
--- a/kelpfront/scheduling/attempts.py
+++ b/kelpfront/scheduling/attempts.py
@@ -1,7 +1,7 @@
-"""The table of open attempts: by key, by service, by machine, and those on machines that no list has named.
+"""The table of open attempts, indexed by key, service and machine, and those on machines not listed yet.
 
-Opening an attempt reserves what it takes of its machine. What the end of one says is for `feedback`, what
-follows for its task is for `retries`.
+Opening an attempt reserves its cores and memory on the machine. When an attempt ends, `feedback` updates the
+state of the machine, and `retries` decides what happens to the task.
 """
 
 from __future__ import annotations
@@ -43,13 +43,13 @@
         return attempts.values() if attempts is not None else ()
 
     def unaccepted_of(self, task: Task) -> list[Attempt]:
-        """Return the open attempts of a task that no machine has accepted."""
+        """Return the open attempts of a task that their machines have not accepted."""
         keys = (AttemptKey(task.id, number) for number in range(task.attempt_count))
         open_attempts = (self._attempts.get(key) for key in keys)
         return [attempt for attempt in open_attempts if attempt is not None and not attempt.is_accepted]
 
     def open(self, task: Task, machine: Machine) -> None:
-        """Open the next attempt of a task on a machine, and reserve what it takes there."""
+        """Open the next attempt of a task on a machine, and reserve its cores and memory there."""
         attempt = Attempt(task, task.attempt_count, machine, self._context.now)
         self._add(attempt)
         task.attempt_count += 1
@@ -59,21 +59,21 @@
         self._fleet.record_change(machine, task.cores, task.memory)
 
     def open_found(self, task: Task, machine_id: MachineId) -> None:
-        """Open attempt 0 of a task that runs already, maybe on a machine that the list names later."""
+        """Open attempt 0 of a task that already runs, possibly on a machine that is not listed yet."""
         attempt = Attempt(task, 0, self._fleet.get(machine_id), self._context.now, is_accepted=True)
         self._add(attempt)
         if attempt.machine is None:
             self._unlisted.setdefault(machine_id, []).append(attempt)
 
     def assign_unlisted(self, machine: Machine) -> None:
-        """Assign to a newly listed machine the tasks that were found there before."""
+        """Assign to a newly listed machine the attempts of tasks that were found there earlier."""
         for attempt in self._unlisted.pop(machine.id, []):
             if attempt.key in self._attempts:
                 attempt.machine = machine
                 self._add(attempt)
 
     def accept(self, key: AttemptKey) -> Attempt | None:
-        """Mark an attempt as accepted; return it, or None if it is not known or was accepted before."""
+        """Mark an attempt as accepted and return it; None if it is unknown or already accepted."""
         attempt = self._attempts.get(key)
         if attempt is None or attempt.is_accepted:
             return None
@@ -83,7 +83,7 @@
         return attempt
 
     def close(self, key: AttemptKey) -> Attempt | None:
-        """Remove an attempt that has ended; return it, or None if it is not known."""
+        """Remove an attempt that has ended and return it; None if it is unknown."""
         attempt = self._attempts.pop(key, None)
         if attempt is None:
             return None
--- a/kelpfront/scheduling/capacity.py
+++ b/kelpfront/scheduling/capacity.py
@@ -1,7 +1,7 @@
-"""Capacity by request: the filter for free capacity, and what rejections and acceptances say about it.
+"""Capacity by request: the filter for free capacity, adjusted by rejections and acceptances of offers.
 
-It keeps an estimate of the capacity that other placers have taken unobserved, and blocks for machines that
-rejected an offer. Capacity by use is in `utilization`.
+It estimates the capacity that other placers have reserved but the endpoint list does not show yet, and keeps
+blocks for machines that rejected an offer. Capacity by measured usage is in `utilization`.
 """
 
 from __future__ import annotations
@@ -12,13 +12,16 @@
 from kelpfront.scheduling.offer_backoff import OfferBackoff
 
 TARGET_REJECTED_SHARE = 0.3
-"""Of offers rejected for capacity: a rejection costs little, but so does a moment's wait."""
+"""Share of offers rejected for capacity at which the estimate settles.
+
+A rejection costs little, but so does a short wait.
+"""
 MAX_UNOBSERVED_SHARE = 0.25
-"""Of a machine's capacity that is taken to be gone already: more would leave capacity idle."""
+"""Upper bound of the estimate, as a share of a machine's capacity: a larger one would leave capacity idle."""
 
 
 class Capacity:
-    """Filters machines with capacity for a task by what is requested of them."""
+    """Filters machines that have capacity for a task, by the requests of the tasks placed on them."""
 
     def __init__(self, context: SchedulingContext, backoff: OfferBackoff) -> None:
         settings = context.settings
@@ -29,11 +32,11 @@
 
     @property
     def unobserved_share(self) -> float:
-        """The share of each machine's capacity that is taken to be gone already."""
+        """Estimated share of each machine's capacity that is in use but not shown in the endpoint list."""
         return self._unobserved_share
 
     def select(self, task: Task, machines: list[Machine]) -> list[Machine]:
-        """Return the machines with capacity for the task, that are not blocked for one as large."""
+        """Return the machines that have capacity for the task and are not blocked for its size."""
         settings = self._context.settings
         cores, memory = task.cores, task.memory
         free_share = 1 - self._unobserved_share
@@ -48,25 +51,28 @@
         ]
 
     def on_accepted(self) -> None:
-        """Learn that a machine had the capacity that its view showed."""
+        """Lower the estimate and the backoff: a machine had the capacity that the endpoint list showed."""
         share_step = self._unobserved_step * TARGET_REJECTED_SHARE / (1 - TARGET_REJECTED_SHARE)
         self._change_unobserved(-share_step)
         self._backoff.on_accepted()
 
     def on_rejected(self, task: Task, machine: Machine, reason: OutcomeReason) -> None:
-        """Learn that a view overstates capacity: nothing as large goes there until it could catch up."""
-        minimum = _blocked_minimum(task, reason)
-        if minimum:
+        """Block requests of this size on the machine until the endpoint list must show its real capacity.
+
+        A rejection for cores or memory also raises the estimate; every rejection raises the backoff.
+        """
+        min_request = _min_blocked_request(task, reason)
+        if min_request:
             self._change_unobserved(self._unobserved_step)
         now = self._context.now
-        earlier = machine.capacity_blocks.get(reason)
-        if earlier is not None and now < earlier.until:
-            minimum = min(minimum, earlier.minimum)
-        machine.capacity_blocks[reason] = CapacityBlock(now + VIEW_LAG_MS, minimum)
+        previous = machine.capacity_blocks.get(reason)
+        if previous is not None and now < previous.until:
+            min_request = min(min_request, previous.min_request)
+        machine.capacity_blocks[reason] = CapacityBlock(now + VIEW_LAG_MS, min_request)
         self._backoff.on_rejection()
 
     def _change_unobserved(self, step: float) -> None:
-        """Change the estimate; it settles where TARGET_REJECTED_SHARE of the offers are rejected."""
+        """Change the estimate; the steps balance when TARGET_REJECTED_SHARE of the offers are rejected."""
         changed = self._unobserved_share + step
         self._unobserved_share = min(MAX_UNOBSERVED_SHARE, max(0.0, changed))
 
@@ -76,13 +82,13 @@
             requested = task.memory if reason is OutcomeReason.NO_MEMORY else task.cores
             if now >= block.until:
                 del machine.capacity_blocks[reason]
-            elif requested >= block.minimum:
+            elif requested >= block.min_request:
                 return True
         return False
 
 
-def _blocked_minimum(task: Task, reason: OutcomeReason) -> float:
-    """Return from which request on a rejection blocks: from 0 on where too many offers wait there."""
+def _min_blocked_request(task: Task, reason: OutcomeReason) -> float:
+    """Return the smallest request that the rejection blocks; 0 blocks all, as for a full queue."""
     match reason:
         case OutcomeReason.NO_CORES:
             return task.cores
--- a/kelpfront/scheduling/constraints.py
+++ b/kelpfront/scheduling/constraints.py
@@ -1,6 +1,6 @@
-"""The filter for machines on which a task may start at all, whatever their load.
+"""The filter for machines on which a task may start, regardless of their load.
 
-It covers drains, slow start, the required kind, the spread over failure domains, and idempotency.
+It covers drains, slow start, the required machine kind, the spread over failure domains, and idempotency.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class SpreadCounts(NamedTuple):
-    """Open attempts of one service.
+    """Numbers of open attempts of one service.
 
     Attributes:
-        by_domain: on listed machines, by the number of the failure domain.
-        unlisted: on machines that no list has named yet.
+        by_domain: attempts on listed machines, by the id of the failure domain.
+        unlisted: attempts on machines that the endpoint list has not named yet.
     """
 
     by_domain: dict[int, int]
@@ -28,7 +28,7 @@
 
 
 class Constraints:
-    """Filters machines by what must hold for a task."""
+    """Filters machines by the hard constraints of a task."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
         if task.task_class.spread_domain is not FailureDomain.NONE:
             selected = self._select_by_spread(task, selected)
         if task.possibly_executed:
-            selected = [m for m in selected if self._idempotency.may_repeat_on(task, m)]
+            selected = [m for m in selected if self._idempotency.may_retry_on(task, m)]
         return selected
 
     def spread_counts(self, task: Task) -> SpreadCounts:
@@ -70,9 +70,9 @@
         return SpreadCounts(by_domain, unlisted)
 
     def _select_by_spread(self, task: Task, machines: list[Machine]) -> list[Machine]:
-        """Return the machines in whose failure domain the service may run one more task.
+        """Return the machines whose failure domain may run one more task of the service.
 
-        A task found on a machine that is not listed yet may be in any domain, so it counts in each.
+        A task found on a machine that is not listed yet may be in any domain, so it counts in every domain.
         """
         domain = task.task_class.spread_domain
         counts = self.spread_counts(task)
--- a/kelpfront/scheduling/context.py
+++ b/kelpfront/scheduling/context.py
@@ -1,6 +1,6 @@
-"""What all parts of one scheduler share while an event is handled: settings, time, randomness and actions.
+"""State shared by all components of one scheduler: settings, time, randomness and pending actions.
 
-It decides nothing. Parts read the time of the event here and add the actions that the event leads to.
+It makes no decisions. Components read the time of the current event here and add the resulting actions.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class SchedulingContext:
-    """Settings, the time of the event that is handled, and the actions that it has led to so far.
+    """Settings, the time of the current event, and the actions that it has caused so far.
 
     Attributes:
-        settings: what the scheduler was told when it started.
+        settings: the settings that the scheduler was created with.
         random: the only source of randomness, seeded by the caller.
-        now: time of the present event in milliseconds; it never goes back.
+        now: time of the current event in milliseconds; never decreases.
     """
 
     __slots__ = ("_actions", "now", "random", "settings")
@@ -29,14 +29,14 @@
         self._actions: list[SchedulerAction] = []
 
     def advance(self, now: float) -> None:
-        """Move on to the time of the next event."""
+        """Advance the clock to the time of the next event."""
         self.now = max(now, self.now)
 
     def emit(self, action: SchedulerAction) -> None:
-        """Add an action; the caller carries actions out in the order in which they were added."""
+        """Add an action; the caller executes actions in the order in which they were added."""
         self._actions.append(action)
 
     def take_actions(self) -> list[SchedulerAction]:
-        """Return the actions added since the last call, in their order."""
+        """Return and clear the actions added since the last call, in order."""
         actions, self._actions = self._actions, []
         return actions
--- a/kelpfront/scheduling/endpoints.py
+++ b/kelpfront/scheduling/endpoints.py
@@ -1,7 +1,7 @@
-"""The endpoint list: subscribing to it, polls that failed, and what its updates say of machines.
+"""The endpoint list: subscribing to it, retrying failed polls, and applying its updates.
 
-It keeps `fleet` in step with the list. What other parts keep of a machine that is new, back or restarted is
-reset here by their own methods.
+It synchronizes `fleet` with the list. For a machine that is new, has returned or was restarted, it calls the
+methods of other components that reset their state of that machine.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from kelpfront.scheduling.slow_start import SlowStart
 from kelpfront.scheduling.timer_tokens import TimerKind, encode_token
 
-FIRST_BACKOFF_DIVISOR = 16
-"""The backoff before the first is the longest one divided by this; each failed poll doubles it."""
+BASE_BACKOFF_DIVISOR = 16
+"""The base of the backoff is its maximum divided by this; each failed poll, even the first, doubles it."""
 
 
 class EndpointUpdates:
-    """Applies the endpoint list to the fleet, and asks for the list where it has to be asked for."""
+    """Applies the endpoint list to the fleet, and requests the list in deployments that require a request."""
 
     def __init__(
         self,
@@ -43,23 +43,23 @@
         self._failed_polls = 0
 
     def subscribe(self) -> None:
-        """Ask for the endpoint list."""
+        """Request the endpoint list."""
         self._is_subscribing = True
         self._context.emit(Subscribe(on=True))
 
     def on_poll_failed(self) -> None:
-        """Ask anew after a backoff that doubles, with randomness in it, well inside the time to poll."""
+        """Schedule the next request, with exponential backoff and jitter, well within the poll deadline."""
         settings = self._context.settings
         self._is_subscribing = False
         self._failed_polls += 1
         max_backoff_ms = settings.endpoint_poll_within_ms / 2 or VIEW_LAG_MS
-        backoff_ms = min(max_backoff_ms, max_backoff_ms / FIRST_BACKOFF_DIVISOR * 2**self._failed_polls)
+        backoff_ms = min(max_backoff_ms, max_backoff_ms / BASE_BACKOFF_DIVISOR * 2**self._failed_polls)
         jitter = 0.5 + self._context.random.random() / 2
         poll_at = self._context.now + backoff_ms * jitter
         self._context.emit(SetTimer(poll_at, encode_token(TimerKind.POLL_ENDPOINT_LIST)))
 
     def on_poll_timer(self) -> None:
-        """Ask anew, unless the list has come in the meantime."""
+        """Request the list again, unless it has arrived in the meantime."""
         if self._failed_polls and not self._is_subscribing:
             self.subscribe()
 
@@ -77,12 +77,12 @@
         self._fleet.remove(removed)
 
     def _mark_missing_removed(self, event: EndpointList) -> None:
-        """Mark as removed the machines that a whole list does not name."""
-        named = {endpoint.id for endpoint in event.endpoints}
+        """Mark machines as removed that are missing from a complete list."""
+        listed_ids = {endpoint.id for endpoint in event.endpoints}
         missing = [
             m
             for m in self._fleet.machines.values()
-            if m.id not in named and m.endpoint.state is not MachineState.REMOVED
+            if m.id not in listed_ids and m.endpoint.state is not MachineState.REMOVED
         ]
         for machine in missing:
             machine.apply_endpoint(replace(machine.endpoint, state=MachineState.REMOVED))
@@ -90,7 +90,7 @@
             self._fleet.update_ready()
 
     def _apply(self, endpoint: Endpoint) -> None:
-        """Apply one entry; an entry that makes no sense changes nothing."""
+        """Apply one entry; an entry with an unknown kind or non-finite values is ignored."""
         is_known_kind = 0 <= endpoint.kind < len(self._context.settings.kind_cores)
         is_finite = math.isfinite(endpoint.free_cores) and math.isfinite(endpoint.free_memory)
         if not (is_known_kind and is_finite):
@@ -108,7 +108,7 @@
         settings = self._context.settings
         cores, memory = settings.kind_cores[endpoint.kind], settings.kind_memory[endpoint.kind]
         machine = Machine(endpoint.id, endpoint, cores, memory)
-        self._slow_start.withhold_present_slot(machine)
+        self._slow_start.withhold_current_slot(machine)
         machine.apply_endpoint(endpoint)
         self._fleet.add(machine)
         self._attempts.assign_unlisted(machine)
@@ -118,8 +118,8 @@
     def _update(self, machine: Machine, endpoint: Endpoint) -> None:
         was_ready = machine.is_ready
         is_restarted = endpoint.started_at > machine.endpoint.started_at
-        is_back = endpoint.state is MachineState.READY and not was_ready
-        if is_restarted or is_back:
+        has_returned = endpoint.state is MachineState.READY and not was_ready
+        if is_restarted or has_returned:
             self._guardrails.reset_counters(machine)
         if is_restarted:
             machine.reset_incarnation()
@@ -128,6 +128,6 @@
             self._fleet.update_ready()
 
     def _is_empty(self, machine: Machine) -> bool:
-        """Return whether a list newer than the last offer shows the machine empty, without own attempts."""
+        """Return whether the machine is listed as empty, without an open attempt or an offer right now."""
         is_listed_empty = machine.endpoint.free_cores >= machine.cores
         return is_listed_empty and not machine.open_attempts and self._context.now > machine.last_offer_at
--- a/kelpfront/scheduling/events.py
+++ b/kelpfront/scheduling/events.py
@@ -1,6 +1,6 @@
-"""Events that a scheduler is told: tasks, the endpoint list, outcomes of attempts, timers, health checks.
+"""Events that a scheduler handles: tasks, the endpoint list, outcomes of attempts, timers, health checks.
 
-Plain data. Times are milliseconds on one clock that never goes back; cores and memory are in the units of the
+Plain data. Times are in milliseconds on one monotonic clock; cores and memory are in the units of the
 deployment.
 """
 
@@ -22,7 +22,7 @@
 
 
 class EndpointListKind(IntEnum):
-    """What an endpoint list holds: changes only, all machines, all as last known, or a poll that failed."""
+    """Content of an endpoint list: changes, all machines, all from a cache, or nothing (the poll failed)."""
 
     CHANGES = 0
     FULL = 1
@@ -44,11 +44,11 @@
 
 
 NOT_EXECUTED = frozenset({AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT})
-"""Outcomes which prove that the attempt was not executed."""
+"""Outcomes that prove that the attempt was not executed."""
 
 
 class OutcomeReason(IntEnum):
-    """Why an attempt ended, where the machine says so."""
+    """Why an attempt ended, as reported by the machine."""
 
     UNSPECIFIED = 0
     NO_CORES = 1
@@ -61,11 +61,11 @@
 
 
 STOPPED_WHILE_RUNNING = frozenset({OutcomeReason.EVICTED, OutcomeReason.PREEMPTED, OutcomeReason.DRAINED})
-"""Reasons of a machine that stops a task which runs there."""
+"""Reasons why a machine stops a running task."""
 
 
 class StatusTopic(IntEnum):
-    """What a status report on a running attempt is about."""
+    """Subject of a status report on a running attempt."""
 
     RUNNING = 1
     CORES_USED = 2
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A machine's own report of its load; what it does not report is None."""
+    """A machine's report of its own load; values that it does not report are None."""
 
     free_cores: float | None = None
     free_memory: float | None = None
@@ -109,12 +109,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListStale:
-    """Discovery has gone silent: what it withholds, a drain perhaps, counts as notified from now on."""
+    """Discovery does not respond. Changes that it cannot deliver, such as drains, now count as notified."""
 
 
 @dataclass(frozen=True, slots=True)
 class TaskArrived:
-    """A task to be placed; exactly one final answer is due within `timeout_ms`."""
+    """A task has to be placed; exactly one final answer is due within `timeout_ms`."""
 
     task: TaskId
     class_index: int
@@ -127,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskFound:
-    """A task that runs already and is this placer's from now on; attempt 0 counts as made."""
+    """A task that already runs is assigned to this placer; its attempt 0 is open."""
 
     task: TaskId
     class_index: int
@@ -152,10 +152,10 @@
     """An attempt has ended.
 
     Attributes:
-        task_finished: whether the task itself is over, so that nothing more is due for it.
+        task_finished: whether the task itself has ended, so that it needs no attempt or answer any more.
         elapsed_ms: time since the attempt was sent.
-        client_trusted: whether machines have accepted tasks of this client before; where not, an error may
-            be the client's own fault.
+        client_trusted: whether machines have accepted tasks of this client before; if not, an error may be
+            the client's own fault.
     """
 
     task: TaskId
@@ -189,7 +189,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set by `actions.SetTimer` has fired."""
+    """A timer set by `actions.SetTimer` has fired."""
 
     token: int
 
@@ -199,7 +199,8 @@
     """The result of a health check.
 
     Attributes:
-        no_response: whether nothing came from the machine; one that answers as unhealthy is reachable.
+        no_response: whether nothing was received from the machine; one that reports itself unhealthy is
+            reachable.
     """
 
     machine: MachineId
@@ -211,10 +212,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LivenessObserved:
-    """Failure detectors had answers from the machines to what they sent at `sent_at` or later.
+    """Failure detectors received responses from the machines to messages sent at `sent_at` or later.
 
     Attributes:
-        check_anyway: whether this placer should health-check the machines nevertheless.
+        check_anyway: whether this placer should health-check the machines regardless.
     """
 
     machines: tuple[MachineId, ...]
--- a/kelpfront/scheduling/feedback.py
+++ b/kelpfront/scheduling/feedback.py
@@ -1,6 +1,6 @@
-"""What the attempts on a machine say of it: contact, drains, capacity, failures, use.
+"""Feedback about a machine from its attempts: contact, drains, capacity, failures and usage.
 
-It hands what it learns to the part that keeps it. What follows for the task of an attempt is for `retries`.
+It is passed on to the components that use it. `retries` decides what happens to the task of an attempt.
 """
 
 from __future__ import annotations
@@ -25,8 +25,11 @@
 from kelpfront.scheduling.utilization import Utilization
 
 MAX_DRAINING_MS = MACHINE_LOST_AFTER_MS
-"""How long a machine's own word that it drains counts: by then the endpoint list must have said so."""
-WITHOUT_CONTACT = frozenset(
+"""How long a machine counts as draining after it ended an attempt with the reason DRAINED.
+
+By then the endpoint list must show the drain.
+"""
+OUTCOMES_WITHOUT_CONTACT = frozenset(
     {
         AttemptOutcome.TIMED_OUT,
         AttemptOutcome.UNREACHABLE,
@@ -34,11 +37,11 @@
         AttemptOutcome.CANCELLED,
     }
 )
-"""Outcomes at which nothing was received from the machine."""
+"""Outcomes for which nothing was received from the machine."""
 
 
 class AttemptFeedback:
-    """Learns from acceptances and ends of attempts."""
+    """Updates the state of machines when their attempts are accepted or end."""
 
     def __init__(
         self, context: SchedulingContext, fleet: Fleet, capacity: Capacity, outliers: OutlierDetector
@@ -49,7 +52,7 @@
         self._outliers = outliers
 
     def on_accepted(self, attempt: Attempt) -> None:
-        """Learn from a machine that accepts an attempt."""
+        """Record free capacity and contact, and a success if machines accept tasks only once they run."""
         self._capacity.on_accepted()
         machine = attempt.machine
         if machine is None:
@@ -59,16 +62,16 @@
             self._outliers.record_success(machine, attempt.task.task_class)
 
     def on_closed(self, attempt: Attempt, event: AttemptClosed) -> None:
-        """Learn from the end of an attempt."""
+        """Record contact, freed capacity, a drain, a failure or a rejection when an attempt ends."""
         machine = attempt.machine
         if machine is None:
             return
         now, task = self._context.now, attempt.task
-        if event.outcome not in WITHOUT_CONTACT:
+        if event.outcome not in OUTCOMES_WITHOUT_CONTACT:
             machine.last_contact_at = now
         if attempt.is_accepted or event.outcome in NOT_EXECUTED:
             self._fleet.record_change(machine, -task.cores, -task.memory)
-        if event.reason is OutcomeReason.DRAINED:  # in an outage nothing else says that it drains
+        if event.reason is OutcomeReason.DRAINED:  # while discovery is down nothing else reports the drain
             machine.draining_until = now + MAX_DRAINING_MS
         self._outliers.record_outcome(attempt, machine, event)
         if event.outcome is AttemptOutcome.REJECTED:
@@ -82,7 +85,7 @@
 
 
 class StatusReports:
-    """Learns from machines' status reports on running attempts."""
+    """Handles machines' status reports on running attempts."""
 
     def __init__(
         self,
@@ -97,7 +100,7 @@
         self._migrations = migrations
 
     def on_reported(self, attempt: Attempt, event: TaskStatusReported) -> None:
-        """Learn from a report on an open attempt; a value that is not finite says nothing."""
+        """Handle a report on an open attempt; a value that is not finite is ignored."""
         machine, task = attempt.machine, attempt.task
         if machine is None or not math.isfinite(event.value):
             return
@@ -107,8 +110,8 @@
             case StatusTopic.RUNNING:
                 self._outliers.record_success(machine, task.task_class)
             case StatusTopic.SERVICE:
-                self._migrations.consider(attempt, machine, event.value)
+                self._migrations.migrate_if_underserved(attempt, machine, event.value)
             case StatusTopic.CORES_USED:
-                self._utilization.learn_cores(task, event.value)
+                self._utilization.record_core_usage(task, event.value)
             case StatusTopic.MEMORY_USED:
-                self._utilization.learn_memory(task, event.value)
+                self._utilization.record_memory_usage(task, event.value)
--- a/kelpfront/scheduling/filters.py
+++ b/kelpfront/scheduling/filters.py
@@ -1,7 +1,7 @@
-"""The filters in their order: constraints, capacity by request, ejected machines, capacity by use.
+"""The order of the filters: constraints, capacity by request, outlier detection, capacity by usage.
 
-Each filter is an object with a method `select(task, machines)`; here is how they are combined. Which of the
-machines that pass gets the task is decided by `placement`.
+Each filter is an object with a method `select(task, machines)`; this module combines them. `placement`
+decides which of the machines that pass gets the task.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from kelpfront.scheduling.model import Machine, Task
 
 FIRST_BATCH_SIZE = 8
-"""Machines that are filtered before more are."""
+"""Number of machines in the first batch that is filtered; each further batch doubles."""
 
 
 class Filter(Protocol):
-    """One condition on machines."""
+    """A condition that machines must meet for a task."""
 
     def select(self, task: Task, machines: list[Machine]) -> list[Machine]:
-        """Return the machines that meet the condition for the task, in their order."""
+        """Return the machines that meet the condition for the task, in the order given."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,16 +29,16 @@
     """Machines that may get a task.
 
     Attributes:
-        passing: those that pass the filters.
-        uncrowded: those of them that also have capacity by use.
+        passing: machines that pass the filters.
+        unsaturated: the subset of `passing` that also has capacity by usage.
     """
 
     passing: list[Machine]
-    uncrowded: list[Machine]
+    unsaturated: list[Machine]
 
 
 class Filters:
-    """Combines the filters, for the ordinary case and for a fleet that has little left."""
+    """Combines the filters, for the usual case and for a fleet with little capacity left."""
 
     def __init__(
         self,
@@ -55,11 +55,11 @@
         self._machines_preempt = context.settings.machines_preempt
         self._lowest_priority = min(cls.priority for cls in context.settings.classes)
 
-    def uncrowded_in_order(self, task: Task, machines: list[Machine]) -> Iterator[Machine]:
+    def unsaturated_in_order(self, task: Task, machines: list[Machine]) -> Iterator[Machine]:
         """Yield the machines that pass all filters, in the order given.
 
-        They are filtered in batches that double: most often one of the first few will do, and a placer that
-        filters all machines for each task falls behind with hundreds of them.
+        They are filtered in batches of doubling size. Usually one of the first few machines is chosen, and a
+        placer that filters all machines for each task falls behind in a fleet of hundreds.
         """
         start = 0
         size = FIRST_BATCH_SIZE
@@ -72,10 +72,11 @@
             yield from self._utilization.select(task, _not_attempted(task, healthy))
 
     def candidates(self, task: Task, machines: list[Machine]) -> Candidates:
-        """Return the machines that may get the task where none or few pass all filters.
+        """Return the machines that may get the task when few or none pass all filters.
 
-        Machines where the task was attempted, and ejected ones, come last. A task of the lowest priority
-        waits where it would crowd others: it takes more than it gains.
+        Machines where the task was attempted before, and ejected ones, are used only if no others are left.
+        A task of the lowest priority waits rather than overload a machine: it would cost the tasks there more
+        than it gains.
         """
         is_lowest = task.task_class.priority == self._lowest_priority
         allowed = self._constraints.select(task, machines)
@@ -85,11 +86,11 @@
             allowed = with_capacity
         healthy = self._outliers.select(task, allowed)
         fresh = _not_attempted(task, healthy)
-        uncrowded = self._utilization.select(task, fresh)
-        if uncrowded or (is_lowest and not task.possibly_executed):
-            return Candidates(uncrowded, uncrowded)
+        unsaturated = self._utilization.select(task, fresh)
+        if unsaturated or (is_lowest and not task.possibly_executed):
+            return Candidates(unsaturated, unsaturated)
         if fresh:
-            return Candidates(fresh, uncrowded)
+            return Candidates(fresh, unsaturated)
         passing = healthy or [m for m in allowed if m.unaccepted_count == 0]
         return Candidates(passing, self._utilization.select(task, passing))
 
--- a/kelpfront/scheduling/fleet.py
+++ b/kelpfront/scheduling/fleet.py
@@ -1,6 +1,6 @@
-"""The machines that a scheduler knows, which of them are ready, and when own changes to them expire.
+"""The machines that a scheduler knows, which of them are ready, and when its capacity changes expire.
 
-It holds state that several parts read. What the endpoint list says is applied by `endpoints`.
+It holds state that several components read. `endpoints` applies the endpoint list to it.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
     """All known machines.
 
     Attributes:
-        machines: by id, those that are only kept until their last attempt ends included.
-        ready: machines that the list names ready; a new list object whenever the set changes.
-        ready_cores: the sum of their cores.
+        machines: all machines by id, including removed ones that still have open attempts.
+        ready: machines that the endpoint list shows as ready; replaced by a new list on every change.
+        ready_cores: sum of the cores of the ready machines.
     """
 
     def __init__(self, context: SchedulingContext) -> None:
@@ -40,27 +40,27 @@
         return self.machines.get(machine)
 
     def add(self, machine: Machine) -> None:
-        """Add a machine that the endpoint list names for the first time."""
+        """Add a machine that is new in the endpoint list."""
         self.machines[machine.id] = machine
         self.update_ready()
 
     def remove(self, machines: Iterable[Machine]) -> None:
-        """Forget machines that are removed from the endpoint list and hold no attempts."""
+        """Delete machines that were removed from the endpoint list and have no open attempts."""
         for machine in machines:
             del self.machines[machine.id]
 
     def update_ready(self) -> None:
-        """Collect the ready machines again after the state of one has changed."""
+        """Rebuild the list of ready machines after the state of one has changed."""
         self.ready = [m for m in self.machines.values() if m.is_ready]
         self.ready_cores = sum(m.cores for m in self.ready)
 
     def record_change(self, machine: Machine, cores: float, memory: float) -> None:
-        """Add an own change of a machine's requested capacity, until the endpoint list must show it."""
+        """Add a change by this scheduler to a machine's requested capacity, until the list must show it."""
         machine.record_change(self._context.now, cores, memory)
         self._expiries.append(_PendingExpiry(self._context.now, machine))
 
     def expire_changes(self) -> None:
-        """Drop own changes that the endpoint list shows by now."""
+        """Drop the changes by this scheduler that the endpoint list shows by now."""
         now = self._context.now
         while self._expiries and self._expiries[0].changed_at <= now - VIEW_LAG_MS:
             self._expiries.popleft().machine.expire_changes(now)
--- a/kelpfront/scheduling/health_checks.py
+++ b/kelpfront/scheduling/health_checks.py
@@ -1,7 +1,8 @@
-"""Health checks of machines that hold own tasks and are silent, and what missed ones lead to.
+"""Health checks of silent machines that hold attempts of this placer, and the reaction to missed checks.
 
-A machine that is cut off keeps its connections open, so only silence shows it. A missed check ejects the
-machine, two cancel what may be repeated elsewhere, three and a time limit declare it lost.
+The connections of a partitioned machine stay open, so only its silence reveals the partition. One missed
+check ejects the machine. Two cancel its unaccepted attempts that may be retried elsewhere. Three declare it
+lost, if it has also been silent for a minimum time.
 """
 
 from __future__ import annotations
@@ -16,25 +17,31 @@
 from kelpfront.scheduling.timer_tokens import TimerKind, encode_token
 
 MAX_SILENCE_MS = 1000.0
-"""A machine that owes an answer is checked after so long without contact."""
+"""A machine with an unanswered offer is checked after this time without contact."""
 SCAN_INTERVAL_MS = MAX_SILENCE_MS / 2
-"""How often silent machines are looked for, while any machine holds an attempt."""
+"""Interval of the scan for silent machines, while any machine holds an attempt."""
 MACHINE_LOST_AFTER_MS = 7000.0
-"""Silent for so long, what runs there is over: clients are notified within 8 s of its end."""
+"""After this time of silence the tasks on a machine count as ended.
+
+Clients must be notified within 8 s of the end of their tasks.
+"""
 HEALTH_CHECK_TIMEOUT_MS = 600.0
-"""For the answer: a health check waits in the same queue as offers."""
+"""Time-out of the response: a health check waits in the same queue as offers."""
 MAX_HEALTH_CHECK_COST_SHARE = 0.004
-"""Of all utility earned, where losses are notified anyway and a check only shortens the wait."""
+"""Maximum cost of health checks, as a share of the utility earned, at one unit for each offer.
+
+It applies where the placer is notified of lost machines anyway and a check only shortens the wait.
+"""
 MISSED_CHECKS_BEFORE_CANCEL = 2
-"""What waits there may go elsewhere; one missed check may be one lost message."""
+"""Missed checks after which unaccepted attempts are cancelled; a single one may be just a lost message."""
 MISSED_CHECKS_BEFORE_LOST = 3
-"""What runs there is lost, without waiting for the endpoint list to say so."""
-LAST_CHECKS_MS = MISSED_CHECKS_BEFORE_LOST * HEALTH_CHECK_TIMEOUT_MS
-"""The time that the checks before a loss take."""
+"""Missed checks after which a machine may be declared lost before the endpoint list shows it."""
+CHECKS_BEFORE_LOSS_MS = MISSED_CHECKS_BEFORE_LOST * HEALTH_CHECK_TIMEOUT_MS
+"""Duration of the checks that precede the loss of a machine."""
 
 
 class HealthChecks:
-    """Checks silent machines, and acts on the answers and on their absence."""
+    """Checks silent machines, and acts on responses and missed checks."""
 
     def __init__(self, context: SchedulingContext, fleet: Fleet, outliers: OutlierDetector) -> None:
         self._context = context
@@ -45,17 +52,17 @@
         self._offer_count = 0
 
     def count_offer(self) -> None:
-        """Count an offer: what health checks may cost is a share of what offers earn."""
+        """Count an offer: the budget of health checks is proportional to the number of offers."""
         self._offer_count += 1
 
     def on_attempt_opened(self, machine: Machine) -> None:
-        """Start to expect contact from a machine that held no attempt before."""
+        """Start to measure the silence of a machine that held no attempt before."""
         if not machine.open_attempts:
             machine.last_contact_at = self._context.now
             machine.missed_health_checks = 0
 
     def schedule_scan(self) -> None:
-        """Set the timer of the next scan, unless it is set already."""
+        """Set the timer of the next scan, unless it is already set."""
         if self._context.settings.health_checks_allowed and not self._is_scan_scheduled:
             self._is_scan_scheduled = True
             scan_at = self._context.now + SCAN_INTERVAL_MS
@@ -69,14 +76,14 @@
         for machine in holding:
             if machine.is_being_checked or now < self._check_due_at(machine):
                 continue
-            if self._are_checks_over_budget():
+            if self._is_check_budget_exhausted():
                 break
             self._check(machine)
         if holding:
             self.schedule_scan()
 
     def on_observation(self, event: LivenessObserved) -> None:
-        """Take over what failure detectors observed: it only puts off checks, and when a machine is lost."""
+        """Apply an observation by failure detectors; it can only postpone checks and losses of machines."""
         for machine_id in event.machines:
             machine = self._fleet.get(machine_id)
             if machine is not None:
@@ -90,7 +97,7 @@
         now = self._context.now
         machine.end_health_check(now)
         if not event.no_response:
-            # A failed check is contact too: overloaded machines fail checks, and answer what they owe.
+            # A failed check is contact too: overloaded machines fail checks but still answer offers.
             machine.last_contact_at = now
         if now < machine.last_contact_at + HEALTH_CHECK_TIMEOUT_MS:
             machine.missed_health_checks = 0
@@ -104,7 +111,7 @@
         lost_at = machine.last_alive_at + MACHINE_LOST_AFTER_MS
         missed = machine.missed_health_checks
         if missed >= MISSED_CHECKS_BEFORE_CANCEL and settings.cancellation_allowed:
-            self._cancel_repeatable(machine)
+            self._cancel_retryable(machine)
         if missed >= MISSED_CHECKS_BEFORE_LOST and now >= lost_at:
             if not settings.machine_loss_notified:
                 machine.missed_health_checks = 0
@@ -112,28 +119,28 @@
         elif missed < MISSED_CHECKS_BEFORE_CANCEL or now >= lost_at - 2 * HEALTH_CHECK_TIMEOUT_MS:
             self._check(machine)
 
-    def _cancel_repeatable(self, machine: Machine) -> None:
+    def _cancel_retryable(self, machine: Machine) -> None:
         for attempt in machine.open_attempts.values():
-            is_repeatable = attempt.task.task_class.idempotency is not Idempotency.NON_IDEMPOTENT
-            if is_repeatable and not attempt.is_accepted:
+            is_retryable = attempt.task.task_class.idempotency is not Idempotency.NON_IDEMPOTENT
+            if is_retryable and not attempt.is_accepted:
                 self._context.emit(CancelAttempt(attempt.task.id, attempt.number))
 
-    def _are_checks_over_budget(self) -> bool:
+    def _is_check_budget_exhausted(self) -> bool:
         settings = self._context.settings
         cost = settings.prices.health_check * self._check_count
         return settings.machine_loss_notified and cost > MAX_HEALTH_CHECK_COST_SHARE * self._offer_count
 
     def _check_due_at(self, machine: Machine) -> float:
-        """Return when a machine is checked: soon where it owes an answer, else in time to declare it lost."""
+        """Return when a machine is checked: soon if an offer is unanswered, else in time to detect a loss."""
         if machine.missed_health_checks:
             return machine.silent_since + MACHINE_LOST_AFTER_MS - HEALTH_CHECK_TIMEOUT_MS
-        # Not each second: all machines hold tasks of each placer, and sixteen placers sent more health checks
-        # than offers.
-        latest = machine.silent_since + MACHINE_LOST_AFTER_MS - LAST_CHECKS_MS - SCAN_INTERVAL_MS
+        # With a check every second, sixteen placers sent more health checks than offers, because every
+        # machine holds tasks of every placer.
+        latest = machine.silent_since + MACHINE_LOST_AFTER_MS - CHECKS_BEFORE_LOSS_MS - SCAN_INTERVAL_MS
         if not machine.unaccepted_count:
             return latest
         unaccepted_since = [a.sent_at for a in machine.open_attempts.values() if not a.is_accepted]
-        if not unaccepted_since:  # an id that was used again hides the attempt of the earlier task
+        if not unaccepted_since:  # a reused task id replaced the counted attempt of an earlier task
             return latest
         return min(latest, max(machine.last_contact_at, min(unaccepted_since)) + MAX_SILENCE_MS)
 
--- a/kelpfront/scheduling/model.py
+++ b/kelpfront/scheduling/model.py
@@ -1,7 +1,7 @@
-"""The records of machines, tasks and attempts that the parts of a scheduler work on.
+"""The records of machines, tasks and attempts that the components of a scheduler share.
 
-Nothing is decided here. Times are milliseconds on the clock of the events; cores and memory are in the units
-of the deployment. A machine's fields stand in groups, each with the module that changes them.
+They make no decisions. Times are in milliseconds on the clock of the events; cores and memory are in the
+units of the deployment. A module name in parentheses after an attribute is the module that changes it.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from kelpfront.scheduling.settings import FailureDomain, TaskClass
 
 VIEW_LAG_MS = 1500.0
-"""How long an own offer may be missing from the endpoint list: reports, the list and the network are late."""
+"""Maximum time until the endpoint list shows an offer: the delay of reports, the list and the network."""
 
 
 class AttemptKey(NamedTuple):
-    """A task and the number of one of its attempts."""
+    """The id of a task and the number of one of its attempts."""
 
     task: TaskId
     number: int
 
 
 class CapacityChange(NamedTuple):
-    """What one offer or one end of an attempt changed of the requested capacity of a machine."""
+    """The change of a machine's requested capacity by one offer or by the end of one attempt."""
 
     at: float
     cores: float
@@ -35,24 +35,24 @@
 
 @dataclass(frozen=True, slots=True)
 class CapacityBlock:
-    """A machine has rejected offers for want of capacity: it gets none as large until a time.
+    """A block on offers to a machine that rejected an offer for lack of capacity.
 
     Attributes:
         until: when the block ends.
-        minimum: the smallest request that is blocked, in cores or memory by the reason of the rejection.
+        min_request: the smallest request that is blocked, in memory for NO_MEMORY and otherwise in cores.
     """
 
     until: float
-    minimum: float
+    min_request: float
 
 
 @dataclass(slots=True, eq=False)
 class OutlierRecord:
-    """Failures of a machine, for one class of tasks or for all, and its ejection.
+    """Failures and ejection of a machine, for one class of tasks or for all.
 
     Attributes:
-        failure_score: recent failures, less what successes took off.
-        ejection_ms: length of the last ejection, which the next one doubles.
+        failure_score: weighted count of recent failures; each success halves it.
+        ejection_ms: length of the last ejection; the next one doubles it, and a success halves it.
         ejected_until: when the last ejection ends.
     """
 
@@ -63,26 +63,30 @@
 
 @dataclass(slots=True, eq=False)
 class Machine:
-    """A machine as the endpoint list, its answers and this scheduler's own offers show it.
+    """A machine as seen through the endpoint list, its responses and this scheduler's offers.
 
     Attributes:
-        requested_cores: cores requested there: the list's figure, with own changes that it cannot show yet.
-        requested_memory: the same of memory.
+        requested_cores: cores requested on the machine: the listed value plus this scheduler's changes that
+            the list cannot show yet.
+        requested_memory: the same for memory.
         counters: the guardrail counter of each size rank (guardrails).
-        slow_start_slot: the slot of the common clock for which `slow_start_offers` counts (slow_start).
-        open_attempts: own attempts there that have not ended (attempts).
-        unaccepted_count: how many of them it has not accepted yet (attempts).
-        reported_cores: cores in use by its last load report, if that said so (utilization).
-        cores_since_report: own changes since that report, which it may lack.
-        capacity_blocks: for each reason of a rejection, what is not offered to it (capacity).
-        draining_until: it has said itself that it drains, which is taken for true until then (feedback).
-        last_migration_at: when a task was last moved away from it (migrations).
+        slow_start_slot: the slot of the shared clock to which `slow_start_offers` applies (slow_start).
+        slow_start_offers: offers to the machine that this scheduler has left in that slot (slow_start).
+        open_attempts: this scheduler's attempts on the machine that have not ended (attempts).
+        unaccepted_count: number of open attempts that the machine has not accepted (attempts).
+        reported_cores: cores in use in the last load report, or None if it had no such value (utilization).
+        cores_since_report: this scheduler's changes that the report may not include (utilization).
+        capacity_blocks: blocked request sizes, by the reason of the rejection (capacity).
+        draining_until: end of the time for which the machine's own report of a drain counts (feedback).
+        last_migration_at: when a task was last migrated off the machine (migrations).
         outlier_records: failures by class name, or for all classes (outlier_detection).
-        last_contact_at: when something was last received from it (health_checks, feedback).
-        missed_health_checks: health checks in a row without an answer (health_checks).
-        last_check_ended_at: when the last health check ended.
-        last_observed_at: when failure detectors last had an answer from it.
-        check_required_from: observations count as a health check only once one has ended after this time.
+        last_contact_at: when something was last received from the machine (health_checks, feedback).
+        missed_health_checks: consecutive health checks without a response (health_checks).
+        last_check_ended_at: when the last health check ended (health_checks).
+        last_observed_at: latest time at which failure detectors sent what the machine responded to
+            (health_checks).
+        check_required_from: observations replace a health check only after one has ended since this time
+            (health_checks).
     """
 
     id: MachineId
@@ -129,7 +133,7 @@
         self._update_requested()
 
     def record_change(self, now: float, cores: float, memory: float) -> None:
-        """Add what an own offer requests, or what the end of an own attempt frees."""
+        """Add the request of an offer, or subtract what the end of an attempt frees."""
         self.recent_changes.append(CapacityChange(now, cores, memory))
         self.recent_cores += cores
         self.recent_memory += memory
@@ -138,7 +142,7 @@
         self._update_requested()
 
     def expire_changes(self, now: float) -> None:
-        """Drop own changes that the endpoint list shows by now."""
+        """Drop the changes by this scheduler that the endpoint list shows by now."""
         while self.recent_changes and self.recent_changes[0].at <= now - VIEW_LAG_MS:
             change = self.recent_changes.popleft()
             self.recent_cores -= change.cores
@@ -147,12 +151,12 @@
 
     @property
     def last_alive_at(self) -> float:
-        """When any path last showed it alive."""
+        """When the machine was last known to be alive, by contact or by observation."""
         return max(self.last_contact_at, self.last_observed_at)
 
     @property
     def silent_since(self) -> float:
-        """When it was last in contact, or last observed where an observation counts as a health check."""
+        """When it was last in contact, or last observed if observations may replace a health check."""
         last_contact_at = self.last_contact_at
         if self.last_observed_at <= last_contact_at:
             return last_contact_at
@@ -160,18 +164,18 @@
         return last_contact_at if is_check_required else self.last_observed_at
 
     def record_observation(self, now: float, observed_at: float, *, check_anyway: bool) -> None:
-        """Add that a failure detector had an answer to what it sent at `observed_at` or later."""
+        """Record that a failure detector received a response to what it sent at `observed_at` or later."""
         self.last_observed_at = max(self.last_observed_at, observed_at)
         if check_anyway:
             self.check_required_from = now
 
     def end_health_check(self, now: float) -> None:
-        """Add that the health check under way has ended, with or without an answer."""
+        """Record that the health check in progress has ended, with or without a response."""
         self.is_being_checked = False
         self.last_check_ended_at = now
 
     def reset_incarnation(self) -> None:
-        """Forget the incarnation before a restart: what was known of it says nothing of the new one."""
+        """Drop the state of the incarnation before a restart, as it does not apply to the new one."""
         self.outlier_records.clear()
         self.recent_changes.clear()
         self.recent_cores = 0.0
@@ -181,7 +185,7 @@
         self._update_requested()
 
     def domain_id(self, domain: FailureDomain) -> int:
-        """Return the number of the failure domain that the machine is in; 0 for `NONE` and `ALL`."""
+        """Return the id of the machine's failure domain at this level; 0 for `NONE` and `ALL`."""
         if domain is FailureDomain.MACHINE:
             return self.id
         if domain is FailureDomain.CELL:
@@ -191,7 +195,7 @@
         return 0
 
     def _update_requested(self) -> None:
-        # Kept on each change: one choice of a machine reads the sums of all machines, several times.
+        # Computed on each change, because one placement decision reads the sums of all machines repeatedly.
         cores = self.listed_cores + self.recent_cores
         memory = self.listed_memory + self.recent_memory
         self.requested_cores = cores if cores > 0 else 0.0
@@ -203,9 +207,9 @@
     """One offer of a task to a machine.
 
     Attributes:
-        machine: where it is; None for a task that was found on a machine which no list has named yet.
-        is_accepted: whether the machine has acknowledged it.
-        is_reported: whether the machine has sent a status report on it, so that it runs there.
+        machine: the machine of the attempt; None for a task found on a machine that is not listed yet.
+        is_accepted: whether the machine has acknowledged the attempt.
+        is_reported: whether the machine has sent a status report on the attempt, which shows that it runs.
     """
 
     task: Task
@@ -217,20 +221,21 @@
 
     @property
     def key(self) -> AttemptKey:
-        """The key of the attempt in tables."""
+        """The key of the attempt in the table of open attempts."""
         return AttemptKey(self.task.id, self.number)
 
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A task that is to be placed, or runs.
+    """A task that waits for placement or runs.
 
     Attributes:
         deadline: when its final answer is due.
-        attempted_machines: machines where an attempt has ended; a dict, as most tasks have none and an empty
-            set takes three times the memory.
-        possibly_executed: ended attempts of which it is not known that they were not executed.
-        is_answered: whether it needs no further answer: it is placed, over, withdrawn or given up.
+        attempted_machines: machines on which an attempt has ended; a dict, because most tasks have none and
+            an empty set takes three times the memory of an empty dict.
+        possibly_executed: ended attempts that may have been executed.
+        is_answered: whether no answer is due any more: the task is placed, ended, withdrawn, rejected or
+            failed.
     """
 
     id: TaskId
--- a/kelpfront/scheduling/offer_backoff.py
+++ b/kelpfront/scheduling/offer_backoff.py
@@ -1,6 +1,6 @@
-"""When no offers are sent at all: after rejections in a row, and while the endpoint list may be stale.
+"""Pauses of all offers: after consecutive rejections, and while the endpoint list may be stale.
 
-It decides for the whole placer. What is not offered to one machine is decided by the filters.
+They apply to the whole placer. The filters decide what is not offered to a single machine.
 """
 
 from __future__ import annotations
@@ -11,13 +11,16 @@
 from kelpfront.scheduling.model import Task
 
 STALE_LIST_BACKOFF_MS = 3000.0
-"""Nothing is offered by a list that may hide drains, for so long; then by the list as it was."""
+"""Length of the pause after the endpoint list became stale, because it may hide drains.
+
+After the pause, offers are based on the last known list.
+"""
 MIN_BACKOFF_DIVISOR = 32
-"""The shortest backoff is the longest one divided by this."""
+"""The minimum backoff is the maximum divided by this."""
 
 
 class OfferBackoff:
-    """Holds offers back where most of them would be rejected, or where machines may drain unnoticed."""
+    """Pauses offers when most of them would be rejected or machines may drain unnoticed."""
 
     def __init__(self, context: SchedulingContext) -> None:
         self._context = context
@@ -26,31 +29,32 @@
         self._backoff_until = -math.inf
         self._stale_list_until = -math.inf
 
-    def holds_back(self, task: Task) -> bool:
+    def should_defer(self, task: Task) -> bool:
         """Return whether the task must not be offered now.
 
-        A task that may have been executed is not held back by rejections: its idempotency window runs out.
+        The backoff does not apply to a task that may have been executed, because its idempotency window would
+        expire.
         """
         now = self._context.now
         is_backing_off = now < self._backoff_until and not task.possibly_executed
         return now < self._stale_list_until or is_backing_off
 
     def on_list_stale(self) -> None:
-        """Stop offers for a while: an outage of seconds ends soon; a longer one must not end all placing."""
+        """Pause offers for a limited time: short outages end within it, long ones must not stop placement."""
         self._stale_list_until = self._context.now + STALE_LIST_BACKOFF_MS
 
     def on_list_received(self) -> None:
-        """Go on with offers: the list is current again."""
+        """End the pause: the list is current again."""
         self._stale_list_until = -math.inf
 
     def on_rejection(self) -> None:
-        """Double the backoff; randomness in it parts the placers that chase the same little capacity."""
-        minimum = self._max_backoff_ms / MIN_BACKOFF_DIVISOR
-        is_first_for_a_while = self._backoff_ms < minimum
-        if not is_first_for_a_while:
+        """Double the backoff; its jitter separates placers that compete for the same scarce capacity."""
+        min_backoff_ms = self._max_backoff_ms / MIN_BACKOFF_DIVISOR
+        is_first_rejection = self._backoff_ms < min_backoff_ms
+        if not is_first_rejection:
             factor = 0.5 + self._context.random.random()
             self._backoff_until = self._context.now + self._backoff_ms * factor
-        self._backoff_ms = min(self._max_backoff_ms, max(2 * self._backoff_ms, minimum))
+        self._backoff_ms = min(self._max_backoff_ms, max(2 * self._backoff_ms, min_backoff_ms))
 
     def on_accepted(self) -> None:
         """Halve the backoff."""
--- a/kelpfront/scheduling/outlier_detection.py
+++ b/kelpfront/scheduling/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: machines whose attempts fail are ejected for a while, for one class or for all.
+"""Outlier detection: machines whose attempts fail are ejected for some time, for one class or for all.
 
-It counts failures and successes and filters ejected machines. An ejected machine returns by one trial attempt
-at a time; ejections that follow one another double.
+It scores failures and successes and filters out ejected machines. After an ejection a machine gets one trial
+attempt at a time; consecutive ejections double in length.
 """
 
 from __future__ import annotations
@@ -15,13 +15,16 @@
 from kelpfront.scheduling.slow_start import SlowStart
 
 EJECTION_SCORE = 2.0
-"""Failures, less what successes took off, before a machine is ejected: one is chance."""
-FORGOTTEN_SCORE = EJECTION_SCORE / 4
-"""Below this a record is dropped: it would not lead to an ejection soon."""
+"""Failure score at which a machine is ejected; a single failure may be chance."""
+MIN_KEPT_SCORE = EJECTION_SCORE / 4
+"""Failure score below which a record is dropped, because it is far from an ejection."""
 MAX_EJECTED_SHARE = 0.5
-"""Of the ready cores: more failures at once are load or this placer's own fault."""
+"""Maximum share of the ready cores on machines ejected for all classes.
+
+If more fail at the same time, the cause is overload or this placer itself.
+"""
 ALL_CLASSES = ""
-"""Scope of a failure that speaks of the machine for all classes; other scopes are the names of classes."""
+"""Scope of failures that concern the machine for all classes; the other scopes are class names."""
 
 
 class OutlierDetector:
@@ -37,9 +40,9 @@
         return [m for m in machines if not m.outlier_records or self.admits(task.task_class, m)]
 
     def admits(self, task_class: TaskClass, machine: Machine) -> bool:
-        """Return whether the machine serves the class, if only on trial by one attempt at a time.
+        """Return whether the machine may get tasks of the class, if only one trial attempt at a time.
 
-        Two scopes with failures speak of the whole machine.
+        Failures in two scopes count against the machine for all classes.
         """
         records = machine.outlier_records
         failing = {scope for scope, record in records.items() if record.failure_score >= EJECTION_SCORE}
@@ -49,29 +52,31 @@
             failing &= {ALL_CLASSES, task_class.name}
         if not failing:
             return True
-        is_trial_free = machine.unaccepted_count == 0
-        return is_trial_free and all(self._context.now >= records[scope].ejected_until for scope in failing)
+        is_trial_available = machine.unaccepted_count == 0
+        return is_trial_available and all(
+            self._context.now >= records[scope].ejected_until for scope in failing
+        )
 
     def record_success(self, machine: Machine, task_class: TaskClass) -> None:
-        """Halve the score and the next ejection, of the class and of the whole machine."""
+        """Halve the score and the length of the next ejection, for the class and for the whole machine."""
         for scope in (ALL_CLASSES, task_class.name):
             record = machine.outlier_records.get(scope)
             if record is None:
                 continue
             record.failure_score /= 2
             record.ejection_ms /= 2
-            if record.failure_score < FORGOTTEN_SCORE:
+            if record.failure_score < MIN_KEPT_SCORE:
                 del machine.outlier_records[scope]
 
     def record_outcome(self, attempt: Attempt, machine: Machine, event: AttemptClosed) -> None:
-        """Record a failure if the end of an attempt is one.
+        """Record a failure if the attempt ended in one.
 
-        Time-outs and errors speak of the class; no connection, or the loss of an accepted task, speaks of the
-        whole machine.
+        Time-outs and errors count for the class; failed connections and lost attempts count for the whole
+        machine. The loss of an accepted attempt alone reaches the score for an ejection.
         """
         match event.outcome:
             case AttemptOutcome.ERROR if not event.client_trusted:
-                return  # clients that send what no machine can use would have the whole fleet ejected
+                return  # a client that sends invalid requests would get the whole fleet ejected
             case AttemptOutcome.TIMED_OUT | AttemptOutcome.ERROR:
                 scope, score = attempt.task.task_class.name, 1.0
             case AttemptOutcome.UNREACHABLE:
@@ -85,11 +90,11 @@
         self._record_failure(machine, scope, score, event.outcome.value)
 
     def record_class_rejection(self, machine: Machine, task_class: TaskClass) -> None:
-        """Record that the machine rejected a task without a reason: it does so with the whole class."""
+        """Record that the machine rejected a task without a reason: it rejects the whole class."""
         self._record_failure(machine, task_class.name, EJECTION_SCORE, "turned away")
 
     def record_missed_health_check(self, machine: Machine) -> None:
-        """Record that a health check was not answered."""
+        """Record a health check without a response."""
         self._record_failure(machine, ALL_CLASSES, EJECTION_SCORE, "silent")
 
     def _record_failure(self, machine: Machine, scope: str, score: float, cause: str) -> None:
@@ -97,12 +102,12 @@
         record.failure_score = min(2 * EJECTION_SCORE, record.failure_score + score)
         if record.failure_score < EJECTION_SCORE or self._context.now < record.ejected_until:
             return
-        if scope == ALL_CLASSES and self._are_too_many_ejected():
+        if scope == ALL_CLASSES and self._is_ejection_limit_reached():
             record.failure_score = EJECTION_SCORE / 2
             return
         self._eject(machine, scope, record, cause)
 
-    def _are_too_many_ejected(self) -> bool:
+    def _is_ejection_limit_reached(self) -> bool:
         failing_cores = sum(m.cores for m in self._fleet.ready if _is_failing(m))
         return failing_cores > MAX_EJECTED_SHARE * self._fleet.ready_cores
 
@@ -111,7 +116,7 @@
         max_ejection_ms = self._context.settings.slow_start.duration_ms
         record.ejection_ms = max(VIEW_LAG_MS, min(2 * record.ejection_ms, max_ejection_ms))
         record.ejected_until = self._context.now + record.ejection_ms
-        if is_first_ejection:  # the prolonged ejections that follow would flood the log
+        if is_first_ejection:  # consecutive ejections would flood the log
             self._context.emit(LogMachineEjected(machine.id, scope, cause, record.ejection_ms))
 
 
--- a/kelpfront/scheduling/placement.py
+++ b/kelpfront/scheduling/placement.py
@@ -1,6 +1,6 @@
-"""The choice of a machine for a task: filter, then the safe set, then the preferred or least loaded machine.
+"""The choice of a machine for a task: filters, then the safe set, then the preferred or least loaded machine.
 
-It only chooses. The offer is made by `offers`, and opening its attempt reserves the capacity.
+It only chooses. `offers` makes the offer, and opening its attempt reserves the capacity.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
         self._preferred = PreferredMachines(fleet)
 
     def choose(self, task: Task) -> Machine | None:
-        """Return the machine for the task and count the offer there; None if no machine passes."""
+        """Return the machine for the task and count the offer in its counter; None if no machine passes."""
         size = task.cores / self._context.settings.mean_cores
         rank = self._guardrails.rank_of(size)
-        machine = self._choose_uncrowded(task, rank, size)
+        machine = self._choose_unsaturated(task, rank, size)
         if machine is None:
-            machine = self._choose_crowded(task, rank, size)
+            machine = self._choose_saturated(task, rank, size)
         if machine is not None:
             self._guardrails.count_offer(machine, rank, size)
         return machine
@@ -49,40 +49,46 @@
         """Return the ready machines that may get the task."""
         return self._filters.candidates(task, self._fleet.ready)
 
-    def _choose_uncrowded(self, task: Task, rank: SizeRank, size: float) -> Machine | None:
-        """Of the safe machines that serve the task well: one that runs the service, else a preferred one."""
+    def _choose_unsaturated(self, task: Task, rank: SizeRank, size: float) -> Machine | None:
+        """Choose a safe machine that passes all filters: one that runs the service, else the preferred one.
+
+        If none of them is safe with the task added, choose the machine with the lowest counter.
+        """
         by_counter = self._guardrails.by_counter(rank)
-        lowest = next(self._filters.uncrowded_in_order(task, by_counter), None)
+        lowest = next(self._filters.unsaturated_in_order(task, by_counter), None)
         if lowest is None:
             return None
         limit = self._guardrails.limit(lowest, rank)
         running = {attempt.machine: None for attempt in self._attempts.of_service(task.service)}
         ready_running = [m for m in running if m is not None and m.is_ready]
-        uncrowded = chain(
-            self._filters.uncrowded_in_order(task, by_preference(task.service, ready_running)),
-            self._filters.uncrowded_in_order(task, self._preferred.of_service(task.service)),
+        unsaturated = chain(
+            self._filters.unsaturated_in_order(task, by_preference(task.service, ready_running)),
+            self._filters.unsaturated_in_order(task, self._preferred.of_service(task.service)),
         )
         number = rank.number
-        safe = (m for m in uncrowded if m.counters.get(number, 0.0) + size <= limit)
+        safe = (m for m in unsaturated if m.counters.get(number, 0.0) + size <= limit)
         return next(safe, lowest)
 
-    def _choose_crowded(self, task: Task, rank: SizeRank, size: float) -> Machine | None:
-        """No machine would serve the task well: of the safe ones the least loaded."""
+    def _choose_saturated(self, task: Task, rank: SizeRank, size: float) -> Machine | None:
+        """Choose when no machine passes all filters: the least loaded of the safe machines.
+
+        Machines with capacity by usage go first, and among equals those that run the service.
+        """
         candidates = self.candidates(task)
         if not candidates.passing:
             return None
         safe = self._guardrails.safe_set(candidates.passing, rank, size)
-        uncrowded = set(candidates.uncrowded)
-        best = [m for m in safe if m in uncrowded] or self._least_loaded(task, safe)
+        unsaturated = set(candidates.unsaturated)
+        best = [m for m in safe if m in unsaturated] or self._least_loaded(task, safe)
         running = {attempt.machine for attempt in self._attempts.of_service(task.service)}
         best = [m for m in best if m in running] or best
         return min(best, key=lambda m: preference(task.service, m.id))
 
     def _least_loaded(self, task: Task, safe: list[Machine]) -> list[Machine]:
-        """Return the machines with the least work left, as a share of what the machine accepts.
+        """Return the machines with the least outstanding work, as a share of what each machine accepts.
 
-        This is the paper's measure (6.4: units of time), of cores or memory, whichever is nearer to its
-        limit; with those that one task would even out.
+        This is the paper's measure (section 6.4: units of time), for cores or memory, whichever is closer to
+        its limit. Machines whose share differs from the lowest by no more than one task are included.
         """
         settings = self._context.settings
         shares = [
--- a/kelpfront/scheduling/preferences.py
+++ b/kelpfront/scheduling/preferences.py
@@ -1,6 +1,7 @@
 """Preferred machines of a service by rendezvous hashing: all placers compute the same order.
 
-A start is cheap where the service runs, so placers that agree on the order help each other without talking.
+Tasks start cheaply on machines that run the service already, so placers with the same order benefit from each
+other's choices without communication.
 """
 
 from __future__ import annotations
@@ -12,14 +13,14 @@
 from kelpfront.scheduling.model import Machine
 
 MAX_CACHED_MACHINES = 1 << 18
-"""Machines in the cached orders of all services together: some megabytes."""
+"""Maximum total length of the cached orders of all services; a cache of this size takes some megabytes."""
 _MASK_64_BITS = 0xFFFFFFFFFFFFFFFF
 
 
 def preference(service: int, machine: MachineId) -> int:
-    """Return a number that every placer computes alike: the lowest of a service is its first choice.
+    """Return the rendezvous hash of a service and a machine; the lowest one is the service's first choice.
 
-    The steps are those of the finalizer of splitmix64 (Steele, Lea, Flood).
+    All placers compute the same value, with the finalizer of splitmix64 (Steele, Lea, Flood).
     """
     mixed = (service ^ machine * 0x9E3779B97F4A7C15) & _MASK_64_BITS
     mixed = (mixed ^ mixed >> 30) * 0xBF58476D1CE4E5B9 & _MASK_64_BITS
@@ -28,22 +29,22 @@
 
 
 def by_preference(service: int, machines: Iterable[Machine]) -> list[Machine]:
-    """Return the machines in the order in which the service prefers them."""
+    """Return the machines in the service's order of preference."""
     return sorted(machines, key=lambda m: preference(service, m.id))
 
 
 class PreferredMachines:
-    """The ready machines in each service's order; cached, as services come again."""
+    """The ready machines in each service's order of preference, cached because services recur."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._cached_for = fleet.ready
+        self._cached_ready = fleet.ready
         self._orders: dict[int, list[Machine]] = {}
 
     def of_service(self, service: int) -> list[Machine]:
-        """Return the ready machines, the service's first choice first."""
-        if self._cached_for is not self._fleet.ready:
-            self._cached_for = self._fleet.ready
+        """Return the ready machines in the service's order of preference."""
+        if self._cached_ready is not self._fleet.ready:
+            self._cached_ready = self._fleet.ready
             self._orders.clear()
         order = self._orders.get(service)
         if order is None:
--- a/kelpfront/scheduling/retries.py
+++ b/kelpfront/scheduling/retries.py
@@ -1,7 +1,7 @@
-"""The course of a task: its attempts one after another, the waits between them, its deadline and its end.
+"""The lifecycle of a task: its consecutive attempts, the waits between them, its deadline and its end.
 
-Offers are made by `offers`, the final answer is given by `answers`. What an attempt says of its machine is
-for `feedback`.
+`offers` makes the offers, `answers` gives the final answer, and `feedback` updates the state of the machine
+of an attempt.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 from kelpfront.scheduling.tasks import TaskTable
 from kelpfront.scheduling.timer_tokens import TimerKind, encode_token
 
-MAX_STALLED_TASKS_PER_SHAPE = 4
-"""Waiting tasks of one shape that are tried in vain in a pass: the rest would meet the same."""
+MAX_UNPLACED_TASKS_PER_SHAPE = 4
+"""Unplaced tasks of one shape after which a pass skips that shape: the others would not be placed either."""
 ANSWER_MARGIN_TICKS = 2
-"""The final answer is given so many resolutions of the timer before the task's time-out."""
+"""Time between the final answer and the task's time-out, in multiples of the timer resolution."""
 
 
 class _TaskShape(NamedTuple):
@@ -57,7 +57,7 @@
         self._answers = answers
 
     def on_arrived(self, event: TaskArrived) -> None:
-        """Attempt a new task, and set the timer of its final answer."""
+        """Attempt a new task, and set the timer for its final answer."""
         if event.task in self._tasks:
             return
         task = self._tasks.add(event)
@@ -70,7 +70,7 @@
         self._attempt(task)
 
     def on_found(self, event: TaskFound) -> None:
-        """Take over a task that runs already: it counts for spread, load and resets from now on."""
+        """Adopt a task that already runs, so that spread, load and counter resets take it into account."""
         if event.task in self._tasks or AttemptKey(event.task, 0) in self._attempts:
             return
         task = self._tasks.add(event)
@@ -81,62 +81,63 @@
         self._attempts.open_found(task, event.machine)
 
     def on_accepted(self, attempt: Attempt) -> None:
-        """Note that a task is placed; its machine answers from now on."""
+        """Mark a task as placed: the machine's acceptance is its answer."""
         attempt.task.is_answered = True
-        self._tasks.stop_waiting(attempt.task.id)
+        self._tasks.remove_waiting(attempt.task.id)
 
     def on_closed(self, attempt: Attempt, event: AttemptClosed) -> None:
-        """Finish, answer or attempt again the task of an attempt that has ended."""
+        """Finish, answer or retry the task of an attempt that has ended."""
         task = attempt.task
         task.attempted_machines[event.machine] = None
-        is_over = event.task_finished or task.is_answered
-        if event.outcome not in NOT_EXECUTED and not is_over:
-            # Not of a task that is over: it would refer to itself, as garbage for the collector.
+        is_finished = event.task_finished or task.is_answered
+        if event.outcome not in NOT_EXECUTED and not is_finished:
+            # A finished task gets no reference to its attempts: it would form a cycle that only the garbage
+            # collector can free.
             task.possibly_executed.append(attempt)
-        did_run = attempt.is_reported or event.reason in STOPPED_WHILE_RUNNING
-        is_unaccepted_end = event.outcome is AttemptOutcome.RESET and did_run and not attempt.is_accepted
+        has_run = attempt.is_reported or event.reason in STOPPED_WHILE_RUNNING
+        ended_unaccepted = event.outcome is AttemptOutcome.RESET and has_run and not attempt.is_accepted
         if event.task_finished:
             self._tasks.finish(task)
-        elif is_unaccepted_end and not task.is_answered:
-            # It ran and is over, only its acceptance was lost or late: the client is owed that end soon,
-            # which another start would keep from it.
+        elif ended_unaccepted and not task.is_answered:
+            # The task ran and has ended; only its acceptance was lost or late. The client must be notified
+            # of this end soon, and another attempt would prevent that.
             self._answers.give(task)
         else:
             self._attempt(task)
 
     def on_withdrawn(self, task_id: TaskId) -> None:
-        """Forget a task that its client no longer wants."""
+        """Remove a task that its client has withdrawn."""
         task = self._tasks.get(task_id)
         if task is not None:
             self._tasks.finish(task)
 
     def on_deadline(self, task_id: TaskId) -> None:
-        """Give the final answer of a task that is not placed in time."""
+        """Give the final answer of a task that was not placed in time."""
         task = self._tasks.get(task_id)
         if task is not None and not task.is_answered:
             self._answers.give(task)
 
     def on_retry_timer(self) -> None:
-        """Attempt the waiting tasks at the end of their interval."""
+        """Attempt the waiting tasks at the end of the retry interval."""
         self._tasks.on_retry_timer()
         self.retry_waiting()
 
     def retry_waiting(self) -> None:
-        """Attempt the waiting tasks in order; one that waits on goes to the end of the queue."""
-        stalled: Counter[_TaskShape] = Counter()
+        """Attempt the waiting tasks by priority; one that still has to wait goes to the end of the queue."""
+        unplaced: Counter[_TaskShape] = Counter()
         for task in self._tasks.waiting_by_priority():
             shape = _TaskShape(task.task_class.name, task.cores, task.memory)
-            may_find_machine = stalled[shape] < MAX_STALLED_TASKS_PER_SHAPE
+            may_find_machine = unplaced[shape] < MAX_UNPLACED_TASKS_PER_SHAPE
             if may_find_machine or task.possibly_executed:
                 self._attempt(task)
-                stalled[shape] += self._tasks.is_waiting(task)
+                unplaced[shape] += self._tasks.is_waiting(task)
 
     def _attempt(self, task: Task) -> None:
-        """Offer the task, let it wait where no machine passes, or give the final answer."""
-        self._tasks.stop_waiting(task.id)
+        """Offer the task, queue it if no offer is possible now, or give the final answer."""
+        self._tasks.remove_waiting(task.id)
         if task.is_answered:
             return
         if self._answers.is_due(task):
             self._answers.give(task)
         elif not self._offers.make(task):
-            self._tasks.wait(task)
+            self._tasks.add_waiting(task)
--- a/kelpfront/scheduling/scheduler.py
+++ b/kelpfront/scheduling/scheduler.py
@@ -1,6 +1,6 @@
-"""The scheduler: takes events and hands each to the part that is in charge of it.
+"""The scheduler: dispatches each event to the component that handles it.
 
-It assembles the parts and decides nothing itself. The ordinary path of a task is `retries`, `offers`,
+It assembles the components and makes no decisions. The usual path of a task is `retries`, `offers`,
 `placement`; docs/design.md explains the mechanism.
 """
 
@@ -51,11 +51,11 @@
 
 
 class Scheduler:
-    """Decides for one placer: `handle` takes events in order and returns what to do at that instant.
+    """Makes the decisions of one placer: `handle` takes events in order and returns the resulting actions.
 
     Attributes:
-        backoff_type, capacity_type, outliers_type, placement_type, utilization_type: the parts that a
-            subclass may replace, to compare the decisions with others.
+        backoff_type, capacity_type, outliers_type, placement_type, utilization_type: the components that a
+            subclass may replace to compare policies.
     """
 
     backoff_type: ClassVar[type[OfferBackoff]] = OfferBackoff
@@ -66,7 +66,7 @@
 
     def __init__(self, settings: SchedulerSettings, seed: int) -> None:
         context = self._context = SchedulingContext(settings, seed)
-        self._has_begun = False
+        self._has_started = False
         fleet = self._fleet = Fleet(context)
         slow_start = SlowStart(context)
         guardrails = Guardrails(context, fleet)
@@ -91,15 +91,14 @@
         self._status_reports = StatusReports(context, self._utilization, self._outliers, migrations)
 
     def handle(self, now: float, event: SchedulerEvent) -> list[SchedulerAction]:
-        """Take one event at time `now` and return the actions, in the order in which they are to be done.
+        """Handle one event at time `now` and return the actions in the order in which to execute them.
 
-        Events about tasks, attempts or machines that are unknown, and ones that come twice or late, change
-        nothing.
+        Duplicate and late events, and events about unknown tasks, attempts or machines, change nothing.
         """
         self._context.advance(now)
         self._fleet.expire_changes()
-        if not self._has_begun:
-            self._has_begun = True
+        if not self._has_started:
+            self._has_started = True
             if self._context.settings.endpoint_list_on_request:
                 self._endpoints.subscribe()
         self._on_task_event(event)
--- a/kelpfront/scheduling/settings.py
+++ b/kelpfront/scheduling/settings.py
@@ -1,6 +1,6 @@
 """Settings of one scheduler: the classes of tasks, the kinds of machines and the limits it has to keep.
 
-Plain data, checked when it is made. Times are milliseconds; cores and memory are in the units of the
+Plain data, validated on construction. Times are in milliseconds; cores and memory are in the units of the
 deployment.
 """
 
@@ -12,7 +12,7 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a task does."""
+    """Whether a second execution of a task is safe: always, with an idempotency key, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENCY_KEY = "keyed"
@@ -20,7 +20,7 @@
 
 
 class FailureDomain(Enum):
-    """A set of machines that share idempotency records, or over which the tasks of a service are spread."""
+    """A level of machines that share idempotency records, or over which the tasks of a service are spread."""
 
     NONE = "none"
     MACHINE = "machine"
@@ -31,26 +31,26 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskClass:
-    """What all tasks of one class have in common.
+    """The properties that all tasks of one class share.
 
     Attributes:
-        latency_objective_ms: time from submission to start within which a start earns its full utility.
+        latency_objective_ms: time from submission within which a start earns its full utility.
         deadline_ms: time from submission after which a start earns nothing.
         priority_weight: utility of one second of service, relative to other classes.
-        start_utility_s: utility of a start in time, in seconds of service.
-        late_start_share: share of that utility which a start earns after the objective, before the deadline.
-        idempotency: what a second execution does.
+        start_utility_s: utility of a start within the objective, in seconds of service.
+        late_start_share: share of that utility for a start after the objective but before the deadline.
+        idempotency: whether a second execution is safe.
         idempotency_scope: the machines that discard a repeated idempotency key.
         idempotency_window_ms: how long they remember the key.
         priority: tasks of a higher priority go first and may preempt those of a lower one.
-        required_kind: the only kind of machine that runs it, or None for any.
+        required_kind: the only kind of machine that runs the class, or None for any.
         spread_domain: the failure domain over which the tasks of a service are spread.
-        max_per_domain: tasks of one service that may run in one such domain.
-        full_service_utilization: utilization of a machine's cores up to which the class is served in full.
-        degradation_range: further utilization over which its service falls to nothing.
+        max_per_domain: maximum number of tasks of one service in one such domain.
+        full_service_utilization: utilization of a machine's cores up to which the class gets full service.
+        degradation_range: further utilization over which the service drops to zero.
 
     Raises:
-        ValueError: a value is out of its range; the message names the field.
+        ValueError: a value is out of range; the message names the field.
     """
 
     name: str
@@ -80,17 +80,17 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartSettings:
-    """How a machine that has just started is protected from overload.
+    """Protection of a machine that has just started from overload.
 
     Attributes:
-        initial_share: share of its pace at which it starts tasks at first.
-        duration_ms: time after its start in which it warms up.
-        overload_multiple: offers above this multiple of its present pace overload it.
-        window_ms: the window over which they are counted.
-        max_offers_per_window: offers of any class that all placers together may send in one window.
+        initial_share: share of its full rate at which the machine starts tasks at first.
+        duration_ms: time after its start during which the machine warms up.
+        overload_multiple: multiple of its current rate above which offers overload the machine.
+        window_ms: length of the window over which offers are counted.
+        max_offers_per_window: maximum number of offers, of any class and from all placers, in one window.
 
     Raises:
-        ValueError: a value is out of its range; the message names the field.
+        ValueError: a value is out of range; the message names the field.
     """
 
     initial_share: float
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What each unit of overhead costs, in the unit of utility."""
+    """The cost of each unit of overhead, in the unit of utility."""
 
     rejected_offer: float = 0.0
     reserved_machines: float = 0.0
@@ -121,36 +121,36 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerSettings:
-    """What one placer's scheduler is told when it starts.
+    """The settings of one placer's scheduler.
 
     Attributes:
         replica_index: index of this placer among its replicas, from 0.
-        replica_count: how many placers run side by side.
-        timer_resolution_ms: how late a timer may fire.
+        replica_count: number of placers that run in parallel.
+        timer_resolution_ms: maximum delay with which a timer fires.
         kind_cores: cores of each kind of machine.
         kind_memory: memory of each kind of machine.
-        mean_cores: mean request of a task, for one whose own is unknown.
-        mean_memory: the same of memory.
-        cores_overcommit: requested cores that a machine accepts, as a multiple of its own.
-        memory_overcommit: the same of memory.
+        mean_cores: mean request for cores, used for a task whose request is unknown.
+        mean_memory: the same for memory.
+        cores_overcommit: requested cores that a machine accepts, as a multiple of its cores.
+        memory_overcommit: the same for memory.
         accepted_when_running: whether a machine acknowledges a task once it runs, not when it is queued.
-        endpoint_list_on_request: whether the endpoint list has to be asked for.
+        endpoint_list_on_request: whether the endpoint list has to be requested.
         endpoint_list_reports_free: whether the list's free capacity is current.
-        reports_measured_usage: whether free capacity is by use; otherwise by request.
-        machines_preempt: whether machines stop tasks of a lower priority for one of a higher.
+        reports_measured_usage: whether free capacity is based on measured usage; otherwise on requests.
+        machines_preempt: whether machines stop tasks of a lower priority for one of a higher priority.
         health_checks_allowed: whether machines may be health-checked.
         cancellation_allowed: whether attempts may be cancelled.
-        max_attempts: attempts of one task, the first included.
+        max_attempts: maximum number of attempts of one task, including the first.
         orphan_check_ms: how long a machine may leave an instance unreported before it counts as lost.
-        max_retry_after_ms: the longest Retry-After that clients accept; 0 where they take none.
-        answer_grace_ms: how late a final answer may be.
-        drain_grace_ms: how long after a drain was notified an offer may still arrive.
-        endpoint_poll_within_ms: the longest time between polls of the endpoint list.
-        machine_loss_notified: whether the placer is told of the loss of a machine with its tasks, or has to
-            detect it by the machine's silence.
+        max_retry_after_ms: the longest Retry-After that clients accept; 0 if they accept none.
+        answer_grace_ms: maximum delay of a final answer.
+        drain_grace_ms: how long after the notification of a drain an offer may still arrive.
+        endpoint_poll_within_ms: maximum time between polls of the endpoint list.
+        machine_loss_notified: whether the placer is notified of the loss of a machine and its tasks;
+            otherwise it has to detect the loss by the machine's silence.
 
     Raises:
-        ValueError: a value is out of its range; the message names the field.
+        ValueError: a value is out of range; the message names the field.
     """
 
     replica_index: int
--- a/kelpfront/scheduling/tasks.py
+++ b/kelpfront/scheduling/tasks.py
@@ -1,6 +1,6 @@
-"""The tasks that are not finished, and those of them that wait for a machine, with their wake-up timer.
+"""The table of unfinished tasks, and the queue of those that wait for a machine, with its retry timer.
 
-It keeps tables and orders. When a task waits, and when it is attempted again, is decided by `retries`.
+`retries` decides when a task waits and when it is attempted again.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from kelpfront.scheduling.timer_tokens import TimerKind, encode_token
 
 RETRIES_PER_OBJECTIVE = 10
-"""A task waits longer than needed by a tenth of the shortest latency objective at most."""
+"""Retry intervals per shortest latency objective: a task waits a tenth of it longer than needed at most."""
 
 
 class TaskTable:
-    """All unfinished tasks, and the queue of those that wait."""
+    """All unfinished tasks, and the queue of waiting ones."""
 
     def __init__(self, context: SchedulingContext) -> None:
         self._context = context
@@ -32,13 +32,13 @@
         return task_id in self._tasks
 
     def get(self, task_id: TaskId) -> Task | None:
-        """Return an unfinished task, or None."""
+        """Return an unfinished task, or None if it is unknown."""
         return self._tasks.get(task_id)
 
     def add(self, event: TaskArrived | TaskFound) -> Task | None:
         """Add a task and return it; None if its class is unknown.
 
-        Requests that are not given, or make no sense, count as the mean.
+        A missing or invalid request for cores or memory is replaced by the mean request.
         """
         settings = self._context.settings
         if not 0 <= event.class_index < len(settings.classes):
@@ -50,21 +50,21 @@
         return task
 
     def finish(self, task: Task) -> None:
-        """Forget a task that needs no further answer."""
+        """Remove a task that needs no further answer."""
         task.is_answered = True
         self._tasks.pop(task.id, None)
         self._waiting.pop(task.id, None)
 
-    def wait(self, task: Task) -> None:
-        """Put a task at the end of the waiting queue, and set the timer that tries it again."""
+    def add_waiting(self, task: Task) -> None:
+        """Add a task to the end of the waiting queue, and set the retry timer unless it is already set."""
         self._waiting[task.id] = None
         if not self._is_retry_scheduled:
             self._is_retry_scheduled = True
             retry_at = self._context.now + self._retry_interval_ms
             self._context.emit(SetTimer(retry_at, encode_token(TimerKind.RETRY_WAITING)))
 
-    def stop_waiting(self, task_id: TaskId) -> None:
-        """Take a task out of the waiting queue, if it is there."""
+    def remove_waiting(self, task_id: TaskId) -> None:
+        """Remove a task from the waiting queue, if it is there."""
         self._waiting.pop(task_id, None)
 
     def is_waiting(self, task: Task) -> bool:
@@ -72,10 +72,10 @@
         return task.id in self._waiting
 
     def on_retry_timer(self) -> None:
-        """Note that the timer has fired; the next task that waits sets it again."""
+        """Record that the retry timer has fired; the next task that is queued sets it again."""
         self._is_retry_scheduled = False
 
     def waiting_by_priority(self) -> list[Task]:
-        """Return the waiting tasks by priority, then by utility of a second of service, then by age."""
+        """Return the waiting tasks by priority, then by priority weight, then in queue order."""
         waiting = [self._tasks[task_id] for task_id in self._waiting]
         return sorted(waiting, key=lambda t: (-t.task_class.priority, -t.task_class.priority_weight))
--- a/kelpfront/scheduling/timer_tokens.py
+++ b/kelpfront/scheduling/timer_tokens.py
@@ -1,6 +1,6 @@
-"""Tokens of the scheduler's timers: what a timer is for, and the task that it belongs to.
+"""Tokens of the scheduler's timers: the kind of a timer and the task that it belongs to.
 
-A token is one number on the wire. Its two lowest bits are the kind, the rest is the id of the task.
+A token is an integer on the wire. Its two lowest bits are the kind, the others the id of the task.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class TimerKind(IntEnum):
-    """What a timer is for. The values are part of the tokens on the wire."""
+    """The purpose of a timer. The values are part of the tokens on the wire."""
 
     RETRY_WAITING = 0
     POLL_ENDPOINT_LIST = 1
@@ -27,7 +27,7 @@
 
 
 class TimerToken(NamedTuple):
-    """A token taken apart; `task` is 0 for a timer that belongs to no task."""
+    """A decoded token; `task` is 0 for a timer that belongs to no task."""
 
     kind: TimerKind
     task: TaskId
--- a/tests/scheduling/test_scheduling_filters.py
+++ b/tests/scheduling/test_scheduling_filters.py
@@ -153,7 +153,7 @@
     def has_capacity(self, task: Task, m: Machine) -> bool:
         for reason, block in m.capacity_blocks.items():
             requested = task.memory if reason is OutcomeReason.NO_MEMORY else task.cores
-            if self.now < block.until and requested >= block.minimum:
+            if self.now < block.until and requested >= block.min_request:
                 return False
         (cores, memory), free_share = self.requested(m), 1 - self.scheduler._capacity.unobserved_share
         return (
--- a/tests/scheduling/test_scheduling_under_faults.py
+++ b/tests/scheduling/test_scheduling_under_faults.py
@@ -101,11 +101,11 @@
                 if isinstance(action, Reject):
                     cls = CLASSES[self.tasks[task].class_index]
                     known = all(a["end"] in NOT_EXECUTED for a in self.attempts[task])
-                    is_key_of_all = (
+                    has_global_key = (
                         cls.idempotency is Idempotency.IDEMPOTENCY_KEY
                         and cls.idempotency_scope is FailureDomain.ALL
                     )
-                    assert cls.idempotency is Idempotency.IDEMPOTENT or known or is_key_of_all
+                    assert cls.idempotency is Idempotency.IDEMPOTENT or known or has_global_key
             case CancelAttempt(task, number):
                 assert number < len(self.attempts[task])
             case Migrate(task):
