--- a/tests/scheduling/test_scheduling_answers.py
+++ b/tests/scheduling/test_scheduling_answers.py
@@ -1,4 +1,4 @@
-"""The one final answer of a task, and when it is due."""
+"""The single final answer of a task, and when it is due."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
         (Idempotency.NON_IDEMPOTENT, FailureDomain.ALL, Fail),
     ],
 )
-def test_a_task_is_rejected_only_if_a_resubmission_is_harmless(
+def test_a_task_is_rejected_only_if_a_resubmission_is_safe(
     idempotency: Idempotency, scope: FailureDomain, answer: type
 ) -> None:
     driver = Driver(settings(task_class(idempotency, idempotency_scope=scope), max_attempts=1))
@@ -70,10 +70,10 @@
 
 @pytest.mark.parametrize(("after", "answer"), [(900.0, Reject), (1_100.0, Fail)])
 @pytest.mark.parametrize("is_open", [True, False], ids=["still open", "ended"])
-def test_a_task_with_an_idempotency_key_is_rejected_only_inside_its_window(
+def test_a_task_with_an_idempotency_key_is_rejected_only_within_its_window(
     *, after: float, answer: type, is_open: bool
 ) -> None:
-    """Guards against a promise that asking again does no harm, when machines have forgotten the key."""
+    """Guards against a rejection, which invites a resubmission, after machines have forgotten the key."""
     driver = Driver(
         settings(
             task_class(
--- a/tests/scheduling/test_scheduling_assembly.py
+++ b/tests/scheduling/test_scheduling_assembly.py
@@ -1,4 +1,4 @@
-"""The scheduler as a whole: what its parts must not do to each other."""
+"""The assembled scheduler: its components must not keep each other alive."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_a_scheduler_is_freed_without_the_garbage_collector() -> None:
-    """Guards against parts that refer to each other in a circle: a host drops many schedulers in a run."""
+    """Guards against reference cycles between components: a simulator run drops many schedulers."""
     driver = Driver(settings(task_class(Idempotency.IDEMPOTENT)))
     driver.listing(*(machine(n) for n in range(6)))
     place_many(driver, range(20))
@@ -19,10 +19,14 @@
     gc.disable()
     try:
         freed = weakref.ref(driver.scheduler)
-        parts = [weakref.ref(part) for part in vars(driver.scheduler).values() if hasattr(part, "__dict__")]
+        components = [
+            weakref.ref(component)
+            for component in vars(driver.scheduler).values()
+            if hasattr(component, "__dict__")
+        ]
         del driver
         assert freed() is None
-        assert [part() for part in parts if part() is not None] == []
+        assert [component() for component in components if component() is not None] == []
     finally:
         if is_collected_automatically:
             gc.enable()
--- a/tests/scheduling/test_scheduling_capacity.py
+++ b/tests/scheduling/test_scheduling_capacity.py
@@ -1,4 +1,4 @@
-"""What rejections say of capacity: the unobserved-capacity estimate and the offer backoff."""
+"""Reactions to rejected offers: the estimate of unobserved capacity and the offer backoff."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 )
 
 
-def test_unobserved_capacity_is_learned_from_rejections_and_forgotten_with_acceptances() -> None:
-    driver = Driver(settings(task_class(full_service_utilization=9.0)))  # room for 1.8 x 30 = 54 cores
+def test_rejections_raise_the_estimate_of_unobserved_capacity_and_acceptances_lower_it() -> None:
+    driver = Driver(settings(task_class(full_service_utilization=9.0)))  # capacity: 1.8 x 30 = 54 cores
     nearly_full, free = machine(0, free_cores=-22.9), machine(1, free_cores=0.0)
     driver.listing(nearly_full)
     assert driver.bind(1) == 0
@@ -37,13 +37,13 @@
     assert driver.bind(99) == 0
 
 
-def test_one_own_offer_does_not_block_a_machine_however_many_placers_there_are() -> None:
+def test_own_offers_do_not_block_a_machine_regardless_of_the_number_of_placers() -> None:
     driver = Driver(settings(replica_count=200))
     driver.listing(machine(0))
     assert [driver.bind(n, after=5.0) for n in range(5)] == [0] * 5
 
 
-def test_rejections_in_a_row_back_offers_off_and_acceptances_end_it() -> None:
+def test_consecutive_rejections_increase_the_backoff_and_acceptances_end_it() -> None:
     driver = Driver()
     driver.listing(*(machine(n) for n in range(40)))
     gaps = []
@@ -56,9 +56,9 @@
             timer = max(actions_of(actions, SetTimer), key=lambda a: -a.at)
             actions = driver.send(TimerFired(timer.token), after=timer.at - driver.now)
         gaps.append(driver.now - start)
-        again = actions_of(actions, Bind)[0]
+        next_bind = actions_of(actions, Bind)[0]
         driver.close(
-            task, 1, again.machine, AttemptOutcome.REJECTED, OutcomeReason.NOT_HERE, task_finished=True
+            task, 1, next_bind.machine, AttemptOutcome.REJECTED, OutcomeReason.NOT_HERE, task_finished=True
         )
     assert gaps[0] < gaps[-1] < 2 * 900.0
     for task in range(100, 112):
--- a/tests/scheduling/test_scheduling_constraints.py
+++ b/tests/scheduling/test_scheduling_constraints.py
@@ -22,9 +22,9 @@
 from kelpfront.scheduling.settings import FailureDomain
 
 
-@pytest.mark.parametrize("place", [FailureDomain.MACHINE, FailureDomain.CELL, FailureDomain.ZONE])
-def test_found_tasks_count_for_the_spread(place: FailureDomain) -> None:
-    driver = Driver(settings(task_class(spread_domain=place, max_per_domain=2)))
+@pytest.mark.parametrize("spread_domain", [FailureDomain.MACHINE, FailureDomain.CELL, FailureDomain.ZONE])
+def test_found_tasks_count_for_the_spread(spread_domain: FailureDomain) -> None:
+    driver = Driver(settings(task_class(spread_domain=spread_domain, max_per_domain=2)))
     driver.listing(machine(0), machine(100, cell=50, zone=9))
     driver.find(1, 0)
     driver.find(2, 0)
--- a/tests/scheduling/test_scheduling_endpoints.py
+++ b/tests/scheduling/test_scheduling_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: machines that leave, failed polls, and a list that is stale."""
+"""The endpoint list: draining and removed machines, failed polls, and a stale list."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     assert {driver.bind(n) for n in range(6)} == {2}
 
 
-def test_failed_polls_are_repeated_with_a_growing_backoff_inside_the_poll_interval() -> None:
+def test_failed_polls_are_retried_with_a_growing_backoff_within_the_poll_interval() -> None:
     driver = Driver(settings(endpoint_list_on_request=True))
     assert actions_of(driver.listing(*FLEET, kind=EndpointListKind.CACHED), Subscribe)
     backoffs = []
@@ -67,8 +67,13 @@
 
 
 @pytest.mark.parametrize("is_accepted", [True, False])
-def test_a_machine_that_says_it_drains_gets_nothing_until_the_list_must_say_so(*, is_accepted: bool) -> None:
-    """Guards against offers to machines that drain, in an outage of the list: they say so themselves."""
+def test_a_machine_that_reports_its_drain_gets_no_offers_until_the_list_must_show_it(
+    *, is_accepted: bool
+) -> None:
+    """Guards against offers to draining machines while the endpoint list is unavailable.
+
+    A machine reports its drain with the end of an attempt, by the reason DRAINED.
+    """
     driver = Driver(settings(task_class(Idempotency.IDEMPOTENT)))
     driver.listing(*FLEET)
     first = driver.bind(5)
@@ -77,18 +82,18 @@
     driver.close(
         5, 0, first, AttemptOutcome.RESET, OutcomeReason.DRAINED, task_finished=is_accepted, after=50.0
     )
-    for ident in (6, 7, 8):  # it is the preferred machine of their service
-        other = driver.bind(ident, after=2_000.0)
+    for task in (6, 7, 8):  # `first` is the preferred machine of their service
+        other = driver.bind(task, after=2_000.0)
         assert other != first
-        driver.close(ident, 0, other, AttemptOutcome.ENDED, task_finished=True, after=50.0)
-    assert driver.bind(9, after=2_000.0) == first  # until then its own word holds
+        driver.close(task, 0, other, AttemptOutcome.ENDED, task_finished=True, after=50.0)
+    assert driver.bind(9, after=2_000.0) == first  # the machine's report of its drain has expired
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 def test_nothing_is_offered_while_a_stale_list_may_hide_drains(idempotency: Idempotency) -> None:
-    """Any machine may drain while the list says nothing.
+    """Any machine may start to drain while the list is not updated.
 
-    After a while placing goes on by the list as it was.
+    After STALE_LIST_BACKOFF_MS, placement continues with the last known list.
     """
     driver = Driver(settings(task_class(idempotency)))
     driver.listing(*FLEET)
@@ -106,7 +111,7 @@
     assert {bind.task for bind in bound} == {5, 6}
     assert all(bind.machine != first for bind in bound)
     driver.send(EndpointListStale())
-    actions, since = driver.arrive(7, timeout_ms=8_000.0), driver.now
+    actions, stale_since = driver.arrive(7, timeout_ms=8_000.0), driver.now
     while not actions_of(actions, Bind):
-        actions = driver.send(TimerFired(0), after=100.0)  # the timer of waiting tasks
-    assert STALE_LIST_BACKOFF_MS <= driver.now - since <= STALE_LIST_BACKOFF_MS + 200.0
+        actions = driver.send(TimerFired(0), after=100.0)  # the retry timer of waiting tasks
+    assert STALE_LIST_BACKOFF_MS <= driver.now - stale_since <= STALE_LIST_BACKOFF_MS + 200.0
--- a/tests/scheduling/test_scheduling_filters.py
+++ b/tests/scheduling/test_scheduling_filters.py
@@ -1,7 +1,8 @@
-"""The filters go over all machines at once; here each machine is checked alone, by the filters' definitions.
+"""The filters handle many machines at once; here their results are compared with a check of each machine.
 
-Guards against: sums that are kept up to date and miss a change, and a pass over the fleet that costs so much
-that sixteen placers on 400 machines fall behind (zone+mass: answers over a second late, requests lost).
+Guards against incrementally updated sums that miss a change. The sums exist because a costly pass over the
+fleet made sixteen placers on 400 machines fall behind: answers were over a second late and requests were lost
+(seen in the scenario zone+mass).
 """
 
 from __future__ import annotations
@@ -45,11 +46,11 @@
     task_class(Idempotency.IDEMPOTENCY_KEY, idempotency_scope=FailureDomain.ZONE, priority=2),
     task_class(Idempotency.NON_IDEMPOTENT, required_kind=1),
 )
-FLEET = 14
+MACHINE_COUNT = 14
 
 
-class Fleet:
-    """One scheduler that gets random events, and what the lists and its own offers were."""
+class RandomizedScheduler:
+    """One scheduler that handles random events, and a record of the listed machines and its offers."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -62,10 +63,10 @@
         self.attempt_counts: dict[int, int] = {}
         self.changes: list[tuple[float, int, float, float]] = []
         self.requests: dict[int, tuple[float, float]] = {}
-        self.views = {n: self.view(n) for n in range(1, FLEET + 1)}
-        self.scheduler.handle(self.now, EndpointList(EndpointListKind.FULL, 1, tuple(self.views.values())))
+        self.listed = {n: self.new_endpoint(n) for n in range(1, MACHINE_COUNT + 1)}
+        self.scheduler.handle(self.now, EndpointList(EndpointListKind.FULL, 1, tuple(self.listed.values())))
 
-    def view(self, machine_id: int) -> Endpoint:
+    def new_endpoint(self, machine_id: int) -> Endpoint:
         cores, memory = self.random.uniform(0, 30), self.random.uniform(0, 50)
         state = self.random.choice([MachineState.READY] * 5 + [MachineState.DRAINING])
         return machine(machine_id, kind=machine_id % 2, free_cores=cores, free_memory=memory, state=state)
@@ -78,23 +79,23 @@
                 self.unaccepted[action.task, number] = action.machine
                 self.changes.append((self.now, action.machine, *self.requests[action.task]))
 
-    def step(self) -> None:
-        what = self.random.random()
+    def random_step(self) -> None:
+        step_kind = self.random.random()
         self.now += self.random.expovariate(1 / 40)
-        if what < 0.4:
-            self.submit()
-        elif what < 0.7 and self.unaccepted:
+        if step_kind < 0.4:
+            self.submit_task()
+        elif step_kind < 0.7 and self.unaccepted:
             self.accept_or_end()
-        elif what < 0.8 and self.accepted:
+        elif step_kind < 0.8 and self.accepted:
             self.end_accepted()
-        elif what < 0.9 and self.accepted:
-            self.report_use()
-        elif what < 0.95:
+        elif step_kind < 0.9 and self.accepted:
+            self.report_usage()
+        elif step_kind < 0.95:
             self.report_load()
         else:
             self.update_list()
 
-    def submit(self) -> None:
+    def submit_task(self) -> None:
         rng = self.random
         self.task_count += 1
         cores, memory = rng.choice([0.5, 1, 4]), rng.choice([1, 2, 6])
@@ -104,27 +105,27 @@
     def accept_or_end(self) -> None:
         rng = self.random
         key = rng.choice(list(self.unaccepted))
-        where = self.unaccepted.pop(key)
+        machine_id = self.unaccepted.pop(key)
         if rng.random() < 0.6:
-            self.accepted[key] = where
-            self.send(TaskPlaced(*key, where, 20.0))
+            self.accepted[key] = machine_id
+            self.send(TaskPlaced(*key, machine_id, 20.0))
             return
-        end = rng.choice([AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE])
+        outcome = rng.choice([AttemptOutcome.REJECTED, AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE])
         reason = OutcomeReason.UNSPECIFIED
-        if end is AttemptOutcome.REJECTED:
+        if outcome is AttemptOutcome.REJECTED:
             reason = rng.choice([OutcomeReason.NO_CORES, OutcomeReason.NO_MEMORY])
-        if end is not AttemptOutcome.TIMED_OUT:
-            self.record_freed(key, where)
-        self.send(AttemptClosed(*key, where, end, reason, task_finished=False, elapsed_ms=5.0))
+        if outcome is not AttemptOutcome.TIMED_OUT:
+            self.record_freed(key, machine_id)
+        self.send(AttemptClosed(*key, machine_id, outcome, reason, task_finished=False, elapsed_ms=5.0))
 
     def end_accepted(self) -> None:
         key = self.random.choice(list(self.accepted))
-        where = self.accepted.pop(key)
-        self.record_freed(key, where)
-        end, reason = AttemptOutcome.ENDED, OutcomeReason.UNSPECIFIED
-        self.send(AttemptClosed(*key, where, end, reason, task_finished=True, elapsed_ms=5.0))
+        machine_id = self.accepted.pop(key)
+        self.record_freed(key, machine_id)
+        outcome, reason = AttemptOutcome.ENDED, OutcomeReason.UNSPECIFIED
+        self.send(AttemptClosed(*key, machine_id, outcome, reason, task_finished=True, elapsed_ms=5.0))
 
-    def report_use(self) -> None:
+    def report_usage(self) -> None:
         key = self.random.choice(list(self.accepted))
         topic = self.random.choice([StatusTopic.CORES_USED, StatusTopic.MEMORY_USED])
         self.send(TaskStatusReported(*key, self.accepted[key], topic, self.random.uniform(0, 3)))
@@ -132,22 +133,22 @@
     def report_load(self) -> None:
         rng = self.random
         load = LoadReport(rng.uniform(0, 30), rng.choice([None, rng.uniform(0, 50)]))
-        self.send(HealthCheckCompleted(rng.randint(1, FLEET), ok=True, elapsed_ms=1.0, load=load))
+        self.send(HealthCheckCompleted(rng.randint(1, MACHINE_COUNT), ok=True, elapsed_ms=1.0, load=load))
 
     def update_list(self) -> None:
-        machine_id = self.random.randint(1, FLEET)
-        self.views[machine_id] = self.view(machine_id)
-        self.send(EndpointList(EndpointListKind.CHANGES, 2, (self.views[machine_id],)))
+        machine_id = self.random.randint(1, MACHINE_COUNT)
+        self.listed[machine_id] = self.new_endpoint(machine_id)
+        self.send(EndpointList(EndpointListKind.CHANGES, 2, (self.listed[machine_id],)))
 
-    def record_freed(self, key: tuple[int, int], where: int) -> None:
+    def record_freed(self, key: tuple[int, int], machine_id: int) -> None:
         cores, memory = self.requests[key[0]]
-        self.changes.append((self.now, where, -cores, -memory))
+        self.changes.append((self.now, machine_id, -cores, -memory))
 
     def requested(self, m: Machine) -> tuple[float, float]:
-        """By definition: the list's figure with all own changes of the last VIEW_LAG_MS."""
+        """Return the requested cores and memory by definition: as listed, plus changes since VIEW_LAG_MS."""
         recent = [c for c in self.changes if c[1] == m.id and c[0] > self.now - VIEW_LAG_MS]
-        cores = m.cores - self.views[m.id].free_cores + sum(c[2] for c in recent)
-        memory = m.memory - self.views[m.id].free_memory + sum(c[3] for c in recent)
+        cores = m.cores - self.listed[m.id].free_cores + sum(c[2] for c in recent)
+        memory = m.memory - self.listed[m.id].free_memory + sum(c[3] for c in recent)
         return max(0.0, cores), max(0.0, memory)
 
     def has_capacity(self, task: Task, m: Machine) -> bool:
@@ -161,7 +162,7 @@
             and memory + task.memory <= free_share * self.settings.memory_overcommit * m.memory + 1e-9
         )
 
-    def has_capacity_by_use(self, task: Task, m: Machine) -> bool:
+    def has_capacity_by_usage(self, task: Task, m: Machine) -> bool:
         overall = self.scheduler._utilization.overall_ratios()
         ratios = self.scheduler._utilization.ratios_of(task.service)
         requested_cores, requested_memory = self.requested(m)
@@ -171,34 +172,36 @@
                 cores = m.reported_cores + m.cores_since_report * overall.cores
             if m.reported_memory is not None:
                 memory = max(memory, m.reported_memory + m.memory_since_report * overall.memory)
-        busy = (
+        max_utilization = (
             task.task_class.full_service_utilization
             + (1 - MIN_SERVED_SHARE) * task.task_class.degradation_range
         )
         return (
             memory + task.memory * ratios.memory <= MAX_MEMORY_UTILIZATION * m.memory + 1e-9
-            and cores + task.cores * ratios.cores <= busy * m.cores + 1e-9
+            and cores + task.cores * ratios.cores <= max_utilization * m.cores + 1e-9
         )
 
 
 @runs(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
 def test_the_filters_agree_with_their_definitions_for_each_machine(seed: int) -> None:
-    fleet = Fleet(seed)
+    randomized = RandomizedScheduler(seed)
     for _ in range(80):
-        fleet.step()
-        scheduler = fleet.scheduler
-        scheduler.handle(fleet.now, TaskArrived(-1, -1, 0, 1.0, 1.0, 0.0))  # of no class: only time goes by
+        randomized.random_step()
+        scheduler = randomized.scheduler
+        scheduler.handle(
+            randomized.now, TaskArrived(-1, -1, 0, 1.0, 1.0, 0.0)
+        )  # unknown class: only advances the time
         machines = list(scheduler._fleet.machines.values())
         for m in machines:
-            requested = fleet.requested(m)
+            requested = randomized.requested(m)
             assert math.isclose(m.requested_cores, requested[0], abs_tol=1e-6)
             assert math.isclose(m.requested_memory, requested[1], abs_tol=1e-6)
-        cores, memory = fleet.random.choice([0.5, 2.0, 9.0]), fleet.random.choice([1.0, 4.0])
+        cores, memory = randomized.random.choice([0.5, 2.0, 9.0]), randomized.random.choice([1.0, 4.0])
         for cls in CLASSES:
-            task = Task(0, cls, fleet.random.randrange(5), cores, memory)
-            with_capacity = [m.id for m in machines if fleet.has_capacity(task, m)]
+            task = Task(0, cls, randomized.random.randrange(5), cores, memory)
+            with_capacity = [m.id for m in machines if randomized.has_capacity(task, m)]
             assert [m.id for m in scheduler._capacity.select(task, machines)] == with_capacity
             assert [m.id for m in scheduler._utilization.select(task, machines)] == [
-                m.id for m in machines if fleet.has_capacity_by_use(task, m)
+                m.id for m in machines if randomized.has_capacity_by_usage(task, m)
             ]
--- a/tests/scheduling/test_scheduling_idempotency.py
+++ b/tests/scheduling/test_scheduling_idempotency.py
@@ -1,4 +1,4 @@
-"""Where and for how long a task may be attempted again."""
+"""Where and for how long a task may be retried."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize(
-    ("idempotency", "scope", "again"),
+    ("idempotency", "scope", "retry_scope"),
     [
         (Idempotency.IDEMPOTENT, FailureDomain.ALL, "anywhere"),
         (Idempotency.NON_IDEMPOTENT, FailureDomain.ALL, "nowhere"),
@@ -36,38 +36,39 @@
         (Idempotency.IDEMPOTENCY_KEY, FailureDomain.CELL, "cell"),
     ],
 )
-@pytest.mark.parametrize("end", [AttemptOutcome.TIMED_OUT, AttemptOutcome.ERROR, AttemptOutcome.RESET])
+@pytest.mark.parametrize("outcome", [AttemptOutcome.TIMED_OUT, AttemptOutcome.ERROR, AttemptOutcome.RESET])
 def test_a_possibly_executed_attempt_limits_where_the_next_one_goes(
-    idempotency: Idempotency, scope: FailureDomain, again: str, end: AttemptOutcome
+    idempotency: Idempotency, scope: FailureDomain, retry_scope: str, outcome: AttemptOutcome
 ) -> None:
     by_id = {m.id: m for m in FLEET}
     for seed in range(8):
         driver = Driver(settings(task_class(idempotency, idempotency_scope=scope)), seed)
         driver.listing(*FLEET)
         first = driver.bind(5)
-        actions = driver.close(5, 0, first, end, after=100.0)
-        if again == "nowhere":
+        actions = driver.close(5, 0, first, outcome, after=100.0)
+        if retry_scope == "nowhere":
             assert only_action(actions, Fail).task == 5
             continue
         second = only_action(actions, Bind).machine
         assert second != first
-        if again == "zone":
+        if retry_scope == "zone":
             assert by_id[second].zone == by_id[first].zone
-        if again == "cell":
+        if retry_scope == "cell":
             assert by_id[second].cell == by_id[first].cell
 
 
-def test_a_task_with_an_idempotency_key_is_not_repeated_after_its_window() -> None:
+def test_a_task_with_an_idempotency_key_is_not_retried_after_its_window() -> None:
     driver = Driver(settings(task_class(Idempotency.IDEMPOTENCY_KEY, idempotency_window_ms=500.0)))
     driver.listing(*FLEET)
     first = driver.bind(5)
     assert only_action(driver.close(5, 0, first, AttemptOutcome.TIMED_OUT, after=600.0), Fail).task == 5
 
 
-def test_a_repeat_waits_for_its_connection_no_longer_than_its_window() -> None:
-    """Guards against a repeat that its dial held up: sent 1.40 s after the first, in a window of 1.25 s.
+def test_a_retry_waits_for_its_connection_no_longer_than_the_idempotency_window() -> None:
+    """Guards against a retry that is sent after the window because its connection was slow.
 
-    Two attempts may have run; the window is that of the first.
+    One was sent 1.40 s after the first attempt, with a window of 1.25 s. With several attempts that may have
+    been executed, the window starts at the first.
     """
     driver = Driver(settings(task_class(Idempotency.IDEMPOTENCY_KEY, idempotency_window_ms=1_000.0)))
     driver.listing(*FLEET)
@@ -83,7 +84,7 @@
 
 
 @pytest.mark.parametrize("idempotency", [Idempotency.IDEMPOTENT, Idempotency.NON_IDEMPOTENT])
-def test_a_repeat_without_a_window_may_wait_for_its_connection(idempotency: Idempotency) -> None:
+def test_a_retry_without_an_idempotency_window_may_wait_for_its_connection(idempotency: Idempotency) -> None:
     driver = Driver(settings(task_class(idempotency)))
     driver.listing(*FLEET)
     first = driver.bind(5)
@@ -92,7 +93,9 @@
 
 
 @pytest.mark.parametrize("idempotency", list(Idempotency))
-def test_a_rejected_offer_is_followed_by_another_whatever_the_idempotency(idempotency: Idempotency) -> None:
+def test_a_rejected_offer_is_followed_by_another_regardless_of_the_idempotency(
+    idempotency: Idempotency,
+) -> None:
     driver = Driver(settings(task_class(idempotency)))
     driver.listing(*FLEET)
     first = driver.bind(5)
--- a/tests/scheduling/test_scheduling_outlier_detection.py
+++ b/tests/scheduling/test_scheduling_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Machines whose attempts fail are ejected, and return by one trial."""
+"""Outlier detection: machines whose attempts fail are ejected, and return after one trial attempt."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 )
 
 
-def test_a_machine_that_times_out_is_ejected_and_returns_by_one_trial() -> None:
+def test_a_machine_that_times_out_is_ejected_and_returns_after_one_trial_attempt() -> None:
     driver = Driver()
     driver.listing(*(machine(n, free_cores=28.0, free_memory=48.0) for n in (1, 2, 3)))
-    driver.find(100, 2, service=9)  # it makes machine 2 the choice for the service
+    driver.find(100, 2, service=9)  # makes machine 2 the first choice for the service
     for task in (1, 2):
         assert driver.bind(task, service=9) == 2
         driver.close(task, 0, 2, AttemptOutcome.TIMED_OUT, task_finished=True, after=5.0)
@@ -30,9 +30,9 @@
     driver.close(3, 0, 1, AttemptOutcome.ENDED, task_finished=True)
     driver.now += 20_000.0
     driver.find(101, 2, service=50)
-    trial = [driver.bind(task, service=50) for task in range(4, 12)]
-    assert trial[0] == 2  # tasks that run there do not bar the trial
-    assert 2 not in trial[1:]
+    machines = [driver.bind(task, service=50) for task in range(4, 12)]
+    assert machines[0] == 2  # running tasks do not prevent the trial
+    assert 2 not in machines[1:]
     driver.place(4, 0, 2)
     driver.find(102, 2, service=60)
     assert driver.bind(20, service=60) == 2
--- a/tests/scheduling/test_scheduling_placement.py
+++ b/tests/scheduling/test_scheduling_placement.py
@@ -1,4 +1,4 @@
-"""Which of the safe machines a task is offered to."""
+"""The choice among the safe machines."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     assert driver.bind(1) == 1
 
 
-def test_a_task_goes_where_its_service_runs_while_that_machine_serves_in_full() -> None:
+def test_a_task_goes_to_a_machine_that_runs_its_service_while_it_serves_in_full() -> None:
     driver = Driver()
     driver.listing(*(machine(n, free_cores=28.0, free_memory=48.0) for n in range(6)))
     driver.find(100, 4, service=9)
@@ -50,7 +50,7 @@
     assert len(chosen) == 1
 
 
-def test_only_tasks_of_the_lowest_priority_wait_where_they_would_crowd_a_machine() -> None:
+def test_only_tasks_of_the_lowest_priority_wait_rather_than_overload_a_machine() -> None:
     classes = task_class(priority=0), task_class(priority=2)
     driver = Driver(settings(*classes))
     driver.listing(machine(0, free_cores=1.0))
@@ -58,7 +58,7 @@
     assert driver.bind(2, cls=1) == 0
 
 
-def test_a_higher_priority_needs_no_capacity_where_machines_preempt_but_prefers_it() -> None:
+def test_a_higher_priority_prefers_free_capacity_but_needs_none_if_machines_preempt() -> None:
     classes = task_class(priority=0), task_class(priority=2)
     driver = Driver(settings(*classes, machines_preempt=True))
     driver.listing(machine(0, free_cores=-24.0))
--- a/tests/scheduling/test_scheduling_retries.py
+++ b/tests/scheduling/test_scheduling_retries.py
@@ -1,4 +1,4 @@
-"""The course of a task: attempts one at a time, time-outs, events that change nothing."""
+"""The lifecycle of a task: one attempt at a time, time-outs, and events that are ignored."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 FLEET = [machine(n) for n in range(12)]
 
 
-def test_one_attempt_is_open_at_a_time() -> None:
+def test_only_one_attempt_is_open_at_a_time() -> None:
     driver = Driver()
     driver.listing(*FLEET)
     driver.bind(5)
     assert actions_of(driver.listing(*FLEET, after=50.0), Bind) == []
 
 
-def test_unknown_repeated_and_late_events_change_nothing() -> None:
+def test_unknown_duplicate_and_late_events_change_nothing() -> None:
     driver = Driver()
     driver.listing(*FLEET)
     first = driver.bind(5)
@@ -45,23 +45,23 @@
     assert driver.place(5, 0, first) == []
 
 
-def test_the_first_timeout_leaves_time_for_another_attempt_and_no_more() -> None:
+def test_the_first_timeout_leaves_just_enough_time_for_another_attempt() -> None:
     driver = Driver()
     driver.listing(*FLEET)
-    early = only_action(driver.arrive(1, timeout_ms=4000.0), Bind)
-    assert 1990.0 < early.timeout_ms < 4000.0 - 2 * 5.0
-    driver.place(1, 0, early.machine)
+    first_bind = only_action(driver.arrive(1, timeout_ms=4000.0), Bind)
+    assert 1990.0 < first_bind.timeout_ms < 4000.0 - 2 * 5.0
+    driver.place(1, 0, first_bind.machine)
     for task in range(2, 80):  # acknowledgements come within 5 ms
         driver.place(task, 0, driver.bind(task, cores=0.1, after=30.0))
-    late = only_action(driver.arrive(99, cores=0.1, timeout_ms=4000.0), Bind)
-    assert early.timeout_ms < late.timeout_ms < 4000.0 - 2 * 5.0
+    later_bind = only_action(driver.arrive(99, cores=0.1, timeout_ms=4000.0), Bind)
+    assert first_bind.timeout_ms < later_bind.timeout_ms < 4000.0 - 2 * 5.0
 
 
-@pytest.mark.parametrize("odd", [0.0, -1.0, float("nan"), float("inf")])
-def test_a_task_with_an_invalid_request_counts_as_a_mean_one(odd: float) -> None:
+@pytest.mark.parametrize("invalid", [0.0, -1.0, float("nan"), float("inf")])
+def test_a_task_with_an_invalid_request_gets_the_mean_request(invalid: float) -> None:
     driver = Driver()
     driver.listing(*FLEET)
-    bound = driver.bind(1, cores=odd, memory=odd)
+    bound = driver.bind(1, cores=invalid, memory=invalid)
     driver.place(1, 0, bound)
     driver.send(TaskStatusReported(1, 0, bound, StatusTopic.CORES_USED, 0.5))
     assert driver.bind(2) in {m.id for m in FLEET}
--- a/tests/scheduling/test_scheduling_slow_start.py
+++ b/tests/scheduling/test_scheduling_slow_start.py
@@ -1,7 +1,7 @@
-"""What all placers together may offer to a warming machine, over any window of the settings' length.
+"""The limit of offers that all placers together make to a warming machine in any window.
 
-Many schedulers run on one virtual time, each by its own clock, and always have more work than they may
-offer. An offer counts anywhere between its bind and the last instant at which it may still be written.
+Many schedulers run in one virtual time, each with its own clock, and always have more tasks than they may
+offer. An offer may count at any instant between its bind and the last instant at which it may still be sent.
 """
 
 from __future__ import annotations
@@ -38,29 +38,29 @@
     TaskWithdrawn,
 )
 
-WINDOW, CONNECT = 1500.0, 200.0
-BEGIN = 1_800_000_000_000.0
-IDENT = 0x5A17
+WINDOW_MS, CONNECT_TIMEOUT_MS = 1500.0, 200.0
+START_MS = 1_800_000_000_000.0
+MACHINE_ID = 0x5A17
 
 
 class WarmingFleet:
-    """Placers, and for each machine the first and last instant of each offer."""
+    """Placers, and for each machine the first and last possible instant of each offer."""
 
     def __init__(
         self, placers: int, limit: float, warming: tuple[Endpoint, ...] = (), indexes: range | None = None
     ) -> None:
-        base = settings(replica_count=placers, connect_timeout_ms=CONNECT)
-        rules = replace(base.slow_start, window_ms=WINDOW, max_offers_per_window=limit, duration_ms=1e9)
+        base = settings(replica_count=placers, connect_timeout_ms=CONNECT_TIMEOUT_MS)
+        rules = replace(base.slow_start, window_ms=WINDOW_MS, max_offers_per_window=limit, duration_ms=1e9)
         self.settings = replace(base, slow_start=rules)
-        self.listed = warming or (machine(IDENT, started_at=BEGIN - 10.0),)
+        self.listed = warming or (machine(MACHINE_ID, started_at=START_MS - 10.0),)
         self.limit = limit
         self.indexes = indexes or range(placers)
-        self.schedulers = {placer: self.start(placer) for placer in self.indexes}
-        self.clock_ahead_ms = dict.fromkeys(self.indexes, 0.0)  # of each placer's clock, in milliseconds
+        self.schedulers = {placer: self.start_scheduler(placer) for placer in self.indexes}
+        self.clock_ahead_ms = dict.fromkeys(self.indexes, 0.0)  # offset of each placer's clock
         self.offers: dict[int, list[tuple[float, float]]] = defaultdict(list)
-        self.tasks = 0
+        self.task_count = 0
 
-    def start(self, placer: int, incarnation: int = 0) -> Scheduler:
+    def start_scheduler(self, placer: int, incarnation: int = 0) -> Scheduler:
         return Scheduler(replace(self.settings, replica_index=placer), seed=placer + 1000 * incarnation)
 
     def list_machines(
@@ -71,20 +71,20 @@
     def handle(self, placer: int, at: float, event: SchedulerEvent) -> list[Bind]:
         return actions_of(self.schedulers[placer].handle(at + self.clock_ahead_ms[placer], event), Bind)
 
-    def spend(self, placer: int, at: float, size: float = 1e-6) -> int:
-        """The placer offers all that it may at this instant; the number."""
-        for made in range(10_000):
-            self.tasks += 1
-            arrived = TaskArrived(self.tasks, 0, self.tasks, size, size, 4000.0)
+    def use_all_offers(self, placer: int, at: float, size: float = 1e-6) -> int:
+        """Let the placer make all the offers that it may at this instant, and return their number."""
+        for offer_count in range(10_000):
+            self.task_count += 1
+            arrived = TaskArrived(self.task_count, 0, self.task_count, size, size, 4000.0)
             binds = self.handle(placer, at, arrived)
             if not binds:
-                self.handle(placer, at, TaskWithdrawn(self.tasks))
-                return made
+                self.handle(placer, at, TaskWithdrawn(self.task_count))
+                return offer_count
             (bind,) = binds
             until = at + min(bind.timeout_ms, bind.send_within_ms)
             self.offers[bind.machine].append((at, until))
             closed = AttemptClosed(
-                self.tasks,
+                self.task_count,
                 0,
                 bind.machine,
                 AttemptOutcome.REJECTED,
@@ -93,49 +93,55 @@
                 elapsed_ms=1.0,
             )
             self.handle(placer, at, closed)
-        raise AssertionError("no end of offers")
+        raise AssertionError("the placer made 10,000 offers at one instant")
 
-    def worst(self) -> int:
-        """The most offers that any machine may see in any window."""
+    def max_offers_in_a_window(self) -> int:
+        """Return the highest number of offers that any machine may get in any window."""
         return max((max_in_a_window(offers) for offers in self.offers.values()), default=0)
 
 
 def max_in_a_window(offers: list[tuple[float, float]]) -> int:
-    """Each offer falls anywhere in its interval; windows are half open."""
-    marks = sorted([(first, 1) for first, _ in offers] + [(last + WINDOW, -1) for _, last in offers])
+    """Return the highest number of offers in a half-open window, if each falls anywhere in its interval."""
+    changes = sorted([(first, 1) for first, _ in offers] + [(last + WINDOW_MS, -1) for _, last in offers])
     highest = open_offers = 0
-    for _, change in sorted(marks):
+    for _, change in sorted(changes):
         open_offers += change
         highest = max(highest, open_offers)
     return highest
 
 
-def allowed_by_chance(limit: float) -> float:
+def limit_with_random_variation(limit: float) -> float:
     return limit + 2 * math.sqrt(limit) + 2
 
 
 def slot_ms() -> float:
-    return (WINDOW + CONNECT) / 3
+    return (WINDOW_MS + CONNECT_TIMEOUT_MS) / 3
 
 
-def instants(slots: int, pivot: int, chance: random.Random | None = None) -> Callable[[], list[float]]:
-    """One instant in each slot: its end before the pivot and its start from there on, or any."""
-    begin = math.ceil(BEGIN / slot_ms()) + 1
+def instant_sampler(slots: int, pivot: int, rng: random.Random | None = None) -> Callable[[], list[float]]:
+    """Return a function that draws one instant in each slot.
 
-    def draw() -> list[float]:
-        parts = [0.99 if n < pivot else 0.001 for n in range(slots)]
-        if chance is not None:
-            parts = [chance.choice([part, part, chance.random()]) for part in parts]
-        return [(begin + n + part) * slot_ms() for n, part in enumerate(parts)]
+    It lies near the end of slots before the pivot and near the start of the others; with an `rng` it is
+    sometimes random.
+    """
+    begin = math.ceil(START_MS / slot_ms()) + 1
+
+    def draw_instants() -> list[float]:
+        fractions = [0.99 if n < pivot else 0.001 for n in range(slots)]
+        if rng is not None:
+            fractions = [rng.choice([fraction, fraction, rng.random()]) for fraction in fractions]
+        return [(begin + n + fraction) * slot_ms() for n, fraction in enumerate(fractions)]
 
-    return draw
+    return draw_instants
 
 
-def spend_all(fleet: WarmingFleet, draw: Callable[[], list[float]]) -> None:
-    """Each placer offers all that it may once in each of its slots, in the order of time."""
-    slots = [(at - fleet.clock_ahead_ms[placer], placer) for placer in fleet.indexes for at in draw()]
+def use_offers_in_each_slot(fleet: WarmingFleet, draw_instants: Callable[[], list[float]]) -> None:
+    """Let each placer make all its offers once in each slot of its own clock, in order of time."""
+    slots = [
+        (at - fleet.clock_ahead_ms[placer], placer) for placer in fleet.indexes for at in draw_instants()
+    ]
     for at, placer in sorted(slots):
-        fleet.spend(placer, at)
+        fleet.use_all_offers(placer, at)
 
 
 LIMITS = st.sampled_from([1, 2, 3, 5, 9, 10, 20, 30, 57, 120, 250])
@@ -144,50 +150,52 @@
 
 @runs(max_examples=60)
 @given(PLACERS, LIMITS, st.integers(0, 2**48), st.integers(1, 12), st.integers(0, 2**32))
-def test_no_window_exceeds_the_limit_though_connections_are_late_and_clocks_differ(
-    placers: int, limit: int, ident: int, pivot: int, seed: int
+def test_no_window_exceeds_the_limit_despite_slow_connections_and_clock_skew(
+    placers: int, limit: int, machine_id: int, pivot: int, seed: int
 ) -> None:
-    """Guards against offers that wait for a connection until their time-out, and are sent in a later slot."""
-    chance = random.Random(seed)
-    fleet = WarmingFleet(placers, limit, (machine(ident, started_at=BEGIN - 10.0),))
+    """Guards against offers that wait for a connection until their time-out and are sent in a later slot."""
+    rng = random.Random(seed)
+    fleet = WarmingFleet(placers, limit, (machine(machine_id, started_at=START_MS - 10.0),))
     for placer in fleet.indexes:
-        fleet.clock_ahead_ms[placer] = chance.choice([0.0, CONNECT / 2, chance.uniform(0.0, CONNECT / 2)])
-        fleet.list_machines(placer, BEGIN)
-    spend_all(fleet, instants(13, pivot, chance))
-    assert fleet.worst() <= limit
+        fleet.clock_ahead_ms[placer] = rng.choice(
+            [0.0, CONNECT_TIMEOUT_MS / 2, rng.uniform(0.0, CONNECT_TIMEOUT_MS / 2)]
+        )
+        fleet.list_machines(placer, START_MS)
+    use_offers_in_each_slot(fleet, instant_sampler(13, pivot, rng))
+    assert fleet.max_offers_in_a_window() <= limit
 
 
 @runs(max_examples=60)
 @given(PLACERS, LIMITS, st.integers(1, 12), st.integers(0, 2**32))
-def test_no_window_exceeds_the_limit_though_placers_restart_and_the_machine_is_relisted(
+def test_no_window_exceeds_the_limit_despite_placer_restarts_and_relisted_machines(
     placers: int, limit: int, pivot: int, seed: int
 ) -> None:
-    """Guards against offers of one slot that are made twice: by two incarnations of a placer or of an entry.
+    """Guards against offers of a slot that two incarnations of a placer or list entry both make.
 
-    Placers also learn of the machine one after another, and a restarted one has another seed.
+    Placers also get the machine's list entry one after another, and a restarted placer has another seed.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     fleet = WarmingFleet(placers, limit)
     removed = replace(fleet.listed[0], state=MachineState.REMOVED)
     listed_to: set[int] = set()
     for at, placer in sorted(
-        (at, placer) for placer in fleet.indexes for at in instants(13, pivot, chance)()
+        (at, placer) for placer in fleet.indexes for at in instant_sampler(13, pivot, rng)()
     ):
         if placer not in listed_to:
-            if chance.random() < 0.5:
+            if rng.random() < 0.5:
                 fleet.list_machines(placer, at)
                 listed_to.add(placer)
             continue
-        fleet.spend(placer, at)
-        match chance.randrange(4):
+        fleet.use_all_offers(placer, at)
+        match rng.randrange(4):
             case 0:
-                fleet.schedulers[placer] = fleet.start(placer, chance.randrange(100))
+                fleet.schedulers[placer] = fleet.start_scheduler(placer, rng.randrange(100))
                 fleet.list_machines(placer, at + 0.1)
             case 1:
                 fleet.list_machines(placer, at + 0.1, removed, kind=EndpointListKind.CHANGES)
                 fleet.list_machines(placer, at + 0.2, kind=EndpointListKind.CHANGES)
-        fleet.spend(placer, at + 0.3)
-    assert fleet.worst() <= limit
+        fleet.use_all_offers(placer, at + 0.3)
+    assert fleet.max_offers_in_a_window() <= limit
 
 
 @runs(max_examples=150)
@@ -198,71 +206,73 @@
     st.floats(-12.0, 12.0),
     st.integers(0, 2**32),
 )
-def test_clocks_that_were_stepped_between_restarts_add_no_more_than_chance(
+def test_clocks_stepped_between_restarts_exceed_the_limit_only_by_random_variation(
     placers: int, limit: int, share: float, slots: float, seed: int
 ) -> None:
-    """Placers that restart after a step of the wall clock go by it; the others are slewed, for hours.
+    """Placers that restart use the stepped wall clock; the clocks of the others are slewed for hours.
 
-    They restart in the order of their indexes. Guards against slots that go by indexes too: one part of the
-    placers then has all offers of some seconds, and the other part has its own by another clock meanwhile.
+    They restart in the order of their indexes. Guards against offers that are also divided in that order: the
+    restarted placers would then hold all offers of several seconds, while the others make theirs at the same
+    time by another clock.
     """
-    chance = random.Random(seed)
-    fleet = WarmingFleet(placers, limit, (machine(chance.getrandbits(48), started_at=BEGIN - 10.0),))
-    first = chance.randrange(placers)
+    rng = random.Random(seed)
+    fleet = WarmingFleet(placers, limit, (machine(rng.getrandbits(48), started_at=START_MS - 10.0),))
+    first = rng.randrange(placers)
     for number in range(round(share * placers)):
         fleet.clock_ahead_ms[(first + number) % placers] = slots * slot_ms()
     for placer in fleet.indexes:
-        fleet.list_machines(placer, BEGIN - 20.0 * slot_ms())
-    spend_all(fleet, instants(24, 12, chance))
-    assert fleet.worst() <= allowed_by_chance(limit)
+        fleet.list_machines(placer, START_MS - 20.0 * slot_ms())
+    use_offers_in_each_slot(fleet, instant_sampler(24, 12, rng))
+    assert fleet.max_offers_in_a_window() <= limit_with_random_variation(limit)
 
 
 @pytest.mark.parametrize("limit", [5, 57, 250])
 @pytest.mark.parametrize("beyond", [1, 10, 20])
 def test_placers_beyond_the_replica_count_have_no_offers(beyond: int, limit: int) -> None:
-    """Guards against a fleet that outgrew its settings: index 20 of 20 took the offers of index 0."""
+    """Guards against more placers than the settings state: index 20 of 20 took the offers of index 0."""
     fleet = WarmingFleet(20, limit, indexes=range(20 + beyond))
     for placer in fleet.indexes:
-        fleet.list_machines(placer, BEGIN)
-    spend_all(fleet, instants(9, 5))
-    assert fleet.worst() <= limit
+        fleet.list_machines(placer, START_MS)
+    use_offers_in_each_slot(fleet, instant_sampler(9, 5))
+    assert fleet.max_offers_in_a_window() <= limit
 
 
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("limit", [9, 57])
 @pytest.mark.parametrize("placers", [3, 20, 30, 60])
-def test_three_quarters_of_the_limit_go_out_over_a_long_time(placers: int, limit: int, seed: int) -> None:
-    """The whole limit goes out in four slots, so over a long time a window has three quarters of it.
+def test_three_quarters_of_the_limit_are_used_in_the_long_term(placers: int, limit: int, seed: int) -> None:
+    """Guards against starvation: in the long term a window gets about three quarters of the limit.
 
-    The slots are lengthened by a connect time-out, which takes its part. Guards against starvation.
+    Four slots share the limit, and a window is a little shorter than three slots, because slots are extended
+    by a connect time-out.
     """
-    fleet = WarmingFleet(placers, limit, (machine(seed * 977, started_at=BEGIN - 10.0),))
+    fleet = WarmingFleet(placers, limit, (machine(seed * 977, started_at=START_MS - 10.0),))
     for placer in fleet.indexes:
-        fleet.list_machines(placer, BEGIN)
-    spend_all(fleet, instants(40, 40, random.Random(seed)))
+        fleet.list_machines(placer, START_MS)
+    use_offers_in_each_slot(fleet, instant_sampler(40, 40, random.Random(seed)))
     assert sum(len(offers) for offers in fleet.offers.values()) == 10 * limit
 
 
-def test_a_warming_machine_whose_connections_do_not_come_up_is_ejected() -> None:
-    """Its offers wait for less than a connect time-out, so that their end is another: not sent."""
-    its = settings(replica_count=1)
-    driver = Driver(replace(its, slow_start=replace(its.slow_start, max_offers_per_window=400.0)))
+def test_a_warming_machine_whose_connections_fail_is_ejected() -> None:
+    """Its offers wait for less than a connect time-out, so they end as NOT_SENT, not as UNREACHABLE."""
+    base = settings(replica_count=1)
+    driver = Driver(replace(base, slow_start=replace(base.slow_start, max_offers_per_window=400.0)))
     driver.listing(machine(1), machine(2))
     driver.now = 60_000.0
     driver.listing(machine(1, started_at=driver.now - 10.0), kind=EndpointListKind.CHANGES)
-    went: list[int] = []
+    offered_machines: list[int] = []
     for task in range(60):
         (bind,) = actions_of(driver.arrive(task, service=task, cores=0.01, memory=0.01), Bind)
-        went.append(bind.machine)
-        if bind.machine == 1 and went.count(1) <= 2:
-            assert bind.send_within_ms == its.connect_timeout_ms / 2
+        offered_machines.append(bind.machine)
+        if bind.machine == 1 and offered_machines.count(1) <= 2:
+            assert bind.send_within_ms == base.connect_timeout_ms / 2
             driver.close(task, 0, 1, AttemptOutcome.NOT_SENT, task_finished=True, after=bind.send_within_ms)
-    assert went.count(1) == 2
-    assert went[-1] == 2
+    assert offered_machines.count(1) == 2
+    assert offered_machines[-1] == 2
 
 
 @pytest.mark.parametrize(("placers", "limit"), [(1, 7), (3, 7), (220, 60), (220, 3), (2, 1)])
-def test_all_placers_together_keep_the_limit_of_a_warming_machine_and_use_it(
+def test_all_placers_together_use_the_limit_of_a_warming_machine_without_exceeding_it(
     placers: int, limit: int
 ) -> None:
     base = settings(replica_count=placers)
@@ -288,7 +298,7 @@
         assert sum(at - rules.window_ms < other <= at for other in sent) <= limit
 
 
-def test_a_placer_that_has_just_started_offers_a_warming_machine_nothing() -> None:
+def test_a_placer_that_has_just_started_makes_no_offers_to_a_warming_machine() -> None:
     driver = Driver()
     driver.listing(machine(1, started_at=driver.now - 10.0), kind=EndpointListKind.CACHED)
     assert actions_of(driver.arrive(5), Bind) == []
--- a/tests/scheduling/test_scheduling_timer_tokens.py
+++ b/tests/scheduling/test_scheduling_timer_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens of timers: their values are on the simulator's wire."""
+"""Timer tokens: their values are part of the simulator's wire protocol."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         (TimerKind.HEALTH_CHECK_SCAN, 0, 3),
     ],
 )
-def test_tokens_have_their_values_on_the_wire(kind: TimerKind, task: int, token: int) -> None:
+def test_tokens_have_their_wire_values(kind: TimerKind, task: int, token: int) -> None:
     assert encode_token(kind, task) == token
     assert type(encode_token(kind, task)) is int
     assert decode_token(token) == TimerToken(kind, task)
--- a/tests/scheduling/test_scheduling_under_faults.py
+++ b/tests/scheduling/test_scheduling_under_faults.py
@@ -1,4 +1,8 @@
-"""Random sequences of faults over several independent placers: the five rules hold for each of them."""
+"""Random sequences of faults over several independent placers, each of which must keep the five rules.
+
+The rules: one final answer in time, no harmful second execution, the spread over failure domains, no offers
+to machines that are not ready, and the limit of offers during slow start.
+"""
 
 from __future__ import annotations
 
@@ -54,12 +58,12 @@
     ),
     task_class(Idempotency.NON_IDEMPOTENT),
 )
-PLACERS = 3
-FLEET = 6
+PLACER_COUNT = 3
+MACHINE_COUNT = 6
 
 
-class Client:
-    """One placer with its task records, checked against the rules at each of its actions."""
+class CheckedPlacer:
+    """One placer with a record of its tasks; each of its actions is checked against the rules."""
 
     def __init__(self, index: int, slow_start_offers: dict[int, list[float]], *, on_request: bool) -> None:
         self.settings = settings(
@@ -67,12 +71,12 @@
         )
         self.scheduler = Scheduler(self.settings, seed=index)
         self.slow_start_offers = slow_start_offers
-        self.view: dict[int, Endpoint] = {}
-        self.named: dict[int, Endpoint] = {}
+        self.listed: dict[int, Endpoint] = {}
+        self.known: dict[int, Endpoint] = {}
         self.tasks: dict[int, TaskArrived] = {}
         self.deadline: dict[int, float] = {}
         self.answers: Counter[int] = Counter()
-        self.over: set[int] = set()
+        self.finished: set[int] = set()
         self.attempts: dict[int, list[dict[str, Any]]] = defaultdict(list)
         self.found: dict[tuple[int, int], tuple[int, int]] = {}
         self.timers: list[tuple[float, int]] = []
@@ -94,60 +98,61 @@
                 )
             case Reject(task) | Fail(task):
                 assert task in self.tasks
-                assert task not in self.over
+                assert task not in self.finished
                 self.answers[task] += 1
-                self.over.add(task)
+                self.finished.add(task)
                 assert now <= self.deadline[task]
                 if isinstance(action, Reject):
                     cls = CLASSES[self.tasks[task].class_index]
-                    known = all(a["end"] in NOT_EXECUTED for a in self.attempts[task])
+                    is_unexecuted = all(a["end"] in NOT_EXECUTED for a in self.attempts[task])
                     has_global_key = (
                         cls.idempotency is Idempotency.IDEMPOTENCY_KEY
                         and cls.idempotency_scope is FailureDomain.ALL
                     )
-                    assert cls.idempotency is Idempotency.IDEMPOTENT or known or has_global_key
+                    assert cls.idempotency is Idempotency.IDEMPOTENT or is_unexecuted or has_global_key
             case CancelAttempt(task, number):
                 assert number < len(self.attempts[task])
             case Migrate(task):
-                assert task in self.over
+                assert task in self.finished
 
     def check_bind(self, now: float, task: int, target: int) -> None:
         assert task in self.tasks
-        assert task not in self.over
-        made = self.attempts[task]
-        assert len(made) < self.settings.max_attempts
-        assert not any(a["open"] for a in made)
-        entry = self.view[target]
+        assert task not in self.finished
+        attempts = self.attempts[task]
+        assert len(attempts) < self.settings.max_attempts
+        assert not any(a["open"] for a in attempts)
+        entry = self.listed[target]
         assert entry.state is MachineState.READY
         cls = CLASSES[self.tasks[task].class_index]
-        maybe = [a for a in made if a["end"] not in NOT_EXECUTED]
-        if maybe and cls.idempotency is not Idempotency.IDEMPOTENT:
+        possibly_executed = [a for a in attempts if a["end"] not in NOT_EXECUTED]
+        if possibly_executed and cls.idempotency is not Idempotency.IDEMPOTENT:
             assert cls.idempotency is Idempotency.IDEMPOTENCY_KEY
-            assert now <= maybe[0]["sent"] + cls.idempotency_window_ms
+            assert now <= possibly_executed[0]["sent"] + cls.idempotency_window_ms
             assert all(
-                domain_id(self.named[a["machine"]], cls.idempotency_scope)
+                domain_id(self.known[a["machine"]], cls.idempotency_scope)
                 == domain_id(entry, cls.idempotency_scope)
-                for a in maybe
+                for a in possibly_executed
             )
         if cls.spread_domain is not FailureDomain.NONE:
             service = self.tasks[task].service
-            there = 1 + sum(
+            count_in_domain = 1 + sum(
                 a["open"]
-                and domain_id(self.named[a["machine"]], cls.spread_domain)
+                and domain_id(self.known[a["machine"]], cls.spread_domain)
                 == domain_id(entry, cls.spread_domain)
-                for other, attempts in self.attempts.items()
+                for other, other_attempts in self.attempts.items()
                 if self.tasks[other].service == service
-                for a in attempts
+                for a in other_attempts
             )
-            there += sum(
-                its_service == service
+            count_in_domain += sum(
+                found_service == service
                 and (
-                    on not in self.named
-                    or domain_id(self.named[on], cls.spread_domain) == domain_id(entry, cls.spread_domain)
+                    machine_id not in self.known
+                    or domain_id(self.known[machine_id], cls.spread_domain)
+                    == domain_id(entry, cls.spread_domain)
                 )
-                for its_service, on in self.found.values()
+                for found_service, machine_id in self.found.values()
             )
-            assert there <= cls.max_per_domain
+            assert count_in_domain <= cls.max_per_domain
         rules = self.settings.slow_start
         if entry.started_at and now < entry.started_at + rules.duration_ms:
             sent = self.slow_start_offers[target]
@@ -166,93 +171,103 @@
 @runs(derandomize=True, deadline=None, max_examples=60)
 @given(seed=st.integers(0, 2**32), on_request=st.booleans())
 def test_rules_hold_under_random_faults(*, seed: int, on_request: bool) -> None:
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     slow_start_offers: dict[int, list[float]] = defaultdict(list)
-    clients = [Client(index, slow_start_offers, on_request=on_request) for index in range(PLACERS)]
-    fleet = {n: machine(n, free_cores=chance.uniform(-25, 25)) for n in range(FLEET)}
+    placers = [
+        CheckedPlacer(index, slow_start_offers, on_request=on_request) for index in range(PLACER_COUNT)
+    ]
+    fleet = {n: machine(n, free_cores=rng.uniform(-25, 25)) for n in range(MACHINE_COUNT)}
     now, next_task = 5000.0, 1
-    for client in clients:
+    for placer in placers:
         listed = EndpointList(EndpointListKind.CACHED, 1, tuple(fleet.values()))
-        client.view.update(fleet)
-        client.named.update(fleet)
-        client.send(now, listed)
+        placer.listed.update(fleet)
+        placer.known.update(fleet)
+        placer.send(now, listed)
     for _ in range(250):
-        until = now + chance.choice([0.0, 2.0, 15.0, 60.0, 400.0])
-        now = fire_timers(clients, until)
-        client = chance.choice(clients)
-        step(chance, client, fleet, now, next_task)
+        until = now + rng.choice([0.0, 2.0, 15.0, 60.0, 400.0])
+        now = fire_timers(placers, until)
+        placer = rng.choice(placers)
+        random_step(rng, placer, fleet, now, next_task)
         next_task += 1
-    fire_timers(clients, now + 10_000.0)
-    for client in clients:
-        for task in client.tasks:
-            assert client.answers[task] <= 1
-            assert task in client.over
+    fire_timers(placers, now + 10_000.0)
+    for placer in placers:
+        for task in placer.tasks:
+            assert placer.answers[task] <= 1
+            assert task in placer.finished
 
 
-def fire_timers(clients: list[Client], until: float) -> float:
-    """Let time go on to `until`, each timer at its own time."""
+def fire_timers(placers: list[CheckedPlacer], until: float) -> float:
+    """Advance the time to `until`, firing each timer when it is due; return `until`."""
     while True:
         due = [
-            (at, n, token) for n, client in enumerate(clients) for at, token in client.timers if at <= until
+            (at, n, token) for n, placer in enumerate(placers) for at, token in placer.timers if at <= until
         ]
         if not due:
             return until
         at, n, token = min(due)
-        clients[n].timers.remove((at, token))
-        clients[n].send(at, TimerFired(token))
+        placers[n].timers.remove((at, token))
+        placers[n].send(at, TimerFired(token))
 
 
-def step(chance: random.Random, client: Client, fleet: dict[int, Endpoint], now: float, task: int) -> None:
-    kind = chance.random()
-    opened = [(t, n, a) for t, made in client.attempts.items() for n, a in enumerate(made) if a["open"]]
-    if kind < 0.4:
-        cls = chance.randrange(len(CLASSES))
-        arrived = TaskArrived(task, cls, chance.randrange(4) * 10 + cls, 1.0, 2.0, chance.uniform(50, 4000))
-        client.tasks[task] = arrived
-        client.deadline[task] = now + arrived.timeout_ms
-        client.send(now, arrived)
-    elif kind < 0.7 and opened:
-        ident, number, attempt = chance.choice(opened)
-        if not attempt["placed"] and ident not in client.over and chance.random() < 0.4:
+def random_step(
+    rng: random.Random, placer: CheckedPlacer, fleet: dict[int, Endpoint], now: float, task: int
+) -> None:
+    step_kind = rng.random()
+    open_attempts = [
+        (t, n, a) for t, attempts in placer.attempts.items() for n, a in enumerate(attempts) if a["open"]
+    ]
+    if step_kind < 0.4:
+        cls = rng.randrange(len(CLASSES))
+        arrived = TaskArrived(task, cls, rng.randrange(4) * 10 + cls, 1.0, 2.0, rng.uniform(50, 4000))
+        placer.tasks[task] = arrived
+        placer.deadline[task] = now + arrived.timeout_ms
+        placer.send(now, arrived)
+    elif step_kind < 0.7 and open_attempts:
+        task_id, number, attempt = rng.choice(open_attempts)
+        if not attempt["placed"] and task_id not in placer.finished and rng.random() < 0.4:
             attempt["placed"] = True
-            client.over.add(ident)
-            client.send(now, TaskPlaced(ident, number, attempt["machine"], 4.0))
+            placer.finished.add(task_id)
+            placer.send(now, TaskPlaced(task_id, number, attempt["machine"], 4.0))
             return
         end = (
-            chance.choice([AttemptOutcome.ENDED, AttemptOutcome.RESET])
+            rng.choice([AttemptOutcome.ENDED, AttemptOutcome.RESET])
             if attempt["placed"]
-            else chance.choice(list(AttemptOutcome))
+            else rng.choice(list(AttemptOutcome))
         )
-        over = ident in client.over or end in (AttemptOutcome.ENDED, AttemptOutcome.CANCELLED)
+        is_finished = task_id in placer.finished or end in (AttemptOutcome.ENDED, AttemptOutcome.CANCELLED)
         attempt["open"], attempt["end"] = False, end
-        if over:
-            client.over.add(ident)
-        load = chance.choice([None, LoadReport(chance.uniform(-1, 30), 5.0), LoadReport(float("nan"), None)])
-        reason = chance.choice(list(OutcomeReason))
-        client.send(now, AttemptClosed(ident, number, attempt["machine"], end, reason, over, 4.0, load))
-    elif kind < 0.75 and client.tasks:
-        ident = chance.choice(list(client.tasks))
-        client.over.add(ident)
-        client.send(now, TaskWithdrawn(ident))
-    elif kind < 0.8:
-        on, service = chance.randrange(FLEET + 3), chance.randrange(40)
-        client.found[1_000_000 + task, 0] = service, on
-        client.send(now, TaskFound(1_000_000 + task, service % 10 % len(CLASSES), service, 1.0, 2.0, on))
-    elif kind < 0.85 and opened:
-        ident, number, attempt = chance.choice(opened)
-        topic = chance.choice(list(StatusTopic))
-        client.send(now, TaskStatusReported(ident, number, attempt["machine"], topic, chance.uniform(0, 1.2)))
-    elif kind < 0.9:
-        client.send(now, EndpointList(EndpointListKind.FAILED, 0, ()))
+        if is_finished:
+            placer.finished.add(task_id)
+        load = rng.choice([None, LoadReport(rng.uniform(-1, 30), 5.0), LoadReport(float("nan"), None)])
+        reason = rng.choice(list(OutcomeReason))
+        placer.send(
+            now, AttemptClosed(task_id, number, attempt["machine"], end, reason, is_finished, 4.0, load)
+        )
+    elif step_kind < 0.75 and placer.tasks:
+        task_id = rng.choice(list(placer.tasks))
+        placer.finished.add(task_id)
+        placer.send(now, TaskWithdrawn(task_id))
+    elif step_kind < 0.8:
+        machine_id, service = rng.randrange(MACHINE_COUNT + 3), rng.randrange(40)
+        placer.found[1_000_000 + task, 0] = service, machine_id
+        placer.send(
+            now, TaskFound(1_000_000 + task, service % 10 % len(CLASSES), service, 1.0, 2.0, machine_id)
+        )
+    elif step_kind < 0.85 and open_attempts:
+        task_id, number, attempt = rng.choice(open_attempts)
+        topic = rng.choice(list(StatusTopic))
+        placer.send(now, TaskStatusReported(task_id, number, attempt["machine"], topic, rng.uniform(0, 1.2)))
+    elif step_kind < 0.9:
+        placer.send(now, EndpointList(EndpointListKind.FAILED, 0, ()))
     else:
-        ident = chance.randrange(FLEET + 3)
-        base = fleet.get(ident) or machine(ident)
-        started = now - 5.0 if chance.random() < 0.3 else base.started_at
-        fleet[ident] = replace(
+        machine_id = rng.randrange(MACHINE_COUNT + 3)
+        base = fleet.get(machine_id) or machine(machine_id)
+        started = now - 5.0 if rng.random() < 0.3 else base.started_at
+        fleet[machine_id] = replace(
             base,
-            state=chance.choice(list(MachineState)),
-            free_cores=chance.uniform(-25, 30),
+            state=rng.choice(list(MachineState)),
+            free_cores=rng.uniform(-25, 30),
             started_at=started,
         )
-        client.view[ident] = client.named[ident] = fleet[ident]
-        client.send(now, EndpointList(EndpointListKind.CHANGES, 2, (fleet[ident],)))
+        placer.listed[machine_id] = placer.known[machine_id] = fleet[machine_id]
+        placer.send(now, EndpointList(EndpointListKind.CHANGES, 2, (fleet[machine_id],)))
--- a/tests/scheduling/test_scheduling_utilization.py
+++ b/tests/scheduling/test_scheduling_utilization.py
@@ -1,4 +1,4 @@
-"""Capacity by use: load reports, and migrations of tasks that are hardly served."""
+"""Capacity by usage: load reports, and migrations of poorly served tasks."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 )
 
 
-@pytest.mark.parametrize(("age", "passed_over"), [(0.0, True), (5000.0, False)])
-def test_a_machine_crowded_by_use_is_passed_over_though_little_is_requested(
-    *, age: float, passed_over: bool
+@pytest.mark.parametrize(("age_ms", "is_avoided"), [(0.0, True), (5000.0, False)])
+def test_a_machine_with_high_usage_is_avoided_even_if_little_is_requested(
+    *, age_ms: float, is_avoided: bool
 ) -> None:
     driver = Driver()
     driver.listing(*(machine(n, free_cores=28.0, free_memory=48.0) for n in range(3)))
     driver.find(100, 2, service=9)
     driver.report_load(2, LoadReport(1.0, 40.0))
-    assert (driver.bind(1, service=9, after=age) != 2) == passed_over
+    assert (driver.bind(1, service=9, after=age_ms) != 2) == is_avoided
 
 
-def test_a_machine_short_of_memory_by_use_is_passed_over() -> None:
+def test_a_machine_with_high_memory_usage_is_avoided() -> None:
     driver = Driver()
     driver.listing(machine(0, free_memory=30.0), machine(1, free_memory=30.0))
     driver.find(100, 1, service=9)
@@ -41,10 +41,10 @@
 
 
 @pytest.mark.parametrize(("free_cores", "is_kept"), [(2.6, True), (0.9, False)])
-def test_a_little_crowding_keeps_the_preferred_machine_and_more_gives_it_up(
+def test_a_preferred_machine_is_kept_until_its_service_drops_too_far(
     *, free_cores: float, is_kept: bool
 ) -> None:
-    # Served to three quarters at 0.95 of 30 cores.
+    # The class gets three quarters of full service at a utilization of 0.95 of 30 cores.
     driver = Driver(settings(task_class(full_service_utilization=0.9, degradation_range=0.2)))
     driver.listing(*(machine(n, free_cores=28.0, free_memory=48.0) for n in range(3)))
     driver.find(100, 2, service=9)
@@ -52,7 +52,7 @@
     assert (driver.bind(1, service=9) == 2) == is_kept
 
 
-def test_a_task_hardly_served_is_migrated_where_another_machine_has_capacity() -> None:
+def test_a_poorly_served_task_is_migrated_if_another_machine_has_capacity() -> None:
     driver = Driver()
     driver.listing(machine(0))
     first = driver.bind(1)
