--- a/kelpfront/scheduling/endpoints.py
+++ b/kelpfront/scheduling/endpoints.py
@@ -128,6 +128,6 @@
             self._fleet.update_ready()
 
     def _is_empty(self, machine: Machine) -> bool:
-        """Return whether the machine is listed as empty, without an open attempt or an offer right now."""
+        """Return whether the machine is listed as empty, has no open attempt and got no offer just now."""
         is_listed_empty = machine.endpoint.free_cores >= machine.cores
         return is_listed_empty and not machine.open_attempts and self._context.now > machine.last_offer_at
--- a/kelpfront/scheduling/filters.py
+++ b/kelpfront/scheduling/filters.py
@@ -14,7 +14,7 @@
 from kelpfront.scheduling.model import Machine, Task
 
 FIRST_BATCH_SIZE = 8
-"""Number of machines in the first batch that is filtered; each further batch doubles."""
+"""Number of machines in the first batch that is filtered; each further batch is twice as large."""
 
 
 class Filter(Protocol):
@@ -85,12 +85,12 @@
         if with_capacity or not can_preempt:
             allowed = with_capacity
         healthy = self._outliers.select(task, allowed)
-        fresh = _not_attempted(task, healthy)
-        unsaturated = self._utilization.select(task, fresh)
+        unattempted = _not_attempted(task, healthy)
+        unsaturated = self._utilization.select(task, unattempted)
         if unsaturated or (is_lowest and not task.possibly_executed):
             return Candidates(unsaturated, unsaturated)
-        if fresh:
-            return Candidates(fresh, unsaturated)
+        if unattempted:
+            return Candidates(unattempted, unsaturated)
         passing = healthy or [m for m in allowed if m.unaccepted_count == 0]
         return Candidates(passing, self._utilization.select(task, passing))
 
--- a/kelpfront/scheduling/health_checks.py
+++ b/kelpfront/scheduling/health_checks.py
@@ -26,14 +26,17 @@
 Clients must be notified within 8 s of the end of their tasks.
 """
 HEALTH_CHECK_TIMEOUT_MS = 600.0
-"""Time-out of the response: a health check waits in the same queue as offers."""
+"""Time-out of a health check; it waits in the same queue of the machine as offers."""
 MAX_HEALTH_CHECK_COST_SHARE = 0.004
 """Maximum cost of health checks, as a share of the utility earned, at one unit for each offer.
 
 It applies where the placer is notified of lost machines anyway and a check only shortens the wait.
 """
 MISSED_CHECKS_BEFORE_CANCEL = 2
-"""Missed checks after which unaccepted attempts are cancelled; a single one may be just a lost message."""
+"""Missed checks after which unaccepted attempts that may be retried elsewhere are cancelled.
+
+A single missed check may be caused by one lost message.
+"""
 MISSED_CHECKS_BEFORE_LOST = 3
 """Missed checks after which a machine may be declared lost before the endpoint list shows it."""
 CHECKS_BEFORE_LOSS_MS = MISSED_CHECKS_BEFORE_LOST * HEALTH_CHECK_TIMEOUT_MS
--- a/kelpfront/scheduling/offers.py
+++ b/kelpfront/scheduling/offers.py
@@ -41,8 +41,8 @@
     def timeout_ms(self, task: Task) -> float:
         """Return the time-out of an attempt that has been opened.
 
-        The last possible attempt gets all of the remaining time. Any other gets half of it, or more as long
-        as twice the mean acceptance time remains for the next attempt.
+        The last possible attempt gets all of the time until the deadline. Any other gets half of the
+        remaining time, or more as long as twice the mean acceptance time is left for the next attempt.
         """
         settings = self._context.settings
         idempotency = task.task_class.idempotency
--- a/kelpfront/scheduling/retries.py
+++ b/kelpfront/scheduling/retries.py
@@ -91,8 +91,8 @@
         task.attempted_machines[event.machine] = None
         is_finished = event.task_finished or task.is_answered
         if event.outcome not in NOT_EXECUTED and not is_finished:
-            # A finished task gets no reference to its attempts: it would form a cycle that only the garbage
-            # collector can free.
+            # A task that is finished or answered gets no reference to its attempts: the cycle could be freed
+            # only by the garbage collector.
             task.possibly_executed.append(attempt)
         has_run = attempt.is_reported or event.reason in STOPPED_WHILE_RUNNING
         ended_unaccepted = event.outcome is AttemptOutcome.RESET and has_run and not attempt.is_accepted
