--- a/kelpfront/__init__.py
+++ b/kelpfront/__init__.py
@@ -1,6 +1,7 @@
-"""kelpfront: the decisions of one placer in a cluster where many placers share nothing.
+"""kelpfront: a scheduler for a cluster in which many placers run side by side and share no state.
 
-`kelpfront.scheduling.scheduler.Scheduler` decides; its settings, events and actions stand beside it.
+`kelpfront.scheduling.scheduler.Scheduler` makes the decisions of one placer; its settings, events and actions
+are defined in the same package.
 """
 
 from kelpfront.scheduling.scheduler import Scheduler
--- a/kelpfront/__main__.py
+++ b/kelpfront/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m kelpfront`."""
+"""Entry point of `python -m kelpfront`, the command line interface."""
 
 from kelpfront.cli import main
 
--- a/kelpfront/background/__init__.py
+++ b/kelpfront/background/__init__.py
@@ -1,4 +1,4 @@
-"""Background work: which of it may run now, within a budget. Nothing uses it yet (it waits for issue 16).
+"""Planning of background work within a budget. It is not used yet: it is meant for issue 16.
 
-`planner` decides; running the steps is left to whoever holds the planner.
+`planner` chooses the next step; its caller runs the step.
 """
--- a/kelpfront/background/planner.py
+++ b/kelpfront/background/planner.py
@@ -1,15 +1,15 @@
-"""Decides which background task runs next, and when. No I/O: whoever holds the planner runs the steps.
+"""Decides which background task runs next, and when. No I/O: the caller runs the steps.
 
-Background work is done in steps that are short compared with a placer's timer interval. Each step is paid
-from two token buckets, of CPU milliseconds and of bytes, after it has run and at its actual cost: a step
-that costs more than expected leaves a debt, and nothing runs until the debt is paid. Under foreground load
-the buckets fill more slowly, but never at less than `MIN_BUDGET_SHARE` of their rate.
+Background work is done in steps that are short compared with a placer's timer interval. Each step is charged
+to two token buckets, of CPU milliseconds and of bytes, after it has run and at its actual cost. A step that
+costs more than is available leaves a debt, and nothing runs until the buckets have made up for it. Under
+foreground load the buckets fill more slowly, but never at less than `MIN_BUDGET_SHARE` of their rate.
 
-Of the tasks that are due, the one with the highest priority runs first. A task that waited past its deadline
-goes before all others, in the order of the deadlines. So every task starts at the latest one round of all
-others after its deadline, as fast as the minimum share pays for them (`max_start_delay_ms`).
+Of the tasks that are due, the one with the highest priority runs first. Tasks past their deadline run before
+all others, the earliest deadline first. So a task is delayed past its deadline by at most one round of the
+other tasks, at the rate that the minimum share allows (`max_start_delay_ms`).
 
-Nothing uses the planner yet: it waits for issue 16 (durable state of the placer).
+The planner is not used yet: it is meant for issue 16 (durable state of the placer).
 """
 
 from __future__ import annotations
@@ -21,27 +21,28 @@
 from enum import StrEnum
 
 MIN_BUDGET_SHARE = 0.1
-"""Share of the budget that is left under full foreground load: background work must end at some time."""
+"""Share of the budget that remains under full foreground load, so that background work always completes."""
 INTERVAL_JITTER = 0.1
-"""Random share of an interval, either way: placers that started together must not compact together."""
+"""Random variation of an interval, up or down, as a share of it: placers that started together must not
+compact at the same time."""
 MS_PER_S = 1000.0
 PAYMENT_SLACK_MS = 1e-6
-"""Added to the time at which a debt is paid, so that rounding does not leave a bucket at exactly zero."""
+"""Added to the time until a debt is paid, so that rounding does not leave a bucket at exactly zero."""
 
 
 def _require_positive(owner: str, field_name: str, value: float) -> None:
     if not 0.0 < value < math.inf:
-        raise ValueError(f"{owner}{field_name}: {value!r} is not a number over 0")
+        raise ValueError(f"{owner}{field_name}: expected a finite number greater than 0, got {value!r}")
 
 
 def _require_not_negative(owner: str, field_name: str, value: float) -> None:
     if not 0.0 <= value < math.inf:
-        raise ValueError(f"{owner}{field_name}: {value!r} is not a number of 0 or more")
+        raise ValueError(f"{owner}{field_name}: expected a finite number of at least 0, got {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
 class BackgroundTask:
-    """One kind of background work, which is repeated at an interval.
+    """A kind of background work that repeats at an interval.
 
     Raises:
         ValueError: a time or a cost is out of range; the message names the task and the field.
@@ -49,14 +50,14 @@
 
     name: str
     priority: int
-    """The lowest number runs first."""
+    """The task with the lowest number runs first."""
     interval_ms: float
     deadline_ms: float
-    """Time after being due from which the task goes before all others."""
+    """Delay after the due time from which the task runs before all others."""
     max_cpu_ms: float
-    """The most CPU time that one step costs."""
+    """Upper bound of the CPU time of one step."""
     max_bytes: float = 0.0
-    """The most bytes that one step reads and writes."""
+    """Upper bound of the bytes that one step reads and writes."""
 
     def __post_init__(self) -> None:
         owner = f"{self.name}: "
@@ -68,10 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What background work may cost per second; one second's worth can be saved up.
+    """What background work may cost per second. At most one second's budget can be saved up.
 
     Raises:
-        ValueError: a rate is not a number over 0.
+        ValueError: a rate is not a finite number greater than 0.
     """
 
     cpu_ms: float
@@ -84,14 +85,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StepCost:
-    """What one step cost."""
+    """The cost of one step."""
 
     cpu_ms: float
     bytes: float = 0.0
 
 
 class TaskPhase(StrEnum):
-    """Where a background task is in its interval."""
+    """The state of a background task."""
 
     WAITING = "waiting"
     DUE = "due"
@@ -100,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskReport:
-    """One background task as operators read it."""
+    """The state and the costs of a background task, for operators."""
 
     name: str
     priority: int
@@ -110,11 +111,11 @@
     cpu_ms: float
     bytes: int
     max_delay_ms: float
-    """The longest time that a step began after it was due."""
+    """The longest delay of a step's start after it was due."""
 
 
 class TokenBucket:
-    """Tokens that arrive at a rate, one second's worth at most. The balance may be negative: a debt."""
+    """A token bucket that holds at most the tokens of one second. A negative balance is a debt."""
 
     def __init__(self, tokens_per_s: float, now: float) -> None:
         self.tokens = tokens_per_s
@@ -129,7 +130,7 @@
         self.tokens = min(self._capacity, self.tokens + elapsed_ms * self._tokens_per_ms * rate_share)
 
     def spend(self, tokens: float) -> None:
-        """Take tokens out, into debt if need be."""
+        """Remove tokens; the balance may become negative."""
         self.tokens -= tokens
 
     def available_in_ms(self, rate_share: float) -> float:
@@ -141,7 +142,7 @@
 
 @dataclass(slots=True)
 class _TaskState:
-    """Where a task is, and what it has cost so far."""
+    """A task with its due time and its costs so far."""
 
     task: BackgroundTask
     due_at: float
@@ -170,7 +171,10 @@
 
 
 class Planner:
-    """Runs one step at a time: `start_next` when `next_start_at` has come, then `complete` or `cancel`.
+    """Plans one step at a time.
+
+    The caller calls `start_next` at the time that `next_start_at` returns, runs the step, and then calls
+    `complete` or `cancel`.
 
     Raises:
         ValueError: two tasks have the same name.
@@ -185,7 +189,7 @@
         self._states: dict[str, _TaskState] = {}
         for task in tasks:
             if task.name in self._states:
-                raise ValueError(f"{task.name}: is there twice")
+                raise ValueError(f"{task.name}: duplicate task name")
             first_due_at = now + task.interval_ms * self._random.random()
             self._states[task.name] = _TaskState(task, first_due_at)
 
@@ -202,23 +206,23 @@
         self._bytes_bucket.fill(now, self._budget_share)
 
     def set_foreground_load(self, now: float, busy_share: float) -> None:
-        """Set the share of time that foreground work takes; background work gives way to it."""
+        """Set the share of time that foreground work takes; the background budget shrinks by it."""
         self._fill_buckets(now)
         self._foreground_load = min(1.0, max(0.0, busy_share))
 
     def expedite(self, now: float, name: str) -> None:
-        """Make a task due now, such as a snapshot before a shutdown; it still keeps to the budget."""
+        """Make a task due now, such as a snapshot before a shutdown. It is still subject to the budget."""
         state = self._states[name]
         state.due_at = min(state.due_at, now)
 
     def start_next(self, now: float) -> str | None:
-        """Start a step and return its task's name.
+        """Start a step and return the name of its task.
 
-        Returns None while nothing is due, the budget is spent, or a step still runs.
+        Returns None if nothing is due, the budget is spent, or a step is still running.
         """
         self._fill_buckets(now)
-        is_paid = self._cpu_bucket.tokens > 0.0 and self._bytes_bucket.tokens > 0.0
-        if not is_paid or self._is_running:
+        has_budget = self._cpu_bucket.tokens > 0.0 and self._bytes_bucket.tokens > 0.0
+        if not has_budget or self._is_running:
             return None
         due = [state for state in self._states.values() if state.due_at <= now]
         if not due:
@@ -230,20 +234,20 @@
         return chosen.task.name
 
     def complete(self, now: float, name: str, cost: StepCost, *, has_more: bool = False) -> None:
-        """Account for the step that ended.
+        """Charge the budget for a step that ended, and schedule the next step of its task.
 
         Arguments:
-            now: the present time.
+            now: the current time.
             name: the task whose step ended.
             cost: what the step cost.
-            has_more: the task is not finished; its next step is due at once.
+            has_more: whether the task has more steps; then the next one is due immediately.
 
         Raises:
-            ValueError: no step of the task runs.
+            ValueError: no step of the task is running.
         """
         state = self._states[name]
         if not state.is_running:
-            raise ValueError(f"{name}: does not run")
+            raise ValueError(f"{name}: is not running")
         self._fill_buckets(now)
         self._cpu_bucket.spend(cost.cpu_ms)
         self._bytes_bucket.spend(cost.bytes)
@@ -255,13 +259,13 @@
         state.due_at = now if has_more else now + state.task.interval_ms * jitter
 
     def cancel(self, now: float, name: str) -> None:
-        """Take back a step that was cancelled before it did anything: it is due again, and costs nothing."""
+        """Undo the start of a step that was cancelled before it did any work: it is due again, at no cost."""
         state = self._states[name]
         state.is_running = False
         state.due_at = min(state.due_at, now)
 
     def next_start_at(self, now: float) -> float:
-        """Return when `start_next` may find something if the load stays; infinity while a step runs."""
+        """Return when `start_next` can next start a step at this load; infinity while a step is running."""
         if self._is_running or not self._states:
             return math.inf
         self._fill_buckets(now)
@@ -273,16 +277,16 @@
     def max_start_delay_ms(self, name: str) -> float:
         """Return the longest time that a task can wait after it is due.
 
-        It holds as long as no step costs more than its maximum.
+        The bound holds as long as no step costs more than its maximum.
         """
-        own = self._states[name].task
-        tasks = [own, *(state.task for state in self._states.values() if state.task.name != name)]
+        target = self._states[name].task
+        tasks = [target, *(state.task for state in self._states.values() if state.task.name != name)]
         cpu_s = sum(task.max_cpu_ms for task in tasks) / (self._budget.cpu_ms * MIN_BUDGET_SHARE)
         bytes_s = sum(task.max_bytes for task in tasks) / (self._budget.bytes * MIN_BUDGET_SHARE)
-        return own.deadline_ms + 2.0 * MS_PER_S * (cpu_s + bytes_s)
+        return target.deadline_ms + 2.0 * MS_PER_S * (cpu_s + bytes_s)
 
     def report(self, now: float) -> list[TaskReport]:
-        """Return a report on each task, by name."""
+        """Return a report on each task, sorted by name."""
         return [
             TaskReport(
                 name=name,
--- a/kelpfront/backoff.py
+++ b/kelpfront/backoff.py
@@ -1,6 +1,6 @@
 """Exponential backoff with jitter, for retries of connections and requests.
 
-Pure: chance comes from the caller, who also waits and retries.
+It only computes delays: the caller supplies the random generator, waits and retries.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 INITIAL_MS = 50.0
 """The first delay, before jitter."""
 MAX_MS = 2_000.0
-"""The longest delay, before jitter: a peer that returns is found again within this time."""
+"""The longest delay, before jitter. A peer that recovers is reached again within this time."""
 
 
 @dataclass(slots=True)
 class Backoff:
     """Delays that double from `initial_ms` to `max_ms`, each drawn from the upper half of its length.
 
-    The draw spreads clients that lost the same peer at the same moment.
+    The jitter spreads the retries of clients that lost the same peer at the same moment.
     """
 
     rng: random.Random
--- a/kelpfront/clock.py
+++ b/kelpfront/clock.py
@@ -1,10 +1,10 @@
 """The clock that placers share without communicating: the wall clock, made monotonic.
 
-Replicas that share nothing take turns in slow start by reading one common clock (docs/design.md), so `now`
-must be near the wall clock; deadlines need a clock that never jumps. `CommonClock` starts at the wall clock,
-advances with the monotonic clock, and is slewed towards the wall clock as slowly as NTP slews. So a step of
-the wall clock neither fires every deadline nor moves one by more than half a millisecond per second. The
-module also formats and parses the timestamps of the API.
+Placers share no state and take turns in slow start by reading one common clock (docs/design.md), so `now`
+must be near the wall clock. Deadlines need a clock that never jumps. `CommonClock` therefore starts at the
+wall clock, advances with the monotonic clock, and is slewed towards the wall clock as slowly as NTP slews.
+A step of the wall clock neither fires every deadline nor moves one by more than half a millisecond per
+second. The module also formats and parses the timestamps of the API.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 US_PER_MS = 1000.0
 US_PER_S = 1_000_000
 CACHED_SECONDS = 256
-"""Formatted seconds that are cached: formatting them is the expensive part of a timestamp."""
+"""Size of the cache of formatted seconds, which are the expensive part of formatting a timestamp."""
 
 
 class CommonClock:
-    """Milliseconds since the epoch that never go back.
+    """A clock in milliseconds since the epoch that never goes back.
 
     Arguments:
         wall: returns the wall clock in seconds since the epoch.
@@ -41,7 +41,7 @@
         self._now_ms = wall() * MS_PER_S
 
     def now(self) -> float:
-        """Return the present time in milliseconds since the epoch."""
+        """Return the current time in milliseconds since the epoch."""
         monotonic_s = self._monotonic()
         elapsed_ms = (monotonic_s - self._read_at_s) * MS_PER_S
         if elapsed_ms <= 0:
@@ -54,7 +54,7 @@
         return self._now_ms
 
     def wall_clock_offset_ms(self) -> float:
-        """Return by how much the wall clock is ahead of this one; the value is large after a step."""
+        """Return the wall clock less this clock; the difference is large after a step of the wall clock."""
         return self._wall() * MS_PER_S - self.now()
 
 
@@ -64,7 +64,7 @@
 
 
 def timestamp(ms: float) -> str:
-    """Format milliseconds since the epoch as RFC 3339 with microseconds, the form of times in the API."""
+    """Format milliseconds since the epoch as RFC 3339 with microseconds, the format of times in the API."""
     second, microseconds = divmod(round(ms * US_PER_MS), US_PER_S)
     return f"{_format_second(second)}.{microseconds:06d}Z"
 
@@ -73,6 +73,6 @@
     """Return the milliseconds since the epoch of an RFC 3339 time.
 
     Raises:
-        ValueError: the text is no such time.
+        ValueError: the text is not an RFC 3339 time.
     """
     return datetime.fromisoformat(text).timestamp() * MS_PER_S
--- a/kelpfront/logs.py
+++ b/kelpfront/logs.py
@@ -1,6 +1,6 @@
-"""Configures the log of a process: structlog on standard error, as JSON lines or for people.
+"""Configures the log of a process: structlog on standard error, as JSON lines or in a readable form.
 
-Each program calls it once at its start. What is logged is up to the modules that log.
+Each program calls `configure_logs` once when it starts.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     Arguments:
         level: one of `LEVELS`; lines below it are dropped.
         form: json, console, or auto: console on a terminal and json elsewhere.
-        stream: where lines go; None for standard error.
+        stream: where lines are written; None for standard error.
         bound: fields that are on every line.
     """
     output = stream or sys.stderr
--- a/kelpfront/simhost.py
+++ b/kelpfront/simhost.py
@@ -1,7 +1,7 @@
-"""Hosts many isolated schedulers on the simulator's wire: standard input to standard output.
+"""Runs many isolated schedulers for the simulator, over frames on standard input and output.
 
-It translates and decides nothing. An exception in a scheduler becomes the wire's fault action; a malformed
-frame becomes one line on standard error and exit code 2.
+All decisions are made by the schedulers. An exception in a scheduler is reported to the simulator as the
+protocol's fault action; a malformed frame causes one line on standard error and exit code 2.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Host:
-    """The schedulers of one process, by the number of their instance."""
+    """The schedulers of one process, by instance number."""
 
     def __init__(self) -> None:
         self._schedulers: dict[int, Scheduler] = {}
@@ -37,7 +37,7 @@
     def handle(self, now: float, instance: int, event: HostEvent) -> list[HostAction]:
         """Handle one event of an instance and return its actions.
 
-        A scheduler that raises an exception is stopped, so that it harms no other.
+        A scheduler that raises an exception is removed; the other instances are not affected.
         """
         try:
             return self._handle(now, instance, event)
@@ -59,7 +59,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends.
+    """Reply to each batch until the input ends.
 
     Raises:
         WireError: a frame is malformed.
--- a/kelpfront/timers.py
+++ b/kelpfront/timers.py
@@ -1,6 +1,6 @@
-"""A timer queue without a clock: callbacks by due time, run by whoever holds the clock. No I/O.
+"""A timer queue that keeps callbacks by due time. It has no clock: the caller passes the time. No I/O.
 
-Timers cannot be cancelled: a callback that no longer matters when it is called must do nothing.
+Timers cannot be cancelled: a callback that is obsolete when it is called must do nothing.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from typing import NamedTuple
 
 Callback = Callable[[float], None]
-"""Called with the time at which timers are run, in milliseconds."""
+"""Called with the current time in milliseconds."""
 
 
 class _Timer(NamedTuple):
-    """A timer in heap order. Sequence numbers are unique, so that callbacks are never compared."""
+    """A timer, ordered for the heap. Sequence numbers are unique, so callbacks are never compared."""
 
     due_at: float
     sequence_number: int
@@ -30,16 +30,16 @@
         self._last_sequence_number = 0
 
     def set(self, due_at: float, callback: Callback) -> None:
-        """Schedule a callback for a time. Those of the same time run in the order in which they were set."""
+        """Schedule a callback. Callbacks with the same due time run in the order in which they were set."""
         self._last_sequence_number += 1
         heapq.heappush(self._heap, _Timer(due_at, self._last_sequence_number, callback))
 
     def next(self) -> float:
-        """Return when the first timer is due; infinity where there is none."""
+        """Return when the first timer is due, or infinity if there is none."""
         return self._heap[0].due_at if self._heap else math.inf
 
     def run(self, now: float) -> None:
-        """Run the callbacks that are due, including those that they make due at once."""
+        """Run the callbacks that are due, including those that they schedule for now."""
         while self._heap and self._heap[0].due_at <= now:
             timer = heapq.heappop(self._heap)
             timer.callback(now)
--- a/kelpfront/units.py
+++ b/kelpfront/units.py
@@ -1,7 +1,7 @@
 """Parses and formats durations and sizes as people write them: `700 ms`, `5s`, `1.5 h`, `64 KiB`.
 
-A number without a unit is not accepted, except a duration of 0: whether `5` means seconds or milliseconds is
-the mistake that these functions prevent.
+A number without a unit is rejected, except a duration of 0, so that nobody has to guess whether `5` means
+seconds or milliseconds.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 
 def format_duration(ms: float) -> str:
-    """Return the shortest exact form of a duration in milliseconds; `parse_duration` reads it back.
+    """Return the shortest exact text of a duration in milliseconds; `parse_duration` reads it back.
 
     Raises:
         ValueError: the duration is negative or not finite.
@@ -63,7 +63,7 @@
 
 
 def format_size(size: int) -> str:
-    """Return the shortest exact form of a size in bytes; `parse_size` reads it back."""
+    """Return the shortest exact text of a size in bytes; `parse_size` reads it back."""
     for unit, unit_bytes in reversed(_BYTES_OF_UNIT.items()):
         if size >= unit_bytes and size % unit_bytes == 0:
             return f"{size // unit_bytes} {unit}"
--- a/kelpfront/watch/__init__.py
+++ b/kelpfront/watch/__init__.py
@@ -1,1 +1,1 @@
-"""Alias of `kelpfront.failure_detector`, under the name by which operators start it."""
+"""Alias of `kelpfront.failure_detector`: operators start the failure detector by this name."""
--- a/kelpfront/wire/__init__.py
+++ b/kelpfront/wire/__init__.py
@@ -1,6 +1,7 @@
-"""The simulator's wire: frames to events of schedulers, actions to frames. It decides nothing.
+"""Codec of the simulator's protocol: decodes frames into scheduler events and encodes actions into frames.
 
-The wire's own words stay in this package; behind it the names of `kelpfront.scheduling` are used.
+The protocol's own names are confined to this package; all other code uses the names of
+`kelpfront.scheduling`.
 """
 
 from kelpfront.wire.decoder import Decoder, read_frames
--- a/kelpfront/wire/decoder.py
+++ b/kelpfront/wire/decoder.py
@@ -1,6 +1,6 @@
 """Decoder of the simulator's frames: bytes to batches of events.
 
-Each kind of record has one function, found by its code. Settings are read by `settings`.
+Each record code has one decoding method, listed in `_RECORDS`. Settings are read by `settings`.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
     13: AttemptOutcome.ERROR,
     14: AttemptOutcome.UNREACHABLE,
 }
-_WITHOUT_RESPONSE = {
+_STATES_WITHOUT_RESPONSE = {
     state
     for state, outcome in _OUTCOMES.items()
     if outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNREACHABLE)
@@ -80,68 +80,71 @@
 
 
 class _RecordReader:
-    """Reads the fields of records one after another."""
+    """Reads consecutive record fields from a frame, starting at an offset."""
 
-    __slots__ = ("at", "frame")
+    __slots__ = ("frame", "offset")
 
-    def __init__(self, frame: bytes, at: int) -> None:
+    def __init__(self, frame: bytes, offset: int) -> None:
         self.frame = frame
-        self.at = at
+        self.offset = offset
 
     def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
-        values = layout.unpack_from(self.frame, self.at)
-        self.at += layout.size
+        values = layout.unpack_from(self.frame, self.offset)
+        self.offset += layout.size
         return values
 
     def read_code(self) -> int:
-        code = self.frame[self.at]
-        self.at += 1
+        code = self.frame[self.offset]
+        self.offset += 1
         return code
 
     def read_floats(self, count: int) -> tuple[float, ...]:
-        values = struct.unpack_from(f">{count}f", self.frame, self.at)
-        self.at += 4 * count
+        values = struct.unpack_from(f">{count}f", self.frame, self.offset)
+        self.offset += 4 * count
         return values
 
     def read_bytes(self, size: int) -> bytes:
-        left = len(self.frame) - self.at
-        if size > left:
-            raise WireError(f"says {size} bytes more, {left} are left")
-        start = self.at
-        self.at += size
-        return self.frame[start : self.at]
+        remaining = len(self.frame) - self.offset
+        if size > remaining:
+            raise WireError(f"declares {size} more bytes, but only {remaining} remain")
+        start = self.offset
+        self.offset += size
+        return self.frame[start : self.offset]
 
 
 class Decoder:
-    """Turns batches into events; remembers the numbered lists and each instance's report fields."""
+    """Decodes batches into events.
+
+    It keeps the numbered endpoint lists, and the fields of the load reports of each instance.
+    """
 
     def __init__(self) -> None:
         self._lists: dict[int, tuple[Endpoint, ...]] = {}
-        self._load_names: dict[int, tuple[str, ...]] = {}
+        self._load_fields_of: dict[int, tuple[str, ...]] = {}
 
     def decode(self, frame: bytes) -> Batch:
         """Decode one batch.
 
         Raises:
-            WireError: the frame is malformed; the message names the batch, the record and the byte.
+            WireError: the frame is malformed; the message gives the batch, the record and the byte offset.
         """
         now, number, count = _decode_header(frame)
         reader = _RecordReader(frame, BATCH_HEADER.size)
         events: list[InstanceEvent] = []
         for index in range(count):
-            where = f"batch {number}, record {index} at byte {reader.at}"
-            if reader.at >= len(frame):
-                raise WireError(f"{where}: the frame ends before it")
+            position = f"batch {number}, record {index} at byte {reader.offset}"
+            if reader.offset >= len(frame):
+                raise WireError(f"{position}: the frame ends before this record")
             try:
                 event = self._decode_record(reader)
             except struct.error as error:
-                raise WireError(f"{where}: the frame ends inside it") from error
+                raise WireError(f"{position}: the frame ends inside this record") from error
             except WireError as error:
-                raise WireError(f"{where}: {error}") from error
+                raise WireError(f"{position}: {error}") from error
             if event is not None:
                 events.append(event)
-        if reader.at != len(frame):
-            raise WireError(f"batch {number}: {len(frame) - reader.at} bytes behind the last record")
+        if reader.offset != len(frame):
+            raise WireError(f"batch {number}: {len(frame) - reader.offset} bytes after the last record")
         return Batch(now, number, events)
 
     def _decode_record(self, reader: _RecordReader) -> InstanceEvent | None:
@@ -151,36 +154,38 @@
             raise WireError(f"unknown record code {code}")
         return decode(self, reader)
 
-    def _started(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_instance_started(self, reader: _RecordReader) -> InstanceEvent:
         instance, seed, size = reader.unpack(_STARTED)
         text = reader.read_bytes(size)
         try:
-            info = json.loads(text)
+            raw_settings = json.loads(text)
         except ValueError as error:
             raise WireError(f"settings are not JSON: {error}") from error
-        return InstanceEvent(instance, self._start(instance, seed, info))
+        return InstanceEvent(instance, self._instance_started(instance, seed, raw_settings))
 
-    def _start(self, instance: int, seed: int, info: Any) -> HostEvent:
+    def _instance_started(self, instance: int, seed: int, raw_settings: Any) -> HostEvent:
         try:
-            names = tuple(_LOAD_FIELDS.get(name, "") for name in info.get("Stats", {}).get("Names", ()))
-            self._load_names[instance] = names
-            return InstanceStarted(seed, settings_of(info), names)
+            names = tuple(
+                _LOAD_FIELDS.get(name, "") for name in raw_settings.get("Stats", {}).get("Names", ())
+            )
+            self._load_fields_of[instance] = names
+            return InstanceStarted(seed, settings_of(raw_settings), names)
         except (ValueError, TypeError, AttributeError) as error:
             return InvalidSettings(str(error))
 
-    def _stopped(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_instance_stopped(self, reader: _RecordReader) -> InstanceEvent:
         (instance,) = reader.unpack(_STOPPED)
-        self._load_names.pop(instance, None)
+        self._load_fields_of.pop(instance, None)
         return InstanceEvent(instance, InstanceStopped())
 
-    def _list(self, reader: _RecordReader) -> None:
+    def _decode_list(self, reader: _RecordReader) -> None:
         number, count = reader.unpack(_LIST)
         if number > MAX_LIST_NUMBER:
-            raise WireError(f"list number {number} is not from 0 to {MAX_LIST_NUMBER}")
+            raise WireError(f"list number {number} is not between 0 and {MAX_LIST_NUMBER}")
         rows = reader.read_bytes(count * _ENDPOINT.size)
-        self._lists[number] = tuple(_endpoint(*row) for row in _ENDPOINT.iter_unpack(rows))
+        self._lists[number] = tuple(_endpoint_of(*row) for row in _ENDPOINT.iter_unpack(rows))
 
-    def _list_update(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_list_update(self, reader: _RecordReader) -> InstanceEvent:
         instance, mode, version, number = reader.unpack(_LIST_UPDATE)
         if mode > EndpointListKind.FAILED:
             raise WireError(f"unknown list mode {mode}")
@@ -188,11 +193,11 @@
         endpoints: tuple[Endpoint, ...] = ()
         if kind is not EndpointListKind.FAILED:
             if number not in self._lists:
-                raise WireError(f"list number {number} has not been told")
+                raise WireError(f"list number {number} is not defined")
             endpoints = self._lists[number]
         return InstanceEvent(instance, EndpointList(kind, version, endpoints))
 
-    def _arrived(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_task_arrived(self, reader: _RecordReader) -> InstanceEvent:
         instance, task, class_index, _, _, timeout_ms, _, service, cores, memory, bits = reader.unpack(
             _ARRIVED
         )
@@ -200,58 +205,58 @@
         arrived = TaskArrived(task, class_index, service, cores, memory, timeout_ms, resubmitted)
         return InstanceEvent(instance, arrived)
 
-    def _found(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_task_found(self, reader: _RecordReader) -> InstanceEvent:
         instance, task, class_index, *_, service, cores, memory, _, address, port = reader.unpack(_FOUND)
         machine = _machine_id(address, port)
         return InstanceEvent(instance, TaskFound(task, class_index, service, cores, memory, machine))
 
-    def _placed(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_task_placed(self, reader: _RecordReader) -> InstanceEvent:
         instance, task, attempt, address, port, elapsed_ms = reader.unpack(_PLACED)
         return InstanceEvent(instance, TaskPlaced(task, attempt, _machine_id(address, port), elapsed_ms))
 
-    def _closed(self, reader: _RecordReader) -> InstanceEvent:
-        instance, task, remark, attempt, is_over, elapsed_ms, state, address, port, load_values = (
+    def _decode_attempt_closed(self, reader: _RecordReader) -> InstanceEvent:
+        instance, task, reason_code, attempt, task_finished, elapsed_ms, state, address, port, load_values = (
             reader.unpack(_CLOSED)
         )
-        load = self._load_report(reader, instance, load_values)
+        load = self._read_load_report(reader, instance, load_values)
         closed = AttemptClosed(
             task,
             attempt,
             _machine_id(address, port),
             outcome=lookup(_OUTCOMES, state, "outcome"),
-            reason=_reason(remark),
-            task_finished=bool(is_over),
+            reason=_reason_of(reason_code),
+            task_finished=bool(task_finished),
             elapsed_ms=elapsed_ms,
             load=load,
         )
         return InstanceEvent(instance, closed)
 
-    def _withdrawn(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_task_withdrawn(self, reader: _RecordReader) -> InstanceEvent:
         instance, task = reader.unpack(_WITHDRAWN)
         return InstanceEvent(instance, TaskWithdrawn(task))
 
-    def _timer_fired(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_timer_fired(self, reader: _RecordReader) -> InstanceEvent:
         instance, token = reader.unpack(_TIMER)
         return InstanceEvent(instance, TimerFired(token))
 
-    def _health_checked(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_health_check_completed(self, reader: _RecordReader) -> InstanceEvent:
         instance, address, port, state, elapsed_ms, load_values = reader.unpack(_HEALTH_CHECKED)
-        load = self._load_report(reader, instance, load_values)
+        load = self._read_load_report(reader, instance, load_values)
         completed = HealthCheckCompleted(
             _machine_id(address, port),
             ok=state == 0,
             elapsed_ms=elapsed_ms,
             load=load,
-            no_response=state in _WITHOUT_RESPONSE,
+            no_response=state in _STATES_WITHOUT_RESPONSE,
         )
         return InstanceEvent(instance, completed)
 
-    def _gossip(self, reader: _RecordReader) -> None:
-        """Skip a message between instances: schedulers share nothing."""
+    def _skip_gossip(self, reader: _RecordReader) -> None:
+        """Skip a message between instances: schedulers share no state."""
         _, _, size = reader.unpack(_GOSSIP)
         reader.read_bytes(size)
 
-    def _status(self, reader: _RecordReader) -> InstanceEvent | None:
+    def _decode_task_status(self, reader: _RecordReader) -> InstanceEvent | None:
         instance, task, attempt, address, port, topic, value = reader.unpack(_STATUS)
         if topic not in StatusTopic.__members__.values():
             return None
@@ -259,9 +264,9 @@
         reported = TaskStatusReported(task, attempt, machine, StatusTopic(topic), value)
         return InstanceEvent(instance, reported)
 
-    def _load_report(self, reader: _RecordReader, instance: int, count: int) -> LoadReport | None:
-        """Read a load report; values that are not finite, or of unknown fields, are left out."""
-        names = self._load_names.get(instance, ())
+    def _read_load_report(self, reader: _RecordReader, instance: int, count: int) -> LoadReport | None:
+        """Read a load report, without values that are not finite and values of unknown fields."""
+        names = self._load_fields_of.get(instance, ())
         fields = {
             name: value
             for name, value in zip(names, reader.read_floats(count), strict=False)
@@ -271,56 +276,56 @@
 
 
 _RECORDS: dict[int, Callable[[Decoder, _RecordReader], InstanceEvent | None]] = {
-    1: Decoder._started,
-    2: Decoder._list_update,
-    3: Decoder._arrived,
-    4: Decoder._placed,
-    5: Decoder._closed,
-    6: Decoder._withdrawn,
-    7: Decoder._timer_fired,
-    8: Decoder._health_checked,
-    9: Decoder._gossip,
-    10: Decoder._stopped,
-    11: Decoder._found,
-    12: Decoder._status,
-    13: Decoder._list,
+    1: Decoder._decode_instance_started,
+    2: Decoder._decode_list_update,
+    3: Decoder._decode_task_arrived,
+    4: Decoder._decode_task_placed,
+    5: Decoder._decode_attempt_closed,
+    6: Decoder._decode_task_withdrawn,
+    7: Decoder._decode_timer_fired,
+    8: Decoder._decode_health_check_completed,
+    9: Decoder._skip_gossip,
+    10: Decoder._decode_instance_stopped,
+    11: Decoder._decode_task_found,
+    12: Decoder._decode_task_status,
+    13: Decoder._decode_list,
 }
 
 
 def read_frames(read: Callable[[int], bytes]) -> Iterator[bytes]:
-    """Yield whole frames from `read(n)`, which returns fewer bytes only at the end of input.
+    """Yield whole frames from `read(n)`, which returns fewer than `n` bytes only at the end of input.
 
     Raises:
-        WireError: a frame is too short, too long or cut off.
+        WireError: a frame is too short, too long or truncated.
     """
     while head := read(_LENGTH.size):
         if len(head) < _LENGTH.size:
             raise WireError(f"input ends after {len(head)} bytes of a frame's length")
         (length,) = _LENGTH.unpack(head)
         if not BATCH_HEADER.size <= length <= MAX_FRAME_BYTES:
-            raise WireError(f"frame length {length} is not from {BATCH_HEADER.size} to {MAX_FRAME_BYTES}")
+            raise WireError(f"frame length {length} is not between {BATCH_HEADER.size} and {MAX_FRAME_BYTES}")
         rest = read(length - _LENGTH.size)
         if len(rest) < length - _LENGTH.size:
-            raise WireError(f"input ends after {_LENGTH.size + len(rest)} bytes of a frame of {length}")
+            raise WireError(f"input ends after {_LENGTH.size + len(rest)} bytes of a frame of {length} bytes")
         yield head + rest
 
 
 def _decode_header(frame: bytes) -> tuple[float, int, int]:
-    """Return the time, the number and the count of records of a batch."""
+    """Return the time, the batch number and the record count of a batch."""
     if len(frame) < BATCH_HEADER.size:
-        raise WireError(f"batch header: {len(frame)} bytes, {BATCH_HEADER.size} needed")
+        raise WireError(f"batch header: expected {BATCH_HEADER.size} bytes, got {len(frame)}")
     length, now, count, number = BATCH_HEADER.unpack_from(frame)
     if length != len(frame):
-        raise WireError(f"batch {number}: frame of {len(frame)} bytes says {length}")
+        raise WireError(f"batch {number}: frame of {len(frame)} bytes declares a length of {length}")
     if not math.isfinite(now):
-        raise WireError(f"batch {number}: clock {now!r}")
+        raise WireError(f"batch {number}: clock is not finite: {now!r}")
     return now, number, count
 
 
-def _endpoint(*row: Any) -> Endpoint:
+def _endpoint_of(*row: Any) -> Endpoint:
     kind, cell, memory, state, cores, _, zone, address, port, started_at = row
     if state > MachineState.DRAINING:
-        raise WireError(f"unknown machine condition {state}")
+        raise WireError(f"unknown machine state {state}")
     machine = _machine_id(address, port)
     return Endpoint(machine, kind, cell, zone, MachineState(state), cores, memory, started_at)
 
@@ -329,6 +334,6 @@
     return address << 16 | port
 
 
-def _reason(remark: int) -> OutcomeReason:
-    is_known = remark in OutcomeReason.__members__.values()
-    return OutcomeReason(remark) if is_known else OutcomeReason.UNSPECIFIED
+def _reason_of(reason_code: int) -> OutcomeReason:
+    is_known = reason_code in OutcomeReason.__members__.values()
+    return OutcomeReason(reason_code) if is_known else OutcomeReason.UNSPECIFIED
--- a/kelpfront/wire/encoder.py
+++ b/kelpfront/wire/encoder.py
@@ -1,4 +1,4 @@
-"""Encoder of the simulator's replies: actions of schedulers to one frame."""
+"""Encoder of replies to the simulator: the actions of schedulers as one frame."""
 
 from __future__ import annotations
 
@@ -37,75 +37,75 @@
 _SET_TIMER = struct.Struct(">BIdQ")
 
 
-def encode_reply(number: int, actions: Iterable[InstanceAction]) -> bytes:
-    """Return one reply frame with the actions of the instances, in their order.
+def encode_reply(batch_number: int, actions: Iterable[InstanceAction]) -> bytes:
+    """Return one reply frame that holds the actions of the instances in the given order.
 
     Raises:
-        WireError: the wire has no record for an action.
+        WireError: the protocol has no record for an action.
     """
     records = [_encode(instance, action) for instance, action in actions]
     body = b"".join(records)
-    return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(records), number) + body
+    return REPLY_HEADER.pack(REPLY_HEADER.size + len(body), len(records), batch_number) + body
 
 
 def _encode(instance: int, action: Any) -> bytes:
     return _ENCODERS[type(action)](instance, action)
 
 
-def _bind(instance: int, action: Bind) -> bytes:
+def _encode_bind(instance: int, action: Bind) -> bytes:
     address, port = _address_of(action.machine)
     return _BIND.pack(8, instance, action.task, action.timeout_ms, address, port)
 
 
-def _reject(instance: int, action: Reject) -> bytes:
+def _encode_reject(instance: int, action: Reject) -> bytes:
     return _REJECT.pack(4, instance, action.task, action.retry_after_ms)
 
 
-def _fail(instance: int, action: Fail) -> bytes:
+def _encode_fail(instance: int, action: Fail) -> bytes:
     return _FAIL.pack(12, instance, action.task)
 
 
-def _cancel_attempt(instance: int, action: CancelAttempt) -> bytes:
+def _encode_cancel_attempt(instance: int, action: CancelAttempt) -> bytes:
     return _CANCEL_ATTEMPT.pack(2, instance, action.task, action.attempt)
 
 
-def _migrate(instance: int, action: Migrate) -> bytes:
+def _encode_migrate(instance: int, action: Migrate) -> bytes:
     return _MIGRATE.pack(3, instance, action.task)
 
 
-def _check_health(instance: int, action: CheckHealth) -> bytes:
+def _encode_check_health(instance: int, action: CheckHealth) -> bytes:
     return _CHECK_HEALTH.pack(6, instance, *_address_of(action.machine))
 
 
-def _set_timer(instance: int, action: SetTimer) -> bytes:
+def _encode_set_timer(instance: int, action: SetTimer) -> bytes:
     return _SET_TIMER.pack(13, instance, action.at, action.token)
 
 
-def _subscribe(instance: int, action: Subscribe) -> bytes:
+def _encode_subscribe(instance: int, action: Subscribe) -> bytes:
     return _SUBSCRIBE.pack(1, instance, action.on)
 
 
-def _fetch_endpoint_list(instance: int, _action: FetchEndpointList) -> bytes:
+def _encode_fetch_endpoint_list(instance: int, _action: FetchEndpointList) -> bytes:
     return _FETCH_LIST.pack(9, instance)
 
 
-def _declare_machine_lost(_instance: int, _action: DeclareMachineLost) -> bytes:
-    raise WireError("the simulator tells of losses itself")
+def _encode_declare_machine_lost(_instance: int, _action: DeclareMachineLost) -> bytes:
+    raise WireError("DeclareMachineLost cannot be encoded: the simulator detects lost machines itself")
 
 
-def _log_machine_ejected(instance: int, action: LogMachineEjected) -> bytes:
+def _encode_log_machine_ejected(instance: int, action: LogMachineEjected) -> bytes:
     fields = (
         f"machine={action.machine:x} scope={action.scope} cause={action.cause} "
         f"ejection_ms={action.ejection_ms:g}"
     )
-    return _text(7, instance, f"machine ejected {fields}")
+    return _encode_text(7, instance, f"machine ejected {fields}")
 
 
-def _instance_failed(instance: int, action: InstanceFailed) -> bytes:
-    return _text(5, instance, action.text)
+def _encode_instance_failed(instance: int, action: InstanceFailed) -> bytes:
+    return _encode_text(5, instance, action.text)
 
 
-def _text(code: int, instance: int, text: str) -> bytes:
+def _encode_text(code: int, instance: int, text: str) -> bytes:
     raw = text.encode()[:MAX_TEXT_BYTES]
     return _TEXT.pack(code, instance, len(raw)) + raw
 
@@ -115,16 +115,16 @@
 
 
 _ENCODERS: dict[type, Callable[[int, Any], bytes]] = {
-    Bind: _bind,
-    Reject: _reject,
-    Fail: _fail,
-    CancelAttempt: _cancel_attempt,
-    Migrate: _migrate,
-    CheckHealth: _check_health,
-    SetTimer: _set_timer,
-    Subscribe: _subscribe,
-    FetchEndpointList: _fetch_endpoint_list,
-    DeclareMachineLost: _declare_machine_lost,
-    LogMachineEjected: _log_machine_ejected,
-    InstanceFailed: _instance_failed,
+    Bind: _encode_bind,
+    Reject: _encode_reject,
+    Fail: _encode_fail,
+    CancelAttempt: _encode_cancel_attempt,
+    Migrate: _encode_migrate,
+    CheckHealth: _encode_check_health,
+    SetTimer: _encode_set_timer,
+    Subscribe: _encode_subscribe,
+    FetchEndpointList: _encode_fetch_endpoint_list,
+    DeclareMachineLost: _encode_declare_machine_lost,
+    LogMachineEjected: _encode_log_machine_ejected,
+    InstanceFailed: _encode_instance_failed,
 }
--- a/kelpfront/wire/errors.py
+++ b/kelpfront/wire/errors.py
@@ -1,4 +1,4 @@
-"""The error of the simulator's wire, and the look-up of the wire's codes that raises it."""
+"""The error of the simulator's protocol, and a lookup of codes that raises it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class WireError(ValueError):
-    """A frame that the wire's description does not allow."""
+    """Raised for data that the simulator's protocol does not allow."""
 
 
 def lookup(table: Mapping[Any, T], code: object, what: str) -> T:
-    """Return what a code of the wire stands for.
+    """Return the value that a protocol code stands for.
 
     Raises:
-        WireError: the code is unknown; the message names it and what it should be.
+        WireError: the code is unknown; the message holds the code and its kind, `what`.
     """
     if not isinstance(code, str | int) or code not in table:
         raise WireError(f"unknown {what} {code!r:.60}")
--- a/kelpfront/wire/records.py
+++ b/kelpfront/wire/records.py
@@ -1,4 +1,4 @@
-"""What passes between the wire and the host of the schedulers: events and actions, each with its instance."""
+"""Records exchanged between the codec and the host of the schedulers: events and actions of instances."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance starts.
+    """The simulator starts an instance.
 
     Attributes:
-        load_names: the field of `LoadReport` for each value of the instance's load reports; empty for a value
-            that is not used.
+        load_names: the field of `LoadReport` for each value of the instance's load reports; an empty string
+            for a value that is not used.
     """
 
     seed: int
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """An instance is killed, with all that it knew."""
+    """The simulator kills an instance; its state is lost."""
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidSettings:
-    """An instance starts with settings that are impossible; `text` names the setting."""
+    """The simulator starts an instance with invalid settings; `text` names the setting."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceFailed:
-    """The decisions of an instance failed; `text` says with what."""
+    """An instance failed; `text` describes the error."""
 
     text: str
 
@@ -48,21 +48,21 @@
 
 
 class InstanceEvent(NamedTuple):
-    """An event, and the number of the instance that it is for."""
+    """An event and the number of the instance that receives it."""
 
     instance: int
     event: HostEvent
 
 
 class InstanceAction(NamedTuple):
-    """An action, and the number of the instance that takes it."""
+    """An action and the number of the instance that requested it."""
 
     instance: int
     action: HostAction
 
 
 class Batch(NamedTuple):
-    """One batch of the simulator: its time in milliseconds, its number, and its events in their order."""
+    """One batch from the simulator: its time in milliseconds, its number, and its events in order."""
 
     now: float
     number: int
--- a/tests/frames.py
+++ b/tests/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the tests' own, built from the wire's description."""
+"""Builds the simulator's frames for tests, independently of the codec under test."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def info(**changes: Any) -> dict[str, Any]:
-    plain: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "Categories": [
             {
                 "AimMs": 800.0,
@@ -53,56 +53,58 @@
         "Zone": 0,
         "Zones": ["a", "b"],
     }
-    return plain | changes
+    return defaults | changes
 
 
-def born(inst: int, settings: dict[str, Any] | None = None, seed: int = 5) -> bytes:
+def instance_started(instance: int, settings: dict[str, Any] | None = None, seed: int = 5) -> bytes:
     text = json.dumps(info() if settings is None else settings).encode()
-    return struct.pack(">BIQI", 1, inst, seed, len(text)) + text
+    return struct.pack(">BIQI", 1, instance, seed, len(text)) + text
 
 
-def inventory(bank: int, *entries: tuple[int, int, float]) -> bytes:
-    """Entries of machine, condition and free cores."""
+def endpoint_list(list_number: int, *entries: tuple[int, int, float]) -> bytes:
+    """Build an endpoint list record from entries of machine id, state and free cores."""
     rows = b"".join(
         struct.pack(
             ">BHfBffHIHd",
             0,
             1,
             30.0,
-            condition,
-            free,
+            state,
+            free_cores,
             1.0,
             0,
-            ident >> 16,
-            ident & 0xFFFF,
+            machine_id >> 16,
+            machine_id & 0xFFFF,
             0.0,
         )
-        for ident, condition, free in entries
+        for machine_id, state, free_cores in entries
     )
-    return struct.pack(">BII", 13, bank, len(entries)) + rows
+    return struct.pack(">BII", 13, list_number, len(entries)) + rows
 
 
-def roster(inst: int, mode: int, bank: int) -> bytes:
-    return struct.pack(">BIBII", 2, inst, mode, 1, bank)
+def list_update(instance: int, mode: int, list_number: int) -> bytes:
+    return struct.pack(">BIBII", 2, instance, mode, 1, list_number)
 
 
-def task(inst: int, ident: int, bits: int = 0) -> bytes:
-    return struct.pack(">BIQBHQddQffB", 3, inst, ident, 0, 0, 9, 3000.0, 0.0, 8, 1.0, 2.0, bits)
+def task_arrived(instance: int, task_id: int, bits: int = 0) -> bytes:
+    return struct.pack(">BIQBHQddQffB", 3, instance, task_id, 0, 0, 9, 3000.0, 0.0, 8, 1.0, 2.0, bits)
 
 
-def closed(inst: int, ident: int, machine: int, state: int, remark: int, *loads: float) -> bytes:
+def attempt_closed(
+    instance: int, task_id: int, machine: int, state: int, reason_code: int, *load_values: float
+) -> bytes:
     head = struct.pack(
         ">BIQIHBdHIHB",
         5,
-        inst,
-        ident,
-        remark,
+        instance,
+        task_id,
+        reason_code,
         0,
         0,
         7.5,
         state,
         machine >> 16,
         machine & 0xFFFF,
-        len(loads),
+        len(load_values),
     )
-    return head + struct.pack(f">{len(loads)}f", *loads)
+    return head + struct.pack(f">{len(load_values)}f", *load_values)
--- a/tests/scheduling/test_wire.py
+++ b/tests/scheduling/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec, on frames of the tests' own."""
+"""The codec of the simulator's protocol, on frames built by `frames`."""
 
 from __future__ import annotations
 
@@ -36,22 +36,22 @@
 MACHINE = 0x0A0B0C0D << 16 | 8080
 
 
-def test_a_batch_with_an_instance_its_list_and_a_task() -> None:
+def test_a_batch_with_a_start_an_endpoint_list_and_a_task_is_decoded() -> None:
     _, number, events = Decoder().decode(
         frames.batch(
             4,
             77.5,
-            frames.born(3),
-            frames.inventory(2, (MACHINE, 1, 12.5), (MACHINE + 1, 2, -3.0)),
-            frames.roster(3, 2, 2),
-            frames.task(3, 41, bits=17),
+            frames.instance_started(3),
+            frames.endpoint_list(2, (MACHINE, 1, 12.5), (MACHINE + 1, 2, -3.0)),
+            frames.list_update(3, 2, 2),
+            frames.task_arrived(3, 41, bits=17),
         )
     )
     assert number == 4
-    (_, started), (_, listed), (inst, arrived) = events
+    (_, started), (_, listed), (instance, arrived) = events
     assert isinstance(started, InstanceStarted)
-    (cls,) = started.settings.classes
-    assert (cls.idempotency, cls.idempotency_scope, cls.spread_domain) == (
+    (task_class,) = started.settings.classes
+    assert (task_class.idempotency, task_class.idempotency_scope, task_class.spread_domain) == (
         Idempotency.IDEMPOTENCY_KEY,
         FailureDomain.CELL,
         FailureDomain.CELL,
@@ -64,15 +64,15 @@
         (MACHINE, MachineState.READY, 12.5),
         (MACHINE + 1, MachineState.DRAINING, -3.0),
     ]
-    assert inst == 3
+    assert instance == 3
     assert arrived == TaskArrived(41, 0, 8, 1.0, 2.0, 3000.0, resubmitted=True)
 
 
-def test_an_outcome_with_a_report_of_which_one_value_is_not_finite() -> None:
+def test_a_load_value_that_is_not_finite_is_left_out_of_the_report() -> None:
     decoder = Decoder()
-    decoder.decode(frames.batch(1, 1.0, frames.born(3)))
+    decoder.decode(frames.batch(1, 1.0, frames.instance_started(3)))
     _, _, events = decoder.decode(
-        frames.batch(2, 2.0, frames.closed(3, 41, MACHINE, 8, 2, 4.0, math.nan, 6.0))
+        frames.batch(2, 2.0, frames.attempt_closed(3, 41, MACHINE, 8, 2, 4.0, math.nan, 6.0))
     )
     load = LoadReport(free_cores=4.0, queue=6.0)
     assert events == [
@@ -92,21 +92,21 @@
     ]
 
 
-def test_a_list_number_is_looked_up_in_the_order_of_events() -> None:
+def test_a_redefined_list_number_applies_only_to_later_records() -> None:
     _, _, events = Decoder().decode(
         frames.batch(
             1,
             1.0,
-            frames.inventory(0, (1, 1, 5.0)),
-            frames.roster(3, 1, 0),
-            frames.inventory(0, (2, 1, 5.0)),
-            frames.roster(3, 0, 0),
+            frames.endpoint_list(0, (1, 1, 5.0)),
+            frames.list_update(3, 1, 0),
+            frames.endpoint_list(0, (2, 1, 5.0)),
+            frames.list_update(3, 0, 0),
         )
     )
     assert [event.endpoints[0].id for _, event in events if isinstance(event, EndpointList)] == [1, 2]
 
 
-def test_small_records() -> None:
+def test_timer_and_stop_records_are_decoded() -> None:
     _, _, events = Decoder().decode(
         frames.batch(1, 1.0, struct.pack(">BIQ", 7, 3, 99), struct.pack(">BI", 10, 3))
     )
@@ -123,35 +123,35 @@
         ("Permissions", frames.info(Permissions=None)),
     ],
 )
-def test_missing_or_impossible_settings_are_named(name: str, settings: dict[str, object]) -> None:
-    _, _, [(_, event)] = Decoder().decode(frames.batch(1, 1.0, frames.born(3, settings)))
+def test_missing_or_invalid_settings_are_named_in_the_error(name: str, settings: dict[str, object]) -> None:
+    _, _, [(_, event)] = Decoder().decode(frames.batch(1, 1.0, frames.instance_started(3, settings)))
     assert isinstance(event, InvalidSettings)
     assert name.lower() in event.text.lower()
 
 
-GOOD = frames.batch(1, 1.0, frames.task(3, 41))
+VALID_FRAME = frames.batch(1, 1.0, frames.task_arrived(3, 41))
 
 
 @pytest.mark.parametrize(
     ("frame", "message"),
     [
-        (GOOD[:-1], "says"),
-        (struct.pack(">I", len(GOOD) - 8) + GOOD[4:-8], "ends inside"),
+        (VALID_FRAME[:-1], "declares a length"),
+        (struct.pack(">I", len(VALID_FRAME) - 8) + VALID_FRAME[4:-8], "ends inside"),
         (frames.batch(1, 1.0, b"\xc8"), "unknown record code 200"),
-        (frames.batch(1, 1.0, frames.roster(3, 1, 7)), "list number 7"),
-        (frames.batch(1, 1.0, frames.inventory(16)), "list number 16"),
+        (frames.batch(1, 1.0, frames.list_update(3, 1, 7)), "list number 7"),
+        (frames.batch(1, 1.0, frames.endpoint_list(16)), "list number 16"),
         (frames.batch(1, math.inf), "clock"),
-        (frames.batch(1, 1.0, frames.closed(3, 1, 1, 77, 0)), "outcome 77"),
+        (frames.batch(1, 1.0, frames.attempt_closed(3, 1, 1, 77, 0)), "outcome 77"),
         (frames.batch(1, 1.0)[:10], "header"),
-        (struct.pack(">I", len(GOOD) + 1) + GOOD[4:] + b"x", "behind the last record"),
+        (struct.pack(">I", len(VALID_FRAME) + 1) + VALID_FRAME[4:] + b"x", "after the last record"),
     ],
 )
-def test_malformed_frames_are_reported_with_their_error(frame: bytes, message: str) -> None:
+def test_malformed_frames_raise_an_error_that_describes_the_fault(frame: bytes, message: str) -> None:
     with pytest.raises(WireError, match=message):
         Decoder().decode(frame)
 
 
-def test_replies() -> None:
+def test_a_reply_holds_its_actions_in_order() -> None:
     actions: list[HostAction] = [
         Bind(41, MACHINE, 80.0),
         SetTimer(5.5, 2),
