--- a/kelpfront/failure_detection/__init__.py
+++ b/kelpfront/failure_detection/__init__.py
@@ -1,6 +1,6 @@
-"""Failure detection on behalf of many placers, by digests that cost a bit for each machine.
+"""Failure detection on behalf of many placers, with digests that need one bit for each machine.
 
-Pure: nothing here does I/O or reads a clock. A failure detector (`detector`) health-checks machines and
-encodes what it learned (`digest`); a placer keeps a view of it (`view`) and decides for itself which machines
-are lost. The sockets are in `kelpfront.failure_detector` and in `kelpfront.platform`.
+Nothing in this package does I/O or reads a clock. A failure detector (`detector`) health-checks machines and
+encodes the results (`digest`). A placer keeps a view of these results (`view`) and decides for itself which
+machines are lost. The sockets are in `kelpfront.failure_detector` and `kelpfront.platform`.
 """
--- a/kelpfront/failure_detection/clock_offset.py
+++ b/kelpfront/failure_detection/clock_offset.py
@@ -1,8 +1,9 @@
-"""Dates on a placer's clock what a failure detector observed on its own, without clocks that agree.
+"""Converts times on a failure detector's clock to a placer's clock, without synchronized clocks.
 
-The detector received a hello after the placer sent it, so what it did later happened later than the hello was
-sent. An observation dated so is never newer than the truth, however late, duplicated or reordered digests
-arrive; it can only be older, and then counts for less.
+The detector receives a hello after the placer sent it. The sending time less the receipt time is therefore at
+most the true difference between the two clocks, and a time that is converted with it is never later than the
+true time, however late, duplicated or reordered digests arrive. It can only be earlier, and then the
+observation counts as older than it is.
 """
 
 from __future__ import annotations
@@ -11,23 +12,29 @@
 
 from kelpfront.failure_detection.digest import DigestHeader
 
-WINDOW_MS = 15_000.0  # the fastest hello of this window and the one before dates observations: clocks drift
-DRIFT_ALLOWANCE_MS = 50.0  # what clocks drift apart in 30 s at over a thousandth
+WINDOW_MS = 15_000.0  # offsets of the current and the previous window are used, because clocks drift
+DRIFT_ALLOWANCE_MS = 50.0  # allows a drift of over a thousandth during 30 s, the length of two windows
 
 
 class ClockOffset:
-    """Estimates the placer's clock less the clock of one incarnation of a detector, from below."""
+    """Estimates the lower bound of the placer's clock less the clock of one incarnation of a detector.
+
+    The estimate is the largest difference seen, which is that of the hello that was delivered fastest.
+    """
 
     def __init__(self) -> None:
         self._window = -math.inf
         self._previous_ms = -math.inf
         self._current_ms = -math.inf
 
-    def date(self, now: float, header: DigestHeader) -> float:
-        """Return the digest's `checked_since_ms` on the placer's clock, or an earlier time."""
+    def convert_checked_since(self, now: float, header: DigestHeader) -> float:
+        """Return the digest's `checked_since_ms` on the placer's clock, or an earlier time.
+
+        The digest's hello also updates the estimate.
+        """
         self._advance(now // WINDOW_MS)
-        observed_ms = header.hello.sent_at_ms - header.hello_received_at_ms
-        self._current_ms = max(self._current_ms, observed_ms)
+        difference_ms = header.hello.sent_at_ms - header.hello_received_at_ms
+        self._current_ms = max(self._current_ms, difference_ms)
         offset_ms = max(self._previous_ms, self._current_ms)
         return min(now, header.checked_since_ms + offset_ms - DRIFT_ALLOWANCE_MS)
 
--- a/kelpfront/failure_detection/counters.py
+++ b/kelpfront/failure_detection/counters.py
@@ -1,7 +1,6 @@
-"""What detectors and placers count of failure detection since they started.
+"""Counters of failure detection that detectors and placers keep from their start.
 
-The programs write these records into their periodic log line of counters; `fields` has the names that the
-line shows.
+The programs write them periodically into a log line; `fields` returns the field names of that line.
 """
 
 from __future__ import annotations
@@ -14,10 +13,10 @@
     """Counters of a failure detector.
 
     Attributes:
-        health_checks_unsent: checks for which no connection came up, or whose connection was congested.
-        unexpected_answers: answers to no check in flight: they came too late, or twice.
-        reconnections: connections to machines that were connected before.
-        digests_sent: datagrams, each to one subscriber.
+        health_checks_unsent: checks for which no connection could be made, or whose connection was congested.
+        unexpected_answers: answers that match no check in flight, because they were late or duplicated.
+        reconnections: new connections to machines that were connected before.
+        digests_sent: datagrams with a digest, counted for each subscriber.
         subscribers_rejected: hellos of new subscribers beyond the limit.
         invalid_datagrams: datagrams that could not be decoded.
     """
@@ -42,14 +41,14 @@
 
     Attributes:
         digests_accepted: digests that were applied.
-        digests_outdated: duplicates and digests overtaken by later ones.
+        digests_outdated: duplicates, and digests that arrived after later ones.
         invalid_datagrams: datagrams that could not be decoded.
-        misaddressed_datagrams: datagrams that answer no hello of this placer's incarnation.
-        unknown_membership_sections: sections of a list of machines that this placer does not know.
-        restart_checks: machines checked since they may have restarted.
-        path_checks: machines checked in turn, whatever detectors say of them.
-        unreachable_from_here: machines found to answer detectors and not this placer.
-        zone_checks: zones that were checked as a whole for that reason.
+        misaddressed_datagrams: datagrams that do not answer a hello of this incarnation of the placer.
+        unknown_membership_sections: sections whose membership view this placer does not know.
+        restart_checks: machines checked because they may have restarted.
+        path_checks: machines checked in rotation, regardless of the reports of detectors.
+        unreachable_from_here: machines that answered detectors but not this placer.
+        zone_checks: zones in which all machines were checked because one of them was unreachable from here.
     """
 
     digests_accepted: int = 0
--- a/kelpfront/failure_detection/detector.py
+++ b/kelpfront/failure_detection/detector.py
@@ -1,8 +1,8 @@
-"""A failure detector's core: which machine is health-checked when, what came of it, and which digests go out.
+"""The core of a failure detector: schedules health checks, records their results and builds digests.
 
-It counts no machine as failed; placers decide that. Subscriptions are in `subscribers`, the log of machines
-that stop answering in `availability_log`. Times are milliseconds on the detector's own clock, which only goes
-forward.
+The detector does not declare machines as failed; placers decide that. Subscriptions are in `subscribers`, and
+the log of machines that stop answering is in `availability_log`. Times are milliseconds on the detector's own
+monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 from kelpfront.failure_detection.subscribers import PlacerAddress, Subscribers
 from kelpfront.scheduling.events import MachineId
 
-CHECK_TICK_MS = 50.0  # between scans for the checks that are due
-DIGEST_INTERVAL_MS = 1_000.0  # between digests
-MAX_CHECKS_IN_FLIGHT = 4  # of one machine: answers to earlier ones do not count any more
-MISSED_CHECKS_BEFORE_RECONNECT = 3  # in a row: a path may have forgotten the connection
-FRESHNESS_INTERVALS = 1.5  # check intervals for which an answer counts: half of one is for it to arrive
-SETTLING_INTERVALS = 3.0  # check intervals from the start until unresponsive machines are logged
-RECONNECTION_NOTICE_MS = 10_000.0  # for which digests name a reconnection: some may be lost
+CHECK_TICK_MS = 50.0  # between two scans for due checks
+DIGEST_INTERVAL_MS = 1_000.0  # between two digests
+MAX_CHECKS_IN_FLIGHT = 4  # per machine; answers to older checks no longer count
+MISSED_CHECKS_BEFORE_RECONNECT = 3  # consecutive; a middlebox may have dropped the connection's state
+FRESHNESS_INTERVALS = 1.5  # check intervals for which an answer counts: one, and half of one for its delivery
+SETTLING_INTERVALS = 3.0  # check intervals after the start before unresponsive machines are logged
+RECONNECTION_NOTICE_MS = 10_000.0  # digests report a reconnection for this long, because some are lost
 
-_CALL_ID_MASK = (1 << 64) - 1  # ids of calls have 16 hexadecimal digits
+_CALL_ID_MASK = (1 << 64) - 1  # call ids have 16 hexadecimal digits
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DueCheck:
-    """A health check that is to be sent now, on a new connection where `reconnect` is set."""
+    """A health check to be sent now, on a new connection if `reconnect` is set."""
 
     machine: MachineId
     reconnect: bool
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutgoingDigest:
-    """A datagram and the placer that it is for."""
+    """A datagram and the address of the placer that receives it."""
 
     address: PlacerAddress
     data: bytes
@@ -65,8 +65,8 @@
 class FailureDetector:
     """One incarnation of a failure detector.
 
-    `incarnation` must differ for each start. Every machine is checked every `check_interval_ms`. `log_events`
-    is emptied by whoever writes the log.
+    `incarnation` must be different for each start. Every machine is checked once in `check_interval_ms`. The
+    caller writes `log_events` to the log and clears the list.
     """
 
     def __init__(self, incarnation: int, check_interval_ms: float) -> None:
@@ -84,13 +84,13 @@
 
     @property
     def subscriber_count(self) -> int:
-        """How many placers receive digests."""
+        """The number of placers that receive digests."""
         return len(self._subscribers)
 
     def apply_endpoint_list(
         self, now: float, zones: Mapping[int, Sequence[ListedMachine]]
     ) -> list[MachineId]:
-        """Monitor exactly these machines, by zone; returns those that are not monitored any more."""
+        """Monitor exactly these machines, given by zone; return those that are no longer monitored."""
         if not self.machines:
             self._monitoring_since = now
         listed = {machine.id: machine for members in zones.values() for machine in members}
@@ -99,9 +99,9 @@
             del self.machines[machine_id]
         for position, machine in enumerate(listed.values()):
             if machine.id not in self.machines:
-                # First checks are spread over one interval.
-                first_at = now + self._check_interval_ms * position / len(listed)
-                self.machines[machine.id] = MonitoredMachine(machine.id, machine.name, first_at)
+                # First checks are spread over one interval, to avoid bursts.
+                first_check_at = now + self._check_interval_ms * position / len(listed)
+                self.machines[machine.id] = MonitoredMachine(machine.id, machine.name, first_check_at)
         self._membership_views = membership_views(
             {zone: [machine.id for machine in members] for zone, members in zones.items()}
         )
@@ -110,23 +110,23 @@
     # ---- Health checks --------------------------------------------------------------------------------
 
     def checks_due(self, now: float) -> list[DueCheck]:
-        """Return the checks to be sent now; to be called every CHECK_TICK_MS."""
+        """Return the checks to be sent now. Must be called every CHECK_TICK_MS."""
         due = []
         for position, machine in enumerate(self.machines.values()):
             if now < machine.next_check_at:
                 continue
             machine.next_check_at += self._check_interval_ms
             if machine.next_check_at <= now:
-                # The process was suspended. Checks are spread again, or they would stay bunched.
+                # The process was suspended. Checks are spread again, or all would stay due at the same time.
                 share = (1 + position / len(self.machines)) / 2
                 machine.next_check_at = now + self._check_interval_ms * share
-            missed = machine.consecutive_missed
-            reconnect = missed > 0 and missed % MISSED_CHECKS_BEFORE_RECONNECT == 0
+            missed_count = machine.consecutive_missed
+            reconnect = missed_count > 0 and missed_count % MISSED_CHECKS_BEFORE_RECONNECT == 0
             due.append(DueCheck(machine.id, reconnect))
         return due
 
     def begin_check(self, now: float, machine_id: MachineId) -> str | None:
-        """Return the call id of a check that is about to be sent; None for a machine not monitored."""
+        """Return the call id of a check that is about to be sent, or None if the machine is not monitored."""
         machine = self.machines.get(machine_id)
         if machine is None:
             return None
@@ -141,14 +141,14 @@
         return call_id
 
     def record_unsent_check(self, machine_id: MachineId) -> None:
-        """Count a check as missed that could not be sent."""
+        """Count a check that could not be sent as missed."""
         machine = self.machines.get(machine_id)
         if machine is not None:
             machine.consecutive_missed += 1
             self.counters.health_checks_unsent += 1
 
     def record_answer(self, machine_id: MachineId, call_id: str) -> None:
-        """Apply an answer, with whatever result: a machine that reports itself unhealthy is alive."""
+        """Apply an answer, whatever its result: a machine that reports itself as unhealthy is alive."""
         machine = self.machines.get(machine_id)
         sent_at = None if machine is None else machine.in_flight.pop(call_id, None)
         if machine is None or sent_at is None:
@@ -159,7 +159,7 @@
         machine.consecutive_missed = 0
 
     def record_connection(self, now: float, machine_id: MachineId) -> None:
-        """Note a connection that came up. After a former one, the machine may have restarted."""
+        """Record a new connection. If the machine was connected before, it may have restarted."""
         machine = self.machines.get(machine_id)
         if machine is None:
             return
@@ -171,12 +171,12 @@
     # ---- Digests --------------------------------------------------------------------------------------
 
     def receive_hello(self, now: float, address: PlacerAddress, hello: Hello) -> None:
-        """Subscribe the placer at an address to digests."""
+        """Subscribe the placer at this address to digests."""
         if not self._subscribers.receive(now, address, hello):
             self.counters.subscribers_rejected += 1
 
     def build_digests(self, now: float) -> list[OutgoingDigest]:
-        """Return the digests to be sent now; to be called every DIGEST_INTERVAL_MS."""
+        """Return the digests to be sent now. Must be called every DIGEST_INTERVAL_MS."""
         checked_since = now - FRESHNESS_INTERVALS * self._check_interval_ms
         sections = [pack_section(self._section(now, checked_since, view)) for view in self._membership_views]
         self._log_availability(now, checked_since)
@@ -185,7 +185,7 @@
         for datagram_sections in group_by_datagram(sections):
             self._sequence += 1
             for address, subscriber in self._subscribers:
-                # Rounding makes observations older: receipt up, checks down.
+                # The receipt is rounded up and the check time down, so that observations only become older.
                 header = DigestHeader(
                     self._incarnation,
                     self._sequence,
--- a/kelpfront/failure_detection/digest.py
+++ b/kelpfront/failure_detection/digest.py
@@ -1,9 +1,9 @@
-"""The datagrams between placers and failure detectors, as typed records and as bytes.
+"""Codec of the datagrams between placers and failure detectors.
 
-A placer sends a hello to subscribe; it carries the placer's clock. A digest says which machines answered a
-health check that was sent at a given time or later on the detector's clock, and when by that clock a given
-hello arrived: from both, the receiver dates the observations on its own clock (`clock_offset`). Decoding is
-strict and bounded. Times are whole milliseconds.
+A placer subscribes by sending a hello with the time on its clock. A digest reports which machines answered a
+health check that was sent at or after a given time on the detector's clock, and when a given hello arrived on
+the same clock. From both times the receiver computes the time of the observations on its own clock
+(`clock_offset`). Decoding is strict and bounded. Times are whole milliseconds.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from kelpfront.failure_detection.membership import MAX_VIEW_MEMBERS
 
-MAX_DATAGRAM_BYTES = 1_200  # what any path carries without fragmentation
-_MAX_SECTIONS = 255  # their count is one byte
+MAX_DATAGRAM_BYTES = 1_200  # any path carries this size without fragmentation
+_MAX_SECTIONS = 255  # the section count is encoded in one byte
 
 _MAGIC = b"KL"
 _VERSION = 1
@@ -38,8 +38,8 @@
     """A placer's subscription.
 
     Attributes:
-        incarnation: differs for each start of the placer.
-        sent_at_ms: the placer's clock.
+        incarnation: different for each start of the placer.
+        sent_at_ms: when the hello was sent, on the placer's clock.
     """
 
     incarnation: int
@@ -48,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """What a detector knows of one membership view; bitmaps are by position in the view.
+    """What a detector knows about one membership view. Bit positions are positions in the view.
 
     Attributes:
         answered: machines that answered a recent health check.
-        reconnected: machines to which a connection was made anew a short while ago.
+        reconnected: machines to which a new connection replaced an earlier one recently.
     """
 
     fingerprint: int
@@ -63,14 +63,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestHeader:
-    """What a digest says before its sections; times are the detector's clock.
+    """The header of a digest. Times not otherwise stated are on the detector's clock.
 
     Attributes:
-        incarnation: differs for each start of the detector.
-        sequence: ascends within an incarnation.
-        hello: the last hello of the placer that is addressed.
+        incarnation: different for each start of the detector.
+        sequence: increases within an incarnation.
+        hello: the last hello from the placer that receives the digest.
         hello_received_at_ms: when that hello arrived.
-        checked_since_ms: machines of the digest answered a check that was sent then or later.
+        checked_since_ms: answered machines answered a check that was sent at this time or later.
     """
 
     incarnation: int
@@ -94,7 +94,7 @@
 
 
 def pack_section(section: Section) -> bytes:
-    """Encode one section; it is the same in the digests to all subscribers."""
+    """Encode one section. Its bytes are the same in the digests for all subscribers."""
     size = _bitmap_bytes(section.member_count)
     flags = _FLAG_RECONNECTED if section.reconnected else 0
     packed = _SECTION_HEADER.pack(section.fingerprint, section.member_count, flags)
@@ -105,7 +105,7 @@
 
 
 def group_by_datagram(sections: Sequence[bytes]) -> list[list[bytes]]:
-    """Distribute packed sections over as few datagrams as hold them in this order."""
+    """Distribute packed sections, in this order, over as few datagrams as possible."""
     groups: list[list[bytes]] = []
     free_bytes = 0
     for section in sections:
@@ -118,7 +118,7 @@
 
 
 def pack_digest(header: DigestHeader, sections: Sequence[bytes]) -> bytes:
-    """Encode a digest as a datagram from a header and sections that are packed already."""
+    """Encode a digest as a datagram, from a header and packed sections."""
     body = _DIGEST_BODY.pack(
         header.incarnation,
         header.sequence,
@@ -132,11 +132,11 @@
 
 
 def unpack(data: bytes) -> Hello | Digest:
-    """Decode one datagram. Raises DigestError where it is malformed, truncated or too long."""
+    """Decode one datagram. Raises DigestError if it is malformed, truncated or too long."""
     try:
         magic, version, kind = _HEADER.unpack_from(data)
         if (magic, version) != (_MAGIC, _VERSION):
-            raise DigestError("not of this protocol")
+            raise DigestError("unknown protocol or version")
         if kind == _KIND_HELLO and len(data) == _HEADER.size + _HELLO_BODY.size:
             return Hello(*_HELLO_BODY.unpack_from(data, _HEADER.size))
         if kind != _KIND_DIGEST:
@@ -162,12 +162,12 @@
 
 
 def _unpack_section(data: bytes, offset: int) -> tuple[Section, int]:
-    """Decode the section at an offset; returns it with the offset behind it."""
+    """Decode the section at an offset; return it with the offset after it."""
     fingerprint, member_count, flags = _SECTION_HEADER.unpack_from(data, offset)
     if not 0 < member_count <= MAX_VIEW_MEMBERS:
-        raise DigestError(f"a section of {member_count} machines, not of 1 to {MAX_VIEW_MEMBERS}")
+        raise DigestError(f"expected a section of 1 to {MAX_VIEW_MEMBERS} machines, got {member_count}")
     if flags & ~_FLAG_RECONNECTED:
-        raise DigestError(f"a section with unknown flags: {flags}")
+        raise DigestError(f"section with unknown flags: {flags}")
     offset += _SECTION_HEADER.size
     answered, offset = _unpack_bitmap(data, offset, member_count)
     reconnected = 0
@@ -177,7 +177,7 @@
 
 
 def _unpack_bitmap(data: bytes, offset: int, member_count: int) -> tuple[int, int]:
-    """Decode the bitmap at an offset; returns it with the offset behind it."""
+    """Decode the bitmap at an offset; return it with the offset after it."""
     end = offset + _bitmap_bytes(member_count)
     if end > len(data):
         raise DigestError("truncated")
--- a/kelpfront/failure_detection/log_events.py
+++ b/kelpfront/failure_detection/log_events.py
@@ -1,7 +1,7 @@
-"""What detectors and placers log of failure detection, as typed records.
+"""Typed log records of failure detection, for detectors and placers.
 
-A record's class names the event and its attributes are the fields of the log line. Writing the lines is left
-to the programs.
+The class of a record determines the event name; its attributes are the fields of the log line. The programs
+write the lines.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """One log line: its event and its fields."""
+    """Base class of log records: one log line with its event name and fields."""
 
     event: ClassVar[str]
 
@@ -26,10 +26,10 @@
     """Machines of a zone stopped answering a detector, or answer again.
 
     Attributes:
-        unresponsive: the first few names of those that stopped answering.
-        recovered: the first few names of those that answer again.
+        unresponsive: names of the first few machines that stopped answering.
+        recovered: names of the first few machines that answer again.
         zone_unresponsive_count: machines of the zone that do not answer now.
-        zone_machine_count: machines of the zone.
+        zone_machine_count: all machines of the zone.
     """
 
     event: ClassVar[str] = "zone availability changed"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectorDiscovered(LogEvent):
-    """The first digest of a configured failure detector arrived; `detector` is its position."""
+    """The first digest of a failure detector arrived; `detector` is its position in the configuration."""
 
     event: ClassVar[str] = "failure detector discovered"
     detector: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipDiverged(LogEvent):
-    """A failure detector's list of machines differs from this placer's in some zone."""
+    """A failure detector's list of machines differs from this placer's list in some zone."""
 
     event: ClassVar[str] = "failure detector membership differs"
     detector: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipConverged(LogEvent):
-    """A failure detector has this placer's list of machines again."""
+    """A failure detector has the same list of machines as this placer again."""
 
     event: ClassVar[str] = "failure detector membership agrees"
     detector: int
@@ -76,10 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineUnreachableFromHere(LogEvent):
-    """A machine answers failure detectors and not this placer, which now checks all of its zone.
+    """A machine answers failure detectors but not this placer, which now checks all machines of its zone.
 
     Attributes:
-        machine: the id in hexadecimal digits.
+        machine: the machine id in hexadecimal digits.
     """
 
     event: ClassVar[str] = "machine unreachable from this placer only"
@@ -89,6 +89,6 @@
 
 @dataclass(frozen=True, slots=True)
 class ReachabilityRestored(LogEvent):
-    """This placer reaches all machines again that failure detectors reach."""
+    """This placer again reaches all machines that failure detectors reach."""
 
     event: ClassVar[str] = "all observed machines reachable again"
--- a/kelpfront/failure_detection/membership.py
+++ b/kelpfront/failure_detection/membership.py
@@ -1,7 +1,7 @@
-"""Which machines each zone has, in an order on which all processes with the same list agree.
+"""The machines of each zone, in the same order in all processes that have the same endpoint list.
 
-A digest's bitmaps are positions in a membership view, and the fingerprint of a view tells whether sender and
-receiver mean the same machines. Where the list of machines comes from is left to the callers.
+The bits of a digest's bitmaps correspond to positions in a membership view. The fingerprint of a view shows
+whether sender and receiver refer to the same machines. Callers provide the list of machines.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from kelpfront.scheduling.events import MachineId
 
-MAX_VIEW_MEMBERS = 1_024  # machines; a larger zone has several views, so that a section fits a datagram
-MIN_RETAINED_VIEWS = 64  # views that are remembered by fingerprint: a detector's list may be behind
+MAX_VIEW_MEMBERS = 1_024  # a larger zone has several views, so that a section fits into a datagram
+MIN_RETAINED_VIEWS = 64  # views kept by fingerprint, because a detector's list may be older
 
-_FINGERPRINT_BYTES = 4  # as wide as the digest's field
+_FINGERPRINT_BYTES = 4  # the width of the field in a digest
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """Machines of one zone, ascending by id; of a large zone a part of them."""
+    """Machines of one zone, or a part of a large zone, in ascending order of their ids."""
 
     zone: int
     machines: tuple[MachineId, ...]
@@ -28,7 +28,7 @@
 
 
 def membership_views(zones: Mapping[int, Iterable[MachineId]]) -> list[MembershipView]:
-    """Return the views of all zones, ascending by zone."""
+    """Return the views of all zones, in ascending order of the zones."""
     views = []
     for zone in sorted(zones):
         ordered = sorted(zones[zone])
@@ -39,26 +39,26 @@
 
 
 def fingerprint_of(machines: tuple[MachineId, ...]) -> int:
-    """Return 32 bits that tell two membership views apart."""
+    """Return a 32-bit hash that identifies the machines of a membership view."""
     data = b"".join(machine.to_bytes(8) for machine in machines)
     return int.from_bytes(blake2b(data, digest_size=_FINGERPRINT_BYTES).digest())
 
 
 def bitmap_of(flags: Iterable[bool]) -> int:
-    """Return an integer whose lowest bit is the first flag."""
+    """Return the flags as an integer; the first flag is the lowest bit."""
     return sum(1 << position for position, flag in enumerate(flags) if flag)
 
 
 def members_in(bitmap: int, machines: tuple[MachineId, ...]) -> tuple[MachineId, ...]:
     """Return the machines whose bits are set."""
     all_are_set = bitmap.bit_count() == len(machines)
-    if all_are_set:  # the usual case by far
+    if all_are_set:  # the usual case
         return machines
     return tuple(machine for position, machine in enumerate(machines) if bitmap >> position & 1)
 
 
 class Membership:
-    """The views of the present endpoint list, and the former ones that a digest may still speak of."""
+    """The views of the current endpoint list, and earlier ones that a digest may still refer to."""
 
     def __init__(self) -> None:
         self.views: list[MembershipView] = []
@@ -69,7 +69,7 @@
         return machine in self._view_of
 
     def replace(self, zones: Mapping[int, Iterable[MachineId]]) -> None:
-        """Take the machines of an endpoint list, by zone; the latest former views are retained."""
+        """Replace the current machines, given by zone; the latest of the earlier views are retained."""
         self.views = membership_views(zones)
         for view in self.views:
             self._by_fingerprint.pop(view.fingerprint, None)
@@ -80,12 +80,12 @@
         self._view_of = {machine: view for view in self.views for machine in view.machines}
 
     def find(self, fingerprint: int, member_count: int) -> MembershipView | None:
-        """Return the present or former view that a digest means, or None where none is known."""
+        """Return the current or earlier view that a digest refers to, or None if it is unknown."""
         view = self._by_fingerprint.get(fingerprint)
         if view is None or len(view.machines) != member_count:
             return None
         return view
 
     def zone_of(self, machine: MachineId) -> int:
-        """Return the zone of a machine of the present list. Raises KeyError for any other."""
+        """Return the zone of a current machine. Raises KeyError for any other."""
         return self._view_of[machine].zone
--- a/kelpfront/failure_detection/monitored_machine.py
+++ b/kelpfront/failure_detection/monitored_machine.py
@@ -1,7 +1,4 @@
-"""What a failure detector knows of one machine.
-
-When machines are checked, and what follows from it, is left to `detector`.
-"""
+"""The state that a failure detector keeps for each machine. `detector` schedules and evaluates the checks."""
 
 from __future__ import annotations
 
@@ -13,11 +10,11 @@
 
 @dataclass(slots=True, eq=False)
 class MonitoredMachine:
-    """One machine of the detector's zones.
+    """One machine in the detector's zones.
 
     Attributes:
-        in_flight: when each check that awaits its answer was sent, by call id.
-        answered_check_sent_at: when the last check that was answered had been sent.
+        in_flight: when each unanswered check was sent, by call id.
+        answered_check_sent_at: when the last answered check was sent.
     """
 
     id: MachineId
@@ -30,5 +27,5 @@
     reconnected_at: float = -math.inf
 
     def answered_since(self, time: float) -> bool:
-        """Return whether the machine answered a check that was sent at a time or later."""
+        """Return whether the machine answered a check that was sent at this time or later."""
         return self.answered_check_sent_at >= time
--- a/kelpfront/failure_detection/path_checks.py
+++ b/kelpfront/failure_detection/path_checks.py
@@ -1,8 +1,8 @@
-"""Finds what failure detectors cannot see: a path to a machine that only this placer lacks.
+"""Detects failures that failure detectors cannot see: machines that only this placer cannot reach.
 
-Some machines are health-checked by the placer itself, whatever detectors say of them: in rotation those that
-run its tasks, those that are suspected, and all of a zone in which a suspicion was confirmed. The
-checks are made, and machines are given up, by the scheduler; this module only names whom to check.
+The placer health-checks some machines itself, regardless of the reports of detectors: in rotation those that
+run its tasks, those that are suspected, and all machines of a zone in which a suspicion was confirmed. This
+module only selects the machines. The scheduler makes the checks and declares machines as lost.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 from kelpfront.failure_detection.membership import Membership
 from kelpfront.scheduling.events import LivenessObserved, MachineId
 
-PATH_CHECK_INTERVAL_MS = 1_000.0  # between checks of any one machine that detectors see alive
-SUSPICION_THRESHOLD = 2  # missed checks in a row: the path may be gone, while one may be a lost message
-SUSPICION_TIMEOUT_MS = 6_000.0  # observations are some seconds old: a later one may still clear the machine
-ZONE_CHECK_INTERVAL_MS = 10_000.0  # between two checks of a whole zone
-RECHECK_INTERVAL_MS = 5_000.0  # between checks of a machine that only detectors reach, or that restarted
-OBSERVATION_TTL_MS = 4_000.0  # after that a machine is not alive by the word of detectors
+PATH_CHECK_INTERVAL_MS = 1_000.0  # between two checks in the rotation, of one machine each
+SUSPICION_THRESHOLD = 2  # consecutive missed checks; a single one may be a lost message
+SUSPICION_TIMEOUT_MS = 6_000.0  # observations arrive some seconds late, and a later one may clear the machine
+ZONE_CHECK_INTERVAL_MS = 10_000.0  # between two checks of all machines of a zone
+RECHECK_INTERVAL_MS = 5_000.0  # between two checks of a machine that only detectors reach, or that restarted
+OBSERVATION_TTL_MS = 4_000.0  # an older observation by detectors is no evidence that a machine is alive
 
 
 def request_checks(machines: tuple[MachineId, ...]) -> LivenessObserved:
-    """Return the event that has the scheduler check machines and that dates no observation."""
+    """Return an event that makes the scheduler check machines and carries no observation."""
     return LivenessObserved(machines, -math.inf, check_anyway=True)
 
 
 class PathChecks:
-    """Machines whose paths from this placer are to be checked, for one incarnation of the placer."""
+    """Selects the machines whose paths from this placer are to be checked, for one incarnation of it."""
 
     def __init__(
         self,
@@ -43,24 +43,24 @@
         self._counters = counters
         self._log_events = log_events
         self._consecutive_missed: dict[MachineId, int] = {}
-        self._suspected_since: dict[MachineId, float] = {}  # dead, or unreachable from here
-        self._recheck_at: dict[MachineId, float] = {}  # those that detectors reach and this placer does not
+        self._suspected_since: dict[MachineId, float] = {}  # lost, or unreachable from here
+        self._recheck_at: dict[MachineId, float] = {}  # reached by detectors only
         self._zone_checked_at: dict[int, float] = {}
-        self._position = 0  # in the rotation through all machines
+        self._position = 0  # of the rotation through all machines
 
     def forget_removed(self) -> None:
-        """Drop what is known of machines that are no longer members."""
-        by_machine: tuple[dict[MachineId, int] | dict[MachineId, float], ...] = (
+        """Discard the state of machines that are no longer members."""
+        states_by_machine: tuple[dict[MachineId, int] | dict[MachineId, float], ...] = (
             self._consecutive_missed,
             self._suspected_since,
             self._recheck_at,
         )
-        for known in by_machine:
-            for machine in [machine for machine in known if machine not in self._membership]:
-                del known[machine]
+        for state_by_machine in states_by_machine:
+            for machine in [machine for machine in state_by_machine if machine not in self._membership]:
+                del state_by_machine[machine]
 
     def record_health_check(self, now: float, machine: MachineId, *, missed: bool) -> None:
-        """Apply the outcome of one of the placer's own health checks."""
+        """Apply the result of one of the placer's own health checks."""
         if not missed:
             self._record_answer(machine)
         elif machine in self._membership:
@@ -80,9 +80,9 @@
             self._suspected_since.setdefault(machine, now)
 
     def due(self, now: float, runs_tasks: Callable[[MachineId], bool]) -> list[LivenessObserved]:
-        """Return the checks to be made; to be called every PATH_CHECK_INTERVAL_MS.
+        """Return requests for the checks that are due. Must be called every PATH_CHECK_INTERVAL_MS.
 
-        `runs_tasks` says whether the placer has tasks on a machine.
+        `runs_tasks` returns whether the placer has tasks on a machine.
         """
         requests = self._confirm_suspicions(now)
         machines = self._rechecks_due(now, runs_tasks)
@@ -95,7 +95,7 @@
         return requests
 
     def _confirm_suspicions(self, now: float) -> list[LivenessObserved]:
-        """Find the suspected machines that detectors saw alive since; forget those that time out."""
+        """Confirm suspected machines that detectors have seen alive since; drop suspicions that time out."""
         requests = []
         for machine, since in list(self._suspected_since.items()):
             if self._last_observed_at(machine) >= since:
@@ -106,7 +106,7 @@
         return requests
 
     def _confirm_unreachable(self, now: float, machine: MachineId) -> list[LivenessObserved]:
-        """Recheck a machine that only detectors reach, and its zone: all of it may be unreachable."""
+        """Recheck a machine that only detectors reach, and its zone, since all of it may be unreachable."""
         del self._suspected_since[machine]
         self._recheck_at[machine] = now + RECHECK_INTERVAL_MS
         self._counters.unreachable_from_here += 1
@@ -119,20 +119,26 @@
         return [request_checks(view.machines) for view in self._membership.views if view.zone == zone]
 
     def _rechecks_due(self, now: float, runs_tasks: Callable[[MachineId], bool]) -> list[MachineId]:
-        """Return the unreachable machines whose next check is due; others are left to the scheduler."""
+        """Return the unreachable machines whose next check is due.
+
+        Those without tasks, and those that detectors no longer reach, are dropped: the scheduler checks them.
+        """
         due = []
-        for machine, at in list(self._recheck_at.items()):
+        for machine, recheck_at in list(self._recheck_at.items()):
             is_observed = now - self._last_observed_at(machine) <= OBSERVATION_TTL_MS
             if not runs_tasks(machine) or not is_observed:
                 del self._recheck_at[machine]
                 self._consecutive_missed.pop(machine, None)
-            elif now >= at:
+            elif now >= recheck_at:
                 self._recheck_at[machine] = now + RECHECK_INTERVAL_MS
                 due.append(machine)
         return due
 
     def _next_in_rotation(self, runs_tasks: Callable[[MachineId], bool]) -> MachineId | None:
-        """Return the next machine that runs tasks: the first of each view, then the second of each."""
+        """Return the next machine that runs tasks.
+
+        The rotation takes the first machine of each view, then the second machine of each, and so on.
+        """
         views = self._membership.views
         if not views:
             return None
--- a/kelpfront/failure_detection/subscribers.py
+++ b/kelpfront/failure_detection/subscribers.py
@@ -1,7 +1,7 @@
-"""The placers that a failure detector sends digests to: who subscribed, and for how long.
+"""The placers that are subscribed to the digests of a failure detector.
 
-The number of subscribers is bounded and a subscription expires; a placer that is not subscribed checks
-machines by itself.
+The number of subscribers is bounded, and subscriptions expire. A placer without a subscription checks
+machines itself.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 PlacerAddress = tuple[str, int]
 """Address and port from which a placer sends hellos and at which it receives digests."""
 
-MAX_SUBSCRIBERS = 1_024  # further placers check machines by themselves
-SUBSCRIPTION_TTL_MS = 10_000.0  # without a hello
+MAX_SUBSCRIBERS = 1_024  # further placers check machines themselves
+SUBSCRIPTION_TTL_MS = 10_000.0  # since the last hello
 
 
 @dataclass(frozen=True, slots=True)
 class Subscriber:
-    """The last hello of a placer and when it arrived, on the detector's clock."""
+    """The last hello of a placer and its arrival time on the detector's clock."""
 
     hello: Hello
     received_at: float
 
 
 class Subscribers:
-    """The present subscribers by address."""
+    """The current subscribers by address."""
 
     def __init__(self) -> None:
         self._by_address: dict[PlacerAddress, Subscriber] = {}
@@ -39,13 +39,13 @@
         return iter(self._by_address.items())
 
     def receive(self, now: float, address: PlacerAddress, hello: Hello) -> bool:
-        """Subscribe a placer, or renew its subscription. Returns False where there is no capacity."""
-        known = self._by_address.get(address)
-        if known is None and len(self._by_address) >= MAX_SUBSCRIBERS:
+        """Subscribe a placer or renew its subscription. Return False if there are too many subscribers."""
+        current = self._by_address.get(address)
+        if current is None and len(self._by_address) >= MAX_SUBSCRIBERS:
             return False
-        is_same_incarnation = known is not None and known.hello.incarnation == hello.incarnation
-        if known is not None and is_same_incarnation and hello.sent_at_ms <= known.hello.sent_at_ms:
-            return True  # a duplicate, or overtaken by a later hello
+        is_same_incarnation = current is not None and current.hello.incarnation == hello.incarnation
+        if current is not None and is_same_incarnation and hello.sent_at_ms <= current.hello.sent_at_ms:
+            return True  # a duplicate, or an older hello that arrived late
         self._by_address[address] = Subscriber(hello, now)
         return True
 
--- a/kelpfront/failure_detection/view.py
+++ b/kelpfront/failure_detection/view.py
@@ -1,8 +1,8 @@
-"""A placer's view of which machines failure detectors see alive, and as of when.
+"""A placer's view of which machines failure detectors have seen alive, and when.
 
-The view accepts digests and turns them into events for the scheduler, which alone decides what is lost; paths
-that only this placer lacks are found by `path_checks`. Times are milliseconds on the placer's clock; a
-detector's clock is not known and need not be (`clock_offset`).
+The view accepts digests and converts them into events for the scheduler, which alone decides which machines
+are lost. `path_checks` finds machines that only this placer cannot reach. Times are milliseconds on the
+placer's clock; the clocks of detectors need not be synchronized with it (`clock_offset`).
 """
 
 from __future__ import annotations
@@ -24,16 +24,17 @@
 from kelpfront.failure_detection.path_checks import RECHECK_INTERVAL_MS, PathChecks, request_checks
 from kelpfront.scheduling.events import LivenessObserved, MachineId
 
-HELLO_INTERVAL_MS = 1_000.0  # between hellos to a detector: each dates observations anew
+HELLO_INTERVAL_MS = 1_000.0  # between two hellos to a detector; each one updates the clock offset
 
-# By how much earlier the thirds of a membership view count as observed. Where digests stop, a placer that
-# checked all machines at once would be late with everything else. The least is for a busy placer's own
-# delays: without it, some of what 550 machines ran was released 8.2 s after their end, and 8 are allowed.
+# How much earlier each third of a membership view counts as observed. When digests stop, the placer thus does
+# not check all machines at once, which would delay all its other work. The smallest value allows for the
+# delays of a busy placer: without it, some tasks of 550 machines were released 8.2 s after the machines
+# failed, and the limit is 8 s.
 STAGGER_MS = (600.0, 1_000.0, 1_400.0)
 
 
 class _DetectorState:
-    """What is known of the present incarnation of one detector."""
+    """The state that a view keeps for the current incarnation of one detector."""
 
     def __init__(self, incarnation: int | None, last_observed: dict[MachineId, float]) -> None:
         self.incarnation = incarnation
@@ -44,23 +45,23 @@
         self.membership_differs = False
 
     def is_outdated(self, digest: Digest) -> bool:
-        """Return whether a digest is a duplicate, or was overtaken by a later one."""
+        """Return whether a digest is a duplicate or arrived after a later one."""
         if digest.incarnation == self.incarnation:
             return digest.sequence <= self.last_sequence
-        # A new incarnation has received a later hello than any former one.
+        # A new incarnation has received a later hello than any earlier incarnation.
         return digest.hello.sent_at_ms <= self.last_hello_sent_at
 
     def advance(self, digest: Digest) -> None:
-        """Remember how far the digests have come."""
+        """Record the position of a digest that is accepted."""
         self.last_sequence = digest.sequence
         self.last_hello_sent_at = max(self.last_hello_sent_at, digest.hello.sent_at_ms)
 
 
 class LivenessView:
-    """What all detectors say of all machines, for one incarnation of a placer.
+    """The observations of all detectors about all machines, for one incarnation of a placer.
 
-    Detectors are known by their position in the configuration. `log_events` is emptied by whoever writes the
-    log.
+    Detectors are identified by their position in the configuration. The caller writes `log_events` to the log
+    and clears the list.
     """
 
     def __init__(self, incarnation: int, detector_count: int) -> None:
@@ -75,20 +76,20 @@
         )
 
     def hello(self, now: float) -> Hello:
-        """Return what every detector is to be sent every HELLO_INTERVAL_MS."""
+        """Return the hello that must be sent to every detector every HELLO_INTERVAL_MS."""
         return Hello(self._incarnation, math.floor(now))
 
     def apply_endpoint_list(self, zones: Mapping[int, Iterable[MachineId]]) -> None:
-        """Take the machines that there are, by zone, and forget all others."""
+        """Replace the known machines, given by zone, and discard the state of all others."""
         self._membership.replace(zones)
         self._path_checks.forget_removed()
         last_observed = [detector.last_observed for detector in self._detectors]
-        for known in (self._restart_checked_at, *last_observed):
-            for machine in [machine for machine in known if machine not in self._membership]:
-                del known[machine]
+        for times_by_machine in (self._restart_checked_at, *last_observed):
+            for machine in [machine for machine in times_by_machine if machine not in self._membership]:
+                del times_by_machine[machine]
 
     def receive(self, now: float, detector_index: int, data: bytes) -> list[LivenessObserved]:
-        """Apply a datagram from the address of a detector; one that is no current digest changes nothing."""
+        """Apply a datagram from a detector's address. It is ignored unless it is a current digest."""
         digest = self._decode(now, data)
         if digest is None:
             return []
@@ -103,16 +104,19 @@
         return self._apply(now, detector_index, digest)
 
     def last_observed_at(self, machine: MachineId) -> float:
-        """Return when any detector last saw a machine alive; minus infinity where none ever did."""
+        """Return when any detector last saw a machine alive, or minus infinity if none ever did."""
         times = (detector.last_observed.get(machine, -math.inf) for detector in self._detectors)
         return max(times, default=-math.inf)
 
     def record_health_check(self, now: float, machine: MachineId, *, missed: bool) -> None:
-        """Apply the outcome of one of the placer's own health checks."""
+        """Apply the result of one of the placer's own health checks."""
         self._path_checks.record_health_check(now, machine, missed=missed)
 
     def checks_due(self, now: float, runs_tasks: Callable[[MachineId], bool]) -> list[LivenessObserved]:
-        """Return which machines to check whatever detectors say; called every PATH_CHECK_INTERVAL_MS."""
+        """Return requests for checks that are due regardless of the reports of detectors.
+
+        Must be called every PATH_CHECK_INTERVAL_MS.
+        """
         return self._path_checks.due(now, runs_tasks)
 
     def _decode(self, now: float, data: bytes) -> Digest | None:
@@ -133,7 +137,7 @@
         return digest
 
     def _replace_incarnation(self, detector_index: int, incarnation: int) -> _DetectorState:
-        """Start over with a new incarnation; what the former one observed still holds."""
+        """Start with a new incarnation of a detector; observations of the former one remain valid."""
         former = self._detectors[detector_index]
         is_first = former.incarnation is None
         event = DetectorDiscovered(detector_index) if is_first else DetectorRestarted(detector_index)
@@ -143,7 +147,7 @@
 
     def _apply(self, now: float, detector_index: int, digest: Digest) -> list[LivenessObserved]:
         detector = self._detectors[detector_index]
-        observed_at = detector.clock_offset.date(now, digest)
+        observed_at = detector.clock_offset.convert_checked_since(now, digest)
         observations: list[LivenessObserved] = []
         differs = False
         for section in digest.sections:
@@ -158,12 +162,12 @@
             observations += self._restart_checks(now, view, section)
         if differs != detector.membership_differs:
             detector.membership_differs = differs
-            changed = MembershipDiverged(detector_index) if differs else MembershipConverged(detector_index)
-            self.log_events.append(changed)
+            event = MembershipDiverged(detector_index) if differs else MembershipConverged(detector_index)
+            self.log_events.append(event)
         return observations
 
     def _restart_checks(self, now: float, view: MembershipView, section: Section) -> list[LivenessObserved]:
-        """Request checks of machines that may have restarted between two checks of a detector."""
+        """Request checks of machines that may have restarted between two checks by a detector."""
         if not section.reconnected:
             return []
         due = []
@@ -179,7 +183,7 @@
 
 
 def _staggered(machines: tuple[MachineId, ...], observed_at: float) -> list[LivenessObserved]:
-    """Return the observation in parts, each dated earlier by its stagger."""
+    """Split an observation into parts, each of which is dated earlier by its stagger."""
     observations = []
     for part, stagger_ms in enumerate(STAGGER_MS):
         members = machines[part :: len(STAGGER_MS)]
--- a/kelpfront/failure_detector/__init__.py
+++ b/kelpfront/failure_detector/__init__.py
@@ -1,5 +1,6 @@
-"""The failure detector as a program: it health-checks machines and sends placers digests of the outcome.
+"""The failure detector program: health-checks machines and sends digests of the results to placers.
 
-What is decided is in `kelpfront.failure_detection`; here are its configuration, its sockets and its tasks. It
-follows the coordinator's endpoint list as placers do, by the modules of `kelpfront.platform`.
+The decisions are made in `kelpfront.failure_detection`. This package holds the configuration, the sockets and
+the asyncio tasks. The program follows the coordinator's endpoint list in the same way as placers do, with
+modules of `kelpfront.platform`.
 """
--- a/kelpfront/failure_detector/__main__.py
+++ b/kelpfront/failure_detector/__main__.py
@@ -1,6 +1,6 @@
 """`python -m kelpfront.failure_detector FILE` runs one failure detector until SIGTERM.
 
-Ends with 0 on SIGTERM, and with 2 and a line on standard error where the file or the port cannot be used.
+Exits with 0 on SIGTERM, and with 2 and a line on standard error if the file or the port cannot be used.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 
 EXIT_OK = 0
-EXIT_UNUSABLE = 2  # the arguments, the file or the port
-_INCARNATION_BYTES = 8  # as wide as the digest's field
+EXIT_UNUSABLE = 2  # the arguments, the file or the port cannot be used
+_INCARNATION_BYTES = 8  # the width of the field in a digest
 
 
 def main(program: str = "kelpfront.failure_detector") -> int:
-    """Run one failure detector; `program` is the name under which it was started, for messages."""
+    """Run one failure detector; `program` is the module name shown in messages."""
     if len(sys.argv) != 2:
         print(f"usage: python -m {program} FILE", file=sys.stderr)
         return EXIT_UNUSABLE
@@ -45,14 +45,14 @@
 
 
 def _read_config(path: Path) -> FailureDetectorConfig:
-    """Read the file, and check the endpoint list in it before anything is started."""
+    """Read the file and validate its endpoint list before anything is started."""
     config = read_detector_config(path)
     parse_events(config.platform.known, config.platform)
     return config
 
 
 def _raise_descriptor_limit() -> None:
-    """Allow as many descriptors as the system does: each machine takes one."""
+    """Raise the limit of file descriptors to the hard limit: each machine needs one."""
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
--- a/kelpfront/failure_detector/config.py
+++ b/kelpfront/failure_detector/config.py
@@ -1,7 +1,7 @@
-"""A failure detector's configuration: a placer's file that has a table `watch`.
+"""Reads the configuration of a failure detector: a placer's configuration file with a table `watch`.
 
-The keys are the operators' and keep their names; errors name the key, its value and what is allowed. All
-other tables are read by `kelpfront.platform.config`.
+Errors name the key, its value and the allowed values. All other tables are read by
+`kelpfront.platform.config`.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from kelpfront.platform.config import Address, Config, ConfigError, config_of, datagram_address, read_json
 
 MIN_CHECK_INTERVAL_MS = 100.0
-MAX_CHECK_INTERVAL_MS = 1_000.0  # placers check machines themselves once observations are some seconds old
+MAX_CHECK_INTERVAL_MS = 1_000.0  # placers check machines themselves when observations are some seconds old
 
 
 @dataclass(frozen=True, slots=True)
 class FailureDetectorConfig:
-    """What a failure detector is started with.
+    """The configuration of a failure detector.
 
     Attributes:
-        platform: the tables that placers have too.
-        listen: where placers' datagrams arrive.
-        zones: positions in the settings' zones of those whose machines are checked.
-        check_interval_ms: between two checks of a machine.
+        platform: the tables that placers' files have too.
+        listen: the address at which placers' datagrams arrive.
+        zones: the zones whose machines are checked, as positions in the zones of the settings.
+        check_interval_ms: the interval between two checks of a machine.
     """
 
     platform: Config
@@ -35,16 +35,16 @@
 
 
 def read_detector_config(path: Path) -> FailureDetectorConfig:
-    """Read the file at `path`. Raises ConfigError where it cannot be used."""
+    """Read the file at `path`. Raises ConfigError if it is invalid."""
     return read_json(path, parse_detector_config)
 
 
 def parse_detector_config(raw: Any) -> FailureDetectorConfig:
-    """Check a decoded file. Raises ConfigError where it cannot be used."""
+    """Validate a decoded file. Raises ConfigError if it is invalid."""
     platform = config_of(raw)
     table = raw.get("watch")
     if not isinstance(table, dict):
-        raise ConfigError(f"watch: a JSON object is wanted, not {table!r}")
+        raise ConfigError(f"watch: expected a JSON object, got {table!r}")
     zones = _zones(table, platform.zones)
     check_interval_ms = _check_interval_ms(table)
     listen = datagram_address(table.get("listen"), "watch: listen")
@@ -55,7 +55,7 @@
     names = table.get("zones", list(known))
     is_valid = isinstance(names, list) and names and all(name in known for name in names)
     if not is_valid:
-        raise ConfigError(f"watch: zones: a list of some of {', '.join(known)} is wanted, not {names!r}")
+        raise ConfigError(f"watch: zones: expected a list of some of {', '.join(known)}, got {names!r}")
     return frozenset(known.index(name) for name in names)
 
 
@@ -64,5 +64,5 @@
     is_number = isinstance(interval, int | float) and not isinstance(interval, bool)
     if not is_number or not MIN_CHECK_INTERVAL_MS <= interval <= MAX_CHECK_INTERVAL_MS:
         allowed = f"from {MIN_CHECK_INTERVAL_MS:g} to {MAX_CHECK_INTERVAL_MS:g}"
-        raise ConfigError(f"watch: test_ms: a number {allowed} is wanted, not {interval!r}")
+        raise ConfigError(f"watch: test_ms: expected a number {allowed}, got {interval!r}")
     return float(interval)
--- a/kelpfront/failure_detector/connections.py
+++ b/kelpfront/failure_detector/connections.py
@@ -1,7 +1,7 @@
-"""The failure detector's connections to machines, over which health checks go out and answers come in.
+"""The failure detector's connections to machines, which carry health checks and their answers.
 
-When a machine is checked, and what an answer means, is left to the detector's core. A connection is made when
-a check is due and there is none.
+The detector's core decides when a machine is checked and evaluates the answers. A connection is made when a
+check is due and there is none.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 _CHECK_OP = "test"
 _ANSWER_OP = "tested"
-_CHECK_REASON = 0  # the message's field `why` has no meaning in a check
+_CHECK_REASON = 0  # the field `why` of the message has no meaning in a health check
 
 
 class MachineConnection(asyncio.Protocol):
-    """The connection to one machine at one address. Its dialing task belongs to MachineConnections."""
+    """The connection to one machine at one address. MachineConnections owns the task that connects."""
 
     def __init__(self, machine: MachineId, address: Address, owner: MachineConnections) -> None:
         self.address = address
@@ -30,15 +30,15 @@
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._lines = LineSplitter()
-        self._dialing: asyncio.Task[None] | None = None
+        self._connect_task: asyncio.Task[None] | None = None
 
     def check(self, *, reconnect: bool) -> None:
-        """Send a health check, once a connection is up."""
+        """Send a health check, after connecting if there is no connection."""
         if reconnect:
             self._abort()
         if self._transport is None:
-            if self._dialing is None:
-                self._dialing = self._owner.start(self._dial())
+            if self._connect_task is None:
+                self._connect_task = self._owner.start_task(self._connect())
             return
         is_congested = self._transport.get_write_buffer_size() > 0
         if is_congested:
@@ -47,20 +47,20 @@
             self._send_check()
 
     def close(self) -> None:
-        """Close the connection and cancel a dialing in progress; MachineConnections awaits its end."""
-        if self._dialing is not None:
-            self._dialing.cancel()
+        """Close the connection and cancel a connect in progress; MachineConnections awaits its end."""
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         self._abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection that came up."""
+        """Use the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._lines = LineSplitter()
         self._owner.detector.record_connection(self._owner.now(), self._machine)
 
     def data_received(self, data: bytes) -> None:
-        """Apply the answers that came in; a machine that breaks the protocol is disconnected."""
+        """Apply received answers; a machine that violates the protocol is disconnected."""
         try:
             for line in self._lines.feed(data):
                 message = messages.decode(line)
@@ -70,10 +70,10 @@
             self._abort()
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Forget the connection; the next check makes another."""
+        """Drop the connection; the next check makes a new one."""
         self._transport = None
 
-    async def _dial(self) -> None:
+    async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(self._owner.connect_timeout_s):
@@ -82,7 +82,7 @@
         except (OSError, TimeoutError):
             self._owner.detector.record_unsent_check(self._machine)
         finally:
-            self._dialing = None
+            self._connect_task = None
 
     def _send_check(self) -> None:
         call_id = self._owner.detector.begin_check(self._owner.now(), self._machine)
@@ -96,7 +96,7 @@
 
 
 class MachineConnections:
-    """All connections to machines, and the tasks that dial them."""
+    """All connections to machines, and the tasks that establish them."""
 
     def __init__(self, detector: FailureDetector, now: Callable[[], float], connect_timeout_s: float) -> None:
         self.detector = detector
@@ -123,8 +123,8 @@
         if connection is not None:
             connection.close()
 
-    def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task that `close` cancels and awaits if it is running then."""
+    def start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Start a task; `close` cancels and awaits it if it is still running."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/kelpfront/failure_detector/service.py
+++ b/kelpfront/failure_detector/service.py
@@ -1,7 +1,7 @@
-"""The tasks and the datagram socket of a failure detector, around the core that decides what they do.
+"""The service of a failure detector: runs the core with asyncio tasks and a datagram socket.
 
-The service follows the coordinator's endpoint list, drives the health checks, sends digests and writes the
-log. Connections to machines are in `connections`.
+The service follows the coordinator's endpoint list, starts the health checks that the core requests, sends
+digests and writes the log. Connections to machines are in `connections`.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
 
 log = structlog.get_logger("kelpfront.failure_detector")
 
-COUNTERS_INTERVAL_S = 5.0  # between two log lines of counters
+COUNTERS_INTERVAL_S = 5.0  # between two log lines with counters
 
 
 class FailureDetectorService(asyncio.DatagramProtocol):
-    """One failure detector. `incarnation` must differ for each start."""
+    """One failure detector. `incarnation` must be different for coroutine start."""
 
     def __init__(self, config: FailureDetectorConfig, incarnation: int) -> None:
         self._config = config
         self._clock = CommonClock()
         self.detector = FailureDetector(incarnation, config.check_interval_ms)
-        self._fleet = EndpointTable()
+        self._endpoint_table = EndpointTable()
         connect_timeout_ms = config.platform.settings.connect_timeout_ms or POLL_CONNECT_MS
         self._connections = MachineConnections(self.detector, self._clock.now, connect_timeout_ms / 1000.0)
-        self._follower = DiscoveryClient(
+        self._discovery_client = DiscoveryClient(
             config.platform.coordinator,
-            lambda: self._fleet.poll_index,
+            lambda: self._endpoint_table.poll_index,
             self._apply_endpoint_list,
             random.Random(incarnation),
             connect_timeout_ms,
@@ -56,7 +56,7 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def run(self) -> None:
-        """Run until SIGTERM. Raises OSError where the port cannot be had."""
+        """Run until SIGTERM. Raises OSError if the port cannot be bound."""
         loop = asyncio.get_running_loop()
         stopping = asyncio.Event()
         loop.add_signal_handler(signal.SIGTERM, stopping.set)
@@ -72,29 +72,29 @@
 
     @asynccontextmanager
     async def _sockets(self, listen: Address) -> AsyncIterator[None]:
-        """Hold the datagram socket, the coordinator's connection and those to machines."""
+        """Open the datagram socket and connect to the coordinator; close all connections at the end."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=(listen.host, listen.port)
         )
-        self._follower.start()
+        self._discovery_client.start()
         try:
             yield
         finally:
-            self._follower.stop()
+            self._discovery_client.stop()
             self._transport.close()
             await self._connections.close()
 
     async def _run_tasks(self, stopping: asyncio.Event) -> None:
-        """Run the service's tasks until it is to stop. An error of any of them ends the service."""
+        """Run the service's tasks until `stopping` is set. An error in any of them stops the service."""
         loop = asyncio.get_running_loop()
-        work = (self._check_machines(), self._send_digests(), self._log_counters())
-        tasks = [loop.create_task(each) for each in work]
+        coroutines = (self._check_machines(), self._send_digests(), self._log_counters())
+        tasks = [loop.create_task(coroutine) for coroutine in coroutines]
         stopped = loop.create_task(_wait_for(stopping))
         try:
             await asyncio.wait([*tasks, stopped], return_when=asyncio.FIRST_COMPLETED)
             for task in tasks:
-                if task.done():  # only by an error, which `result` raises
+                if task.done():  # a task ends only with an error, which `result` raises
                     task.result()
         finally:
             await _cancel_all([*tasks, stopped])
@@ -102,20 +102,20 @@
     # ---- The endpoint list ----------------------------------------------------------------------------
 
     def _apply_endpoint_list(self, raw: Any) -> None:
-        """Take an answer of the coordinator. Raises InvalidEventError where it is malformed."""
-        generation = self._fleet.generation
+        """Apply an answer of the coordinator. Raises InvalidEventError if it is malformed."""
+        generation = self._endpoint_table.generation
         index, events = parse_events(raw, self._config.platform)
-        for change in self._fleet.apply(index, events):
+        for change in self._endpoint_table.apply(index, events):
             for machine in change.removed:
-                self._fleet.machines.pop(machine.id, None)
-        if self._fleet.generation != generation:
+                self._endpoint_table.machines.pop(machine.id, None)
+        if self._endpoint_table.generation != generation:
             self._monitor_machines()
 
     def _monitor_machines(self) -> None:
-        machines = self._fleet.machines
+        machines = self._endpoint_table.machines
         zones = {
             zone: [ListedMachine(machine_id, machines[machine_id].name) for machine_id in members]
-            for zone, members in self._fleet.machines_by_zone().items()
+            for zone, members in self._endpoint_table.machines_by_zone().items()
             if zone in self._config.zones
         }
         for removed in self.detector.apply_endpoint_list(self._clock.now(), zones):
@@ -126,7 +126,7 @@
     async def _check_machines(self) -> None:
         while True:
             for check in self.detector.checks_due(self._clock.now()):
-                self._connections.check(check, self._fleet.machines[check.machine].address)
+                self._connections.check(check, self._endpoint_table.machines[check.machine].address)
             await asyncio.sleep(CHECK_TICK_MS / 1000.0)
 
     async def _send_digests(self) -> None:
@@ -152,7 +152,7 @@
     # ---- Placers' datagrams ---------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Subscribe the placer whose hello came in."""
+        """Subscribe the placer if the datagram is a hello."""
         try:
             hello = unpack(data)
         except DigestError:
@@ -162,7 +162,7 @@
             self.detector.receive_hello(self._clock.now(), addr, hello)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that a placer does not listen any more: its subscription expires in some seconds."""
+        """Ignore that a placer no longer listens: its subscription expires after some seconds."""
 
 
 async def _wait_for(event: asyncio.Event) -> None:
--- a/tests/failure_detection/test_detection_in_virtual_time.py
+++ b/tests/failure_detection/test_detection_in_virtual_time.py
@@ -1,6 +1,6 @@
-"""Failure detectors, placers and machines in virtual time, with faults between them.
+"""Failure detectors, placers and machines in virtual time, with faults injected between them.
 
-No observation is dated later than the truth, and no machine that lives and can be reached is given up.
+No observation is dated later than the true time, and no live, reachable machine is declared lost.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from kelpfront.scheduling.events import LivenessObserved
 
 TWO_DETECTORS = (ALL_ZONES, ALL_ZONES)
-RELEASE_LIMIT_MS = 8_000.0  # from the end of a task to world release, where no machine reports it
+RELEASE_LIMIT_MS = 8_000.0  # from a machine's failure to the release of its tasks by the placer
 
 
 def settled_world(detector_zones: tuple[tuple[int, ...], ...] = TWO_DETECTORS, placers: int = 2) -> World:
-    """Some seconds old: each placer runs a task on each of 40 machines, and receives digests."""
+    """A world after some seconds: each placer runs a task on each of 40 machines and receives digests."""
     world = World(40, placers, 40, detector_zones)
     world.run(7_000.0)
     world.forget()
@@ -37,12 +37,12 @@
 
 
 def max_own_checks(world: World) -> int:
-    """Health checks of the placer that made the most, since counts were reset."""
+    """The largest number of health checks that one placer made since counts were reset."""
     return max(placer.counts["tests"] for placer in world.placers)
 
 
 def assert_lost_in_time(world: World, *workers: Worker) -> None:
-    """Machines that vanish are given up by each placer within the limit, and no others are."""
+    """Assert that each placer declares vanished machines lost within the limit, and no others."""
     world.vanish(*workers)
     world.run(RELEASE_LIMIT_MS)
     assert world.left(*workers) == 0
@@ -52,8 +52,8 @@
     assert world.newer_than_true == []
 
 
-def all_recovered(change: ZoneAvailabilityChanged) -> bool:
-    """Whether machines of the large zone answer again and all of it does."""
+def zone_recovered(change: ZoneAvailabilityChanged) -> bool:
+    """Whether machines of the large zone recovered and all of its machines answer now."""
     return (
         change.recovered_count > 0
         and change.zone_unresponsive_count == 0
@@ -61,17 +61,19 @@
     )
 
 
-# ---- All orders and losses --------------------------------------------------------------------------------
+# ---- Lost and reordered datagrams -------------------------------------------------------------------------
 
 
 @settings(max_examples=25)
 @given(st.integers(0, 2**32), st.sampled_from([0.0, 0.3, 0.7]), st.sampled_from([0.0, 2_000.0, 9_000.0]))
-def test_no_observation_is_newer_than_the_truth_and_no_live_machine_is_given_up(
-    seed: int, loss: float, late: float
+def test_no_observation_is_dated_too_late_and_no_live_machine_is_declared_lost(
+    seed: int, loss: float, max_delay_ms: float
 ) -> None:
-    """Datagrams are lost, duplicated, late, reordered; processes are suspended; machines come and go."""
+    """Datagrams are lost, duplicated, delayed, reordered; processes are suspended; machines fail and recover."""
     world = World(12, 2, 12, TWO_DETECTORS, seed)
-    world.datagrams = lambda rng: [rng.uniform(0.5, 0.5 + late) for _ in range(2) if rng.random() >= loss]
+    world.datagrams = lambda rng: [
+        rng.uniform(0.5, 0.5 + max_delay_ms) for _ in range(2) if rng.random() >= loss
+    ]
     rng = random.Random(seed)
     workers = list(world.workers.values())
     stable, unstable = workers[:8], workers[8:]
@@ -89,20 +91,20 @@
 # ---- With failure detectors, and without ------------------------------------------------------------------
 
 
-def test_with_detectors_a_placer_checks_one_machine_a_second_and_finds_losses_as_soon() -> None:
+def test_with_detectors_a_placer_checks_one_machine_a_second_and_detects_losses_in_time() -> None:
     before, after = settled_world(()), settled_world()
     for world in (before, after):
         world.run(20_000.0)
         assert world.false_alarms() == []
-    assert before.spending(20.0)["tests_a_s"] == 8.0  # 40, each every 5 s
+    assert before.spending(20.0)["tests_a_s"] == 8.0  # 40 machines, each every 5 s
     assert after.spending(20.0)["tests_a_s"] <= 1.1
     for world in (before, after):
         assert_lost_in_time(world, world.zone(1)[0])
         assert_lost_in_time(world, *world.zone(2))
 
 
-def test_machines_that_vanish_are_given_up_a_second_before_the_limit() -> None:
-    """A placer among many on a busy host is itself late by some tenths of a second."""
+def test_vanished_machines_are_declared_lost_a_second_before_the_limit() -> None:
+    """The margin of a second is for placers on a busy host, which are delayed by some tenths of a second."""
     for seed in range(1, 13):
         world = World(40, 1, 40, TWO_DETECTORS, seed)
         world.run(7_000.0 + 137.0 * seed)
@@ -111,7 +113,7 @@
         assert max(world.known_after(*vanished)) <= RELEASE_LIMIT_MS - 1_000.0
 
 
-def test_a_zone_that_is_unresponsive_for_a_moment_loses_no_task() -> None:
+def test_a_zone_that_is_unresponsive_for_3_5_seconds_loses_no_task() -> None:
     world = World(4 * 157, 2, 4 * 157, TWO_DETECTORS)
     world.run(7_000.0)
     world.vanish(*world.zone(1))
@@ -125,14 +127,14 @@
         changes = [event for event in events if isinstance(event, ZoneAvailabilityChanged)]
         assert len(changes) == len(events)
         assert {change.zone for change in changes} <= {1}
-        assert any(all_recovered(change) for change in changes)
-        assert len(changes) <= 6  # not one for each machine
+        assert any(zone_recovered(change) for change in changes)
+        assert len(changes) <= 6  # not one event for each machine
 
 
 # ---- Faults of detectors ----------------------------------------------------------------------------------
 
 
-def test_one_of_two_detectors_may_die_and_without_both_placers_check_by_themselves() -> None:
+def test_one_of_two_detectors_suffices_and_without_any_placers_check_machines_themselves() -> None:
     world = settled_world()
     world.watchers[0].kill()
     world.run(10_000.0)
@@ -153,12 +155,12 @@
     assert max_own_checks(world) <= 11
 
 
-@pytest.mark.parametrize("which", [(0,), (0, 1)])
-def test_detectors_that_are_suspended_and_resumed_hide_no_loss(which: tuple[int, ...]) -> None:
-    """Answers that were unread meanwhile count as of the time when their checks were sent."""
+@pytest.mark.parametrize("suspended", [(0,), (0, 1)])
+def test_losses_during_a_suspension_of_detectors_are_detected(suspended: tuple[int, ...]) -> None:
+    """Answers that were unread during the suspension are dated by the sending of their checks."""
     world = settled_world()
-    for place in which:
-        world.watchers[place].paused_until = world.now + 5_000.0
+    for index in suspended:
+        world.watchers[index].paused_until = world.now + 5_000.0
     world.run(1.0)
     assert_lost_in_time(world, world.zone(1)[0], world.zone(3)[2])
     world.run(10_000.0)
@@ -167,32 +169,32 @@
 
 
 @pytest.mark.parametrize("zones", [(1, 2), ALL_ZONES])
-def test_a_partitioned_detector_is_contradicted_by_the_other_one(zones: tuple[int]) -> None:
+def test_a_partition_of_one_detector_causes_no_false_loss(zones: tuple[int]) -> None:
     world = settled_world()
     first, placer = world.watchers[0], world.placers[0]
-    world.cut = lambda who, worker: who is first and worker.zone in zones
+    world.cut = lambda process, worker: process is first and worker.zone in zones
     world.deaf = lambda sender, receiver: {sender, receiver} == {world.watchers[1], placer}
     world.run(15_000.0)
-    assert world.false_alarms() == []  # what one sees is seen; the placer asks where none tells it
+    assert world.false_alarms() == []  # one detector suffices; a placer without observations checks itself
     assert world.placers[1].counts["tests"] <= 16 < placer.counts["tests"]
     assert_lost_in_time(world, world.zone(1)[0], world.zone(0)[0])
 
 
-def test_a_detector_restarted_with_an_older_list_and_digests_of_its_former_incarnation_do_no_harm() -> None:
+def test_an_older_list_and_digests_of_a_former_incarnation_cause_no_false_loss() -> None:
     world = settled_world(detector_zones=(ALL_ZONES,))
     sender, placer = world.watchers[0], world.placers[0]
     digests = sender.watcher.build_digests(sender.clock)
-    late = [digest.data for digest in digests if digest.address[0] == placer.name]
+    delayed = [digest.data for digest in digests if digest.address[0] == placer.name]
     sender.start()
-    names = [ListedMachine(worker.id, worker.name) for worker in world.workers.values()]
-    older_list = {0: names[:-4:4], 1: names[1::4], 2: names[2::4], 3: names[3::4]}
+    listed = [ListedMachine(worker.id, worker.name) for worker in world.workers.values()]
+    older_list = {0: listed[:-4:4], 1: listed[1::4], 2: listed[2::4], 3: listed[3::4]}
     sender.watcher.apply_endpoint_list(sender.clock, older_list)
     world.run(6_000.0)
     assert placer.news is not None
-    overtaken = placer.news.counters.digests_outdated
-    for data in late:
+    outdated_before = placer.news.counters.digests_outdated
+    for data in delayed:
         placer.digest(0, data)
-    assert placer.news.counters.digests_outdated == overtaken + 1
+    assert placer.news.counters.digests_outdated == outdated_before + 1
     assert DetectorRestarted(0) in placer.news.log_events
     world.run(10_000.0)
     assert placer.news.counters.unknown_membership_sections >= 10
@@ -201,14 +203,14 @@
     assert_lost_in_time(world, world.zone(0)[-1], world.zone(1)[0])
 
 
-def test_older_observations_after_newer_ones_change_nothing() -> None:
+def test_older_observations_after_newer_ones_cause_no_checks() -> None:
     world = settled_world()
-    idents = tuple(world.by_id)
+    machine_ids = tuple(world.by_id)
     for _ in range(100):
         world.run(100.0)
         for placer in world.placers:
             placer.core.health_checks.on_liveness_observed(
-                placer.clock, LivenessObserved(idents, placer.clock - 60_000.0)
+                placer.clock, LivenessObserved(machine_ids, placer.clock - 60_000.0)
             )
     assert max_own_checks(world) <= 11
 
@@ -216,27 +218,29 @@
 # ---- Paths ------------------------------------------------------------------------------------------------
 
 
-def test_a_machine_that_answers_only_detectors_keeps_its_tasks_and_is_checked_again() -> None:
+def test_a_machine_that_answers_only_detectors_keeps_its_tasks_and_is_rechecked() -> None:
     world = settled_world()
     worker, placer = world.zone(1)[0], world.placers[0]
-    world.cut = lambda who, other: who is placer and other is worker
+    world.cut = lambda process, other: process is placer and other is worker
     world.run(60_000.0)
     assert world.false_alarms() == []
     assert world.left(worker) == 2
     assert placer.news is not None
     assert placer.news.counters.zone_checks >= 1
     assert placer.counts["tests"] <= 60 + 2 * 60 / 5 + 2 * 6 * len(world.zone(1))
-    assert_lost_in_time(world, worker)  # then no path shows it
+    assert_lost_in_time(world, worker)  # now no path reaches it
 
 
-@pytest.mark.parametrize("dead", [None, 0, 1])
-def test_a_zone_unreachable_from_one_placer_is_found_and_not_given_up(dead: int | None) -> None:
-    """One detector is enough to find it."""
+@pytest.mark.parametrize("killed_detector", [None, 0, 1])
+def test_a_zone_unreachable_from_one_placer_is_detected_and_not_declared_lost(
+    killed_detector: int | None,
+) -> None:
+    """One detector suffices to find the zone."""
     world = settled_world()
-    if dead is not None:
-        world.watchers[dead].kill()
+    if killed_detector is not None:
+        world.watchers[killed_detector].kill()
     placer = world.placers[0]
-    world.cut = lambda who, other: who is placer and other.zone == 1
+    world.cut = lambda process, other: process is placer and other.zone == 1
     world.run(20_000.0)
     assert placer.news is not None
     assert placer.news.counters.unreachable_from_here == len(world.zone(1))
@@ -247,46 +251,49 @@
     assert placer.news.log_events[-1] == ReachabilityRestored()
 
 
-def test_a_machine_that_answers_only_placers_is_checked_by_them_and_not_given_up() -> None:
+def test_a_machine_that_answers_only_placers_is_checked_by_them_and_not_declared_lost() -> None:
     world = settled_world()
     worker = world.zone(1)[0]
-    world.cut = lambda who, other: who in world.watchers and other is worker
+    world.cut = lambda process, other: process in world.watchers and other is worker
     world.run(30_000.0)
     assert world.false_alarms() == []
     assert world.left(worker) == 2
     assert max_own_checks(world) <= 30 + 30 / 4.5 + 1
 
 
-def test_a_partition_between_regions_loses_exactly_the_machines_that_no_path_reaches() -> None:
-    """Three minutes are played as twenty seconds; what is across is released within the limit."""
+def test_a_partition_between_regions_loses_exactly_the_unreachable_machines() -> None:
+    """Twenty simulated seconds stand for a long partition; tasks across it are released in time."""
     world = settled_world(detector_zones=((0, 1), (0, 1), (2, 3), (2, 3)))
-    side: dict[Process, int] = {process: place for place, process in enumerate(world.placers)}
-    side |= {process: place // 2 for place, process in enumerate(world.watchers)}
-    across = {0: (2, 3), 1: (0, 1)}
-    world.cut = lambda who, worker: worker.zone in across[side[who]]
+    side: dict[Process, int] = {process: index for index, process in enumerate(world.placers)}
+    side |= {process: index // 2 for index, process in enumerate(world.watchers)}
+    zones_across = {0: (2, 3), 1: (0, 1)}
+    world.cut = lambda process, worker: worker.zone in zones_across[side[process]]
     world.deaf = lambda sender, receiver: side[sender] != side[receiver]
     world.run(20_000.0)
-    lost = {(who, name) for who, name in world.false_alarms()}
+    lost = {(process, name) for process, name in world.false_alarms()}
     assert lost == {
-        (p.name, worker.name) for p in world.placers for z in across[side[p]] for worker in world.zone(z)
+        (placer.name, worker.name)
+        for placer in world.placers
+        for zone in zones_across[side[placer]]
+        for worker in world.zone(zone)
     }
     world.cut = lambda _who, _worker: False
     world.deaf = lambda _sender, _receiver: False
     world.run(10_000.0)
-    assert {(who, name) for who, name in world.false_alarms()} == lost
+    assert {(process, name) for process, name in world.false_alarms()} == lost
 
 
 # ---- Restarts, and tasks that start -----------------------------------------------------------------------
 
 
-def test_a_machine_restarted_within_an_interval_is_checked_by_the_placers() -> None:
+def test_a_machine_that_restarts_within_a_check_interval_is_checked_by_the_placers() -> None:
     world = settled_world()
     worker = world.zone(1)[0]
     checking: set[Process] = set()
 
-    def record(who: Process, other: Worker) -> bool:
+    def record(process: Process, other: Worker) -> bool:
         if other is worker:
-            checking.add(who)
+            checking.add(process)
         return False
 
     world.cut = record
@@ -297,7 +304,7 @@
     assert world.false_alarms() == []
 
 
-def test_restarted_placers_receive_digests_again_and_lose_nothing() -> None:
+def test_restarted_placers_receive_digests_again_and_declare_no_machine_lost() -> None:
     world = settled_world()
     for placer in world.placers:
         placer.start()
@@ -309,8 +316,8 @@
     assert_lost_in_time(world, world.zone(2)[1])
 
 
-def test_an_observation_never_replaces_an_answer_that_is_awaited() -> None:
-    """A task was just sent to a machine that detectors see alive and this placer does not reach."""
+def test_an_observation_does_not_replace_the_check_of_a_machine_with_an_open_offer() -> None:
+    """A task was just sent to a machine that detectors see alive but this placer cannot reach."""
     world = settled_world(placers=1)
     placer = world.placers[0]
     checked: list[Worker] = []
@@ -318,8 +325,8 @@
     placer.core.submit_arrivals(placer.clock)
     (sent,) = [intent for intent in placer.core.outbox if isinstance(intent, Offer)]
 
-    def cut(who: Process, worker: Worker) -> bool:
-        if who is placer and worker.id == sent.machine:
+    def cut(process: Process, worker: Worker) -> bool:
+        if process is placer and worker.id == sent.machine:
             checked.append(worker)
             return True
         return False
--- a/tests/failure_detection/test_detector_and_view.py
+++ b/tests/failure_detection/test_detector_and_view.py
@@ -1,4 +1,4 @@
-"""One failure detector and one placer's view: subscriptions, digests, and which of them are applied."""
+"""A failure detector and a placer's view: subscriptions, digests, and which digests are applied."""
 
 from __future__ import annotations
 
@@ -31,22 +31,22 @@
     assert detector.subscriber_count == 0
 
 
-def test_a_reconnection_is_in_digests_for_a_while(detector: FailureDetector) -> None:
+def test_digests_report_a_reconnection_for_a_limited_time(detector: FailureDetector) -> None:
     detector.receive_hello(0.0, PLACER, Hello(5, 1))
-    for at, reconnected in ((0.0, 0), (100.0, 2), (100.0 + RECONNECTION_NOTICE_MS, 0)):
-        if at <= 100.0:
-            detector.record_connection(at, 2)
-        (outgoing,) = detector.build_digests(at)
+    for now, reconnected in ((0.0, 0), (100.0, 2), (100.0 + RECONNECTION_NOTICE_MS, 0)):
+        if now <= 100.0:
+            detector.record_connection(now, 2)
+        (outgoing,) = detector.build_digests(now)
         decoded = digest.unpack(outgoing.data)
         assert isinstance(decoded, Digest)
         assert decoded.sections[0].reconnected == reconnected
-        detector.receive_hello(at + 1.0, PLACER, Hello(5, int(at) + 2))
+        detector.receive_hello(now + 1.0, PLACER, Hello(5, int(now) + 2))
 
 
-def test_digests_for_another_incarnation_and_duplicates_are_not_applied(detector: FailureDetector) -> None:
+def test_digests_for_another_incarnation_and_duplicates_are_ignored(detector: FailureDetector) -> None:
     view, other = LivenessView(5, 1), LivenessView(6, 1)
-    for each in (view, other):
-        each.apply_endpoint_list({0: [1, 2]})
+    for liveness_view in (view, other):
+        liveness_view.apply_endpoint_list({0: [1, 2]})
     detector.receive_hello(0.0, PLACER, view.hello(50.0))
     detector.record_answer(1, detector.begin_check(0.0, 1) or "")
     (outgoing,) = detector.build_digests(1_000.0)
@@ -56,5 +56,5 @@
     view.apply_endpoint_list({0: [1, 2, 3]})
     detector.receive_hello(1_000.0, PLACER, view.hello(1_000.0))
     (outgoing,) = detector.build_digests(1_100.0)
-    of_former_list = view.receive(2_000.0, 0, outgoing.data)
-    assert isinstance(of_former_list[0], LivenessObserved)
+    observations = view.receive(2_000.0, 0, outgoing.data)
+    assert isinstance(observations[0], LivenessObserved)
--- a/tests/failure_detection/test_digest.py
+++ b/tests/failure_detection/test_digest.py
@@ -1,4 +1,4 @@
-"""Hellos and digests as bytes, and the membership views that they refer to."""
+"""The codec of hellos and digests, and the membership views that they refer to."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @given(headers, st.lists(sections, min_size=1, max_size=40))
-def test_digests_are_decoded_as_they_were_encoded_and_fit_datagrams(
+def test_encoded_digests_decode_to_the_same_values_and_fit_datagrams(
     header: DigestHeader, sent: list[Section]
 ) -> None:
     received: list[Section] = []
--- a/tests/failure_detector/test_connections.py
+++ b/tests/failure_detector/test_connections.py
@@ -1,4 +1,4 @@
-"""Tasks that dial machines belong to the set of connections, which ends them."""
+"""MachineConnections owns the tasks that connect to machines, and counts checks that cannot be sent."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
             await asyncio.sleep(0)
             cleaned_up.set()
 
-    task = connections.start(work())
+    task = connections.start_task(work())
     await asyncio.sleep(0)
     await connections.close()
     assert task.cancelled()
--- a/tests/failure_detector/test_detector_processes.py
+++ b/tests/failure_detector/test_detector_processes.py
@@ -1,4 +1,4 @@
-"""Failure detectors and placers as processes: which tasks are given up, and which modules are loaded."""
+"""Failure detectors and placers as processes: configuration, loaded modules and released tasks."""
 
 from __future__ import annotations
 
@@ -26,29 +26,29 @@
 from kelpfront.lab.fleet.watched import Deployment
 from kelpfront.platform.config import ConfigError, config_of
 
-GIVEN_UP_AFTER_S = 9.0  # a machine that is unresponsive for so long has been given up
-DEADLINE_S = 60.0  # for what takes 8 s where the host has time
+LOSS_DETECTED_AFTER_S = 9.0  # a machine that is unresponsive for this long has been declared lost
+DEADLINE_S = 60.0  # for what takes 8 s on a host that is not busy
 
 
-def lost(deployment: Deployment) -> set[tuple[str, str]]:
-    """Pairs of a placer and a machine whose tasks it has released."""
+def released_pairs(deployment: Deployment) -> set[tuple[str, str]]:
+    """Pairs of a placer and a machine whose tasks the placer has released."""
     return {(placer, worker) for placer, workers in deployment.released.items() for worker in workers}
 
 
-def lose_all(rng: random.Random) -> list[float]:  # noqa: ARG001 - as the relay's method that it replaces
-    """The fate of datagrams on a path that carries none."""
+def drop_all(rng: random.Random) -> list[float]:  # noqa: ARG001 - as the relay's method that it replaces
+    """Drop every datagram: return no delivery delays."""
     return []
 
 
 async def assert_only_lost(deployment: Deployment, *workers: str) -> None:
-    """Each placer releases the tasks on these machines, and no others have been released."""
+    """Assert that each placer releases the tasks on these machines, and no other tasks."""
     expected = {(placer, worker) for placer in deployment.placers for worker in workers}
-    await until(lambda: expected <= lost(deployment), DEADLINE_S)
-    assert lost(deployment) == expected
+    await until(lambda: expected <= released_pairs(deployment), DEADLINE_S)
+    assert released_pairs(deployment) == expected
 
 
-async def discovered(deployment: Deployment, *detectors: int) -> None:
-    """Each placer has received digests of each of the detectors, by its log."""
+async def wait_until_discovered(deployment: Deployment, *detectors: int) -> None:
+    """Wait until each placer has logged the discovery of each of these detectors."""
     await until(
         lambda: all(
             deployment.logged(name, DetectorDiscovered.event, detector=detector)
@@ -59,12 +59,12 @@
     )
 
 
-async def logged(deployment: Deployment, name: str, event: str, **fields: Any) -> None:
+async def wait_until_logged(deployment: Deployment, name: str, event: str, **fields: Any) -> None:
     """Wait until a process has logged an event with these fields."""
     await until(lambda: deployment.logged(name, event, **fields), DEADLINE_S)
 
 
-# ---- Configuration, and what is loaded --------------------------------------------------------------------
+# ---- Configuration and loaded modules ---------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
         ([f"127.0.0.1:{port}" for port in range(1, 18)], "a list of at most 16 is wanted"),
     ],
 )
-def test_an_invalid_list_of_detectors_is_rejected_by_name(watchers: Any, message: str) -> None:
+def test_an_invalid_list_of_detectors_is_rejected_with_its_key(watchers: Any, message: str) -> None:
     with pytest.raises(ConfigError, match=f"^liveness: watchers: {message}"):
         config_of(raw_config(liveness={"watchers": watchers}))
 
@@ -86,15 +86,24 @@
 @pytest.mark.parametrize(
     ("table", "message"),
     [
-        (None, "watch: a JSON object is wanted"),
+        (None, "watch: expected a JSON object, got"),
         ({}, "watch: listen: HOST:PORT is wanted"),
-        ({"listen": "127.0.0.1:7", "zones": ["nowhere"]}, "watch: zones: a list of some of a, b is wanted"),
-        ({"listen": "127.0.0.1:7", "zones": []}, "watch: zones: a list of some of a, b is wanted"),
-        ({"listen": "127.0.0.1:7", "test_ms": 5_000}, "watch: test_ms: a number from 100 to 1000 is wanted"),
-        ({"listen": "127.0.0.1:7", "test_ms": True}, "watch: test_ms: a number from 100 to 1000 is wanted"),
+        (
+            {"listen": "127.0.0.1:7", "zones": ["nowhere"]},
+            "watch: zones: expected a list of some of a, b, got",
+        ),
+        ({"listen": "127.0.0.1:7", "zones": []}, "watch: zones: expected a list of some of a, b, got"),
+        (
+            {"listen": "127.0.0.1:7", "test_ms": 5_000},
+            "watch: test_ms: expected a number from 100 to 1000, got",
+        ),
+        (
+            {"listen": "127.0.0.1:7", "test_ms": True},
+            "watch: test_ms: expected a number from 100 to 1000, got",
+        ),
     ],
 )
-def test_an_invalid_detector_table_is_rejected_by_name(table: Any, message: str) -> None:
+def test_an_invalid_detector_table_is_rejected_with_its_key(table: Any, message: str) -> None:
     with pytest.raises(ConfigError, match=f"^{message}"):
         parse_detector_config(raw_config(watch=table))
 
@@ -104,8 +113,8 @@
     assert (config.listen.port, config.zones, config.check_interval_ms) == (7, frozenset({1}), 1_000.0)
 
 
-@pytest.mark.parametrize("named", [False, True])
-def test_failure_detection_is_loaded_only_where_detectors_are_configured(*, named: bool) -> None:
+@pytest.mark.parametrize("has_detectors", [False, True])
+def test_failure_detection_is_loaded_only_where_detectors_are_configured(*, has_detectors: bool) -> None:
     code = (
         "import asyncio, json, sys\n"
         "from pathlib import Path\n"
@@ -115,26 +124,26 @@
         "Service(Path(''), config_of(json.loads(sys.argv[1])))\n"
         "print(sorted(m for m in sys.modules if 'failure_detection' in m or 'watch' in m.split('.')[-1]))"
     )
-    raw = raw_config() | ({"liveness": {"watchers": ["127.0.0.1:7"]}} if named else {})
+    raw = raw_config() | ({"liveness": {"watchers": ["127.0.0.1:7"]}} if has_detectors else {})
     result = subprocess.run(
         [sys.executable, "-c", code, json.dumps(raw)], capture_output=True, text=True, check=True
     )
-    ours = [name for name in result.stdout.split("'") if name.startswith("kelpfront.")]
-    assert bool(ours) is named
+    loaded = [name for name in result.stdout.split("'") if name.startswith("kelpfront.")]
+    assert bool(loaded) is has_detectors
 
 
 # ---- Processes, and faults between them -------------------------------------------------------------------
 
 
-async def test_machines_that_detectors_reach_are_kept_and_without_detectors_placers_check(
+async def test_machines_that_only_detectors_reach_are_kept_and_without_detectors_placers_check(
     tmp_path: Path,
 ) -> None:
-    """Machines answer detectors and no placer; then detectors die, machines answer all, one vanishes."""
+    """First machines answer detectors only; then detectors die, machines answer placers, and one vanishes."""
     async with Deployment(tmp_path) as deployment:
         deployment.mute = lambda _name, placer: placer
-        await discovered(deployment, 0, 1)
-        await asyncio.sleep(GIVEN_UP_AFTER_S)
-        assert lost(deployment) == set()
+        await wait_until_discovered(deployment, 0, 1)
+        await asyncio.sleep(LOSS_DETECTED_AFTER_S)
+        assert released_pairs(deployment) == set()
         deployment.mute = lambda _name, _placer: False
         for watcher in deployment.watchers.values():
             await watcher.kill()
@@ -145,10 +154,12 @@
         await assert_only_lost(deployment, "s-00000003")
 
 
-async def test_a_suspended_detector_and_faulty_paths_to_placers_hide_no_loss(tmp_path: Path) -> None:
-    """A zone vanishes while one detector is suspended and datagrams are lost, duplicated, late, reordered."""
+async def test_losses_are_detected_despite_a_suspended_detector_and_faulty_paths_to_placers(
+    tmp_path: Path,
+) -> None:
+    """A zone vanishes while a detector is suspended; datagrams are lost, duplicated, delayed and reordered."""
     async with Deployment(tmp_path) as deployment:
-        await discovered(deployment, 0, 1)
+        await wait_until_discovered(deployment, 0, 1)
         for relay in deployment.relays.values():
             relay.fate = lambda rng: [rng.uniform(0.0, 3.0) for _ in range(2) if rng.random() < 0.5]
         deployment.watchers["w0"].stop()
@@ -160,21 +171,21 @@
         assert all(watcher.alive for watcher in deployment.watchers.values())
 
 
-async def test_machines_that_one_process_cannot_reach_are_kept(tmp_path: Path) -> None:
-    """One zone is unreachable from a placer, another from a detector; a machine answers no detector.
+async def test_machines_that_only_one_process_cannot_reach_are_kept(tmp_path: Path) -> None:
+    """One zone is unreachable from a placer, another from a detector, and a machine answers no detector.
 
-    The other detector cannot reach the other placer.
+    In addition, the other detector's datagrams do not reach the other placer.
     """
     async with Deployment(tmp_path, proxied=("p0", "w0")) as deployment:
-        await discovered(deployment, 0, 1)
-        deployment.relays["p1", "w1"].fate = lose_all
-        for who, zone in (("p0", "b"), ("w0", "c")):
+        await wait_until_discovered(deployment, 0, 1)
+        deployment.relays["p1", "w1"].fate = drop_all
+        for process, zone in (("p0", "b"), ("w0", "c")):
             for worker in deployment.zone(zone):
-                deployment.proxies[who, worker].path.up.drops = True
+                deployment.proxies[process, worker].path.up.drops = True
         deployment.mute = lambda name, placer: name == "s-00000000" and not placer
         await until(lambda: deployment.logged("p0", MachineUnreachableFromHere.event), DEADLINE_S)
-        await asyncio.sleep(GIVEN_UP_AFTER_S)
-        assert lost(deployment) == set()
+        await asyncio.sleep(LOSS_DETECTED_AFTER_S)
+        assert released_pairs(deployment) == set()
         for worker in deployment.zone("b"):
             deployment.proxies["p0", worker].path.up.drops = False
         await until(lambda: deployment.logged("p0", ReachabilityRestored.event), DEADLINE_S)
@@ -184,12 +195,12 @@
 
 async def test_restarts_of_machines_detectors_and_placers_lose_no_task(tmp_path: Path) -> None:
     async with Deployment(tmp_path) as deployment:
-        await discovered(deployment, 0, 1)
+        await wait_until_discovered(deployment, 0, 1)
         zone = deployment.zone("d")
         deployment.mute = lambda name, _placer: name in zone  # unresponsive for a moment
         await asyncio.sleep(2.0)
         deployment.mute = lambda _name, _placer: False
-        await asyncio.sleep(3.0)  # until detectors have sent digests of the zone
+        await asyncio.sleep(3.0)  # time for detectors to send digests of the zone
         await deployment.restart("s-00000005")
         await until(
             lambda: all(deployment.figures(name).get("restart_checks") for name in deployment.placers),
@@ -197,47 +208,47 @@
         )
         for watcher in deployment.watchers.values():
             await watcher.kill()
-        older = deployment.watchers["w0"].config["known"]["updates"][0]["endpoints"]["members"]
-        del older[2]
+        older_members = deployment.watchers["w0"].config["known"]["updates"][0]["endpoints"]["members"]
+        del older_members[2]
         for watcher in deployment.watchers.values():
             await watcher.start()
         for name in deployment.placers:
-            await logged(deployment, name, DetectorRestarted.event, detector=1)
-            await logged(deployment, name, MembershipDiverged.event, detector=0)
-        assert lost(deployment) == set()
+            await wait_until_logged(deployment, name, DetectorRestarted.event, detector=1)
+            await wait_until_logged(deployment, name, MembershipDiverged.event, detector=0)
+        assert released_pairs(deployment) == set()
         for name, placer in deployment.placers.items():
             await placer.kill()
             placer.log_path.unlink()
             await placer.start()
             await deployment.hand_over(name)
-        await discovered(deployment, 0, 1)
+        await wait_until_discovered(deployment, 0, 1)
         deployment.mute = lambda name, _placer: name == "s-00000007"
         await assert_only_lost(deployment, "s-00000007")
 
 
-async def test_a_partition_between_regions_loses_exactly_what_no_path_reaches(tmp_path: Path) -> None:
-    """Minutes are played as seconds. Tasks across the partition are released in time, and no others."""
+async def test_a_partition_between_regions_loses_exactly_the_unreachable_machines(tmp_path: Path) -> None:
+    """Tasks across the partition are released in time, and no others. Seconds stand for minutes."""
     first_region, second_region = ZONES[:2], ZONES[2:]
     async with Deployment(
         tmp_path, watched=(first_region, second_region), proxied=("p0", "p1", "w0", "w1")
     ) as deployment:
-        await discovered(deployment, 0, 1)
-        across = {"p0": second_region, "w0": second_region, "p1": first_region, "w1": first_region}
-        for (who, worker), proxy in deployment.proxies.items():
-            proxy.path.up.drops = deployment.zones[worker] in across[who]
-        deployment.relays["p0", "w1"].fate = deployment.relays["p1", "w0"].fate = lose_all
+        await wait_until_discovered(deployment, 0, 1)
+        zones_across = {"p0": second_region, "w0": second_region, "p1": first_region, "w1": first_region}
+        for (process, worker), proxy in deployment.proxies.items():
+            proxy.path.up.drops = deployment.zones[worker] in zones_across[process]
+        deployment.relays["p0", "w1"].fate = deployment.relays["p1", "w0"].fate = drop_all
         expected = {
-            (placer, w)
+            (placer, worker)
             for placer in deployment.placers
-            for zone in across[placer]
-            for w in deployment.zone(zone)
+            for zone in zones_across[placer]
+            for worker in deployment.zone(zone)
         }
-        await until(lambda: expected <= lost(deployment), DEADLINE_S)
+        await until(lambda: expected <= released_pairs(deployment), DEADLINE_S)
         await asyncio.sleep(3.0)
-        assert lost(deployment) == expected
+        assert released_pairs(deployment) == expected
 
 
-async def test_a_detector_ends_on_sigterm_and_names_what_is_wrong_in_its_file(tmp_path: Path) -> None:
+async def test_a_detector_exits_on_sigterm_and_names_an_invalid_key_of_its_file(tmp_path: Path) -> None:
     async with Deployment(tmp_path, workers=4, placers=0, watched=(ZONES,)) as deployment:
         watcher = deployment.watchers["w0"]
         await until(lambda: deployment.log("w0"), DEADLINE_S)  # it has started
@@ -245,4 +256,4 @@
         watcher.config["watch"]["zones"] = ["nowhere"]
         await watcher.start()
         await until(lambda: not watcher.alive, DEADLINE_S)
-        assert "watch: zones: a list of some of a, b, c, d" in watcher.log_path.read_text()
+        assert "watch: zones: expected a list of some of a, b, c, d" in watcher.log_path.read_text()
