--- a/kelpfront/failure_detection/path_checks.py
+++ b/kelpfront/failure_detection/path_checks.py
@@ -43,7 +43,7 @@
         self._counters = counters
         self._log_events = log_events
         self._consecutive_missed: dict[MachineId, int] = {}
-        self._suspected_since: dict[MachineId, float] = {}  # lost, or unreachable from here
+        self._suspected_since: dict[MachineId, float] = {}  # machines that are lost, or unreachable from here
         self._recheck_at: dict[MachineId, float] = {}  # reached by detectors only
         self._zone_checked_at: dict[int, float] = {}
         self._position = 0  # of the rotation through all machines
--- a/kelpfront/failure_detection/view.py
+++ b/kelpfront/failure_detection/view.py
@@ -52,7 +52,7 @@
         return digest.hello.sent_at_ms <= self.last_hello_sent_at
 
     def advance(self, digest: Digest) -> None:
-        """Record the position of a digest that is accepted."""
+        """Record the sequence number and the hello of an accepted digest."""
         self.last_sequence = digest.sequence
         self.last_hello_sent_at = max(self.last_hello_sent_at, digest.hello.sent_at_ms)
 
--- a/kelpfront/failure_detector/connections.py
+++ b/kelpfront/failure_detector/connections.py
@@ -53,7 +53,7 @@
         self._abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Use the new connection."""
+        """Start to use a new connection and report it to the detector."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._lines = LineSplitter()
--- a/kelpfront/failure_detector/service.py
+++ b/kelpfront/failure_detector/service.py
@@ -37,7 +37,7 @@
 
 
 class FailureDetectorService(asyncio.DatagramProtocol):
-    """One failure detector. `incarnation` must be different for coroutine start."""
+    """One failure detector. `incarnation` must be different for each start."""
 
     def __init__(self, config: FailureDetectorConfig, incarnation: int) -> None:
         self._config = config
--- a/tests/failure_detection/test_detection_in_virtual_time.py
+++ b/tests/failure_detection/test_detection_in_virtual_time.py
@@ -69,7 +69,7 @@
 def test_no_observation_is_dated_too_late_and_no_live_machine_is_declared_lost(
     seed: int, loss: float, max_delay_ms: float
 ) -> None:
-    """Datagrams are lost, duplicated, delayed, reordered; processes are suspended; machines fail and recover."""
+    """Datagrams are lost, duplicated, delayed, reordered; processes are suspended; machines fail, recover."""
     world = World(12, 2, 12, TWO_DETECTORS, seed)
     world.datagrams = lambda rng: [
         rng.uniform(0.5, 0.5 + max_delay_ms) for _ in range(2) if rng.random() >= loss
--- a/tests/failure_detector/test_detector_processes.py
+++ b/tests/failure_detector/test_detector_processes.py
@@ -157,7 +157,7 @@
 async def test_losses_are_detected_despite_a_suspended_detector_and_faulty_paths_to_placers(
     tmp_path: Path,
 ) -> None:
-    """A zone vanishes while a detector is suspended; datagrams are lost, duplicated, delayed and reordered."""
+    """A zone vanishes while a detector is suspended; datagrams are lost, duplicated, delayed, reordered."""
     async with Deployment(tmp_path) as deployment:
         await wait_until_discovered(deployment, 0, 1)
         for relay in deployment.relays.values():
