--- a/kelpfront/platform/attempts.py
+++ b/kelpfront/platform/attempts.py
@@ -1,7 +1,7 @@
 """Attempts of one placer, from the scheduler's decision to their end. Pure.
 
-It chooses nothing: no machine, no time-out, no further attempt. What is owed to the client is
-`request_lifecycle`'s affair; what follows an acceptance is `running_tasks`'.
+The scheduler chooses machines, timeouts and retries; this module only carries them out. Answers to clients
+are sent by `request_lifecycle`, and accepted tasks are handled by `running_tasks`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class AttemptEnd(msgspec.Struct, frozen=True):
-    """How an attempt ended, with what its machine reported on that."""
+    """How an attempt ended, with the reason and the load that its machine reported."""
 
     outcome: AttemptOutcome
     reason: OutcomeReason = OutcomeReason.UNSPECIFIED
@@ -35,7 +35,7 @@
 
 
 class Attempts:
-    """Creates, gives up and closes attempts; the scheduler receives how each ended."""
+    """Creates, abandons and closes attempts, and reports the outcome of each to the scheduler."""
 
     def __init__(self, settings: SchedulerSettings, driver: SchedulerDriver, state: CoreState) -> None:
         self._class_names = [task_class.name for task_class in settings.classes]
@@ -69,11 +69,11 @@
         self._counters.attempts += 1
         self._timers.set(attempt.deadline, lambda then: self._on_timeout(then, attempt))
         if attempt.send_by < attempt.deadline:
-            self._timers.set(attempt.send_by, lambda then: self._on_send_window_over(then, attempt))
+            self._timers.set(attempt.send_by, lambda then: self._on_send_window_expired(then, attempt))
         self._outbox.put(Offer(attempt.machine, request.request_id, attempt.number))
 
     def _report_not_sent(self, action: Bind, request: PendingRequest | None) -> None:
-        """Have the scheduler receive that the attempt it wants cannot be made."""
+        """Report to the scheduler that the attempt it asked for was not made."""
         closed = AttemptClosed(
             action.task,
             0 if request is None else request.attempt_count,
@@ -88,23 +88,23 @@
             request.attempt_count += 1
 
     def cancel(self, now: float, action: CancelAttempt) -> None:
-        """Give up the attempt if it is the one in flight."""
+        """Abandon the attempt if it is the one in flight."""
         request = self._requests.of_task(action.task)
         attempt = None if request is None else request.attempt
         if attempt is not None and attempt.number == action.attempt:
-            self.give_up(now, attempt, AttemptOutcome.CANCELLED)
+            self.abandon(now, attempt, AttemptOutcome.CANCELLED)
 
     def _on_timeout(self, now: float, attempt: Attempt) -> None:
         if attempt.request.attempt is attempt and not attempt.accepted:
             outcome = AttemptOutcome.TIMED_OUT if attempt.sent else AttemptOutcome.UNREACHABLE
-            self.give_up(now, attempt, outcome)
+            self.abandon(now, attempt, outcome)
 
-    def _on_send_window_over(self, now: float, attempt: Attempt) -> None:
+    def _on_send_window_expired(self, now: float, attempt: Attempt) -> None:
         if attempt.request.attempt is attempt and not attempt.sent:
-            self.give_up(now, attempt, AttemptOutcome.NOT_SENT)
+            self.abandon(now, attempt, AttemptOutcome.NOT_SENT)
 
     def encode_offer(self, now: float, attempt: Attempt) -> bytes | None:
-        """Return the bytes of an offer right before they are written; None where it must not be sent."""
+        """Return the bytes of an offer, right before they are written; None if it must not be sent."""
         if not self._may_send(now, attempt):
             self.close(now, attempt, AttemptEnd(AttemptOutcome.NOT_SENT))
             return None
@@ -116,12 +116,13 @@
         machine = self._endpoints.machines.get(attempt.machine)
         if machine is None or machine.state is not MachineState.READY:
             return False
-        # What was decided for a former incarnation, which may have been warm, is decided anew.
-        is_for_former_incarnation = attempt.created_at < machine.restarted_at
-        return now <= attempt.send_by and not is_for_former_incarnation
+        # An offer chosen for the machine's previous incarnation, which may have been warm, needs a new
+        # decision.
+        is_for_previous_incarnation = attempt.created_at < machine.restarted_at
+        return now <= attempt.send_by and not is_for_previous_incarnation
 
-    def give_up(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """Give an attempt up; its machine is notified first: only then is it no longer in flight."""
+    def abandon(self, now: float, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Abandon an attempt. The machine is notified before the attempt stops counting as in flight."""
         request_id = attempt.request.request_id
         data = messages.encode("end", request_id, {}, Cause.NORMAL) if attempt.sent else b""
         no_response = outcome is AttemptOutcome.TIMED_OUT
@@ -129,7 +130,7 @@
         self.close(now, attempt, AttemptEnd(outcome))
 
     def close(self, now: float, attempt: Attempt, end: AttemptEnd) -> None:
-        """End an attempt; the scheduler receives how."""
+        """Close an attempt and report its outcome to the scheduler."""
         request = attempt.request
         request.attempt = None
         is_finished = request.answered
@@ -154,12 +155,12 @@
         self._driver.submit(now, closed)
 
     def forget_request(self, request: PendingRequest) -> None:
-        """Drop a request that is over and of which nothing is in flight."""
+        """Remove a finished request that has no attempt in flight."""
         self._requests.remove(request)
         self._sessions.forget_request(request)
 
     def in_flight_on(self, machine: MachineId, request: PendingRequest | None) -> Attempt | None:
-        """Return the request's attempt if it was sent to that machine and is not closed."""
+        """Return the request's open attempt if it was sent to that machine."""
         attempt = None if request is None else request.attempt
-        is_there = attempt is not None and attempt.machine == machine and attempt.sent
-        return attempt if is_there else None
+        is_on_machine = attempt is not None and attempt.machine == machine and attempt.sent
+        return attempt if is_on_machine else None
--- a/kelpfront/platform/client_connection.py
+++ b/kelpfront/platform/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: what has arrived on it, read or not. Which lines are taken, others decide."""
+"""One client's connection and all bytes that have arrived on it, whether they have been read or not."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from kelpfront.platform.messages import MAX_LINE_BYTES, LineSplitter, contains_withdrawal
 
 MAX_PEEK_BYTES = 256 << 10
-"""Bytes in the kernel that are searched for a line that withdraws a request."""
+"""Limit of unread bytes in the kernel that are searched for a line that withdraws a request."""
 
 
 class PeekableReader(asyncio.StreamReader):
     """A stream whose unread bytes can be inspected.
 
     Attributes:
-        unread: what has been read from the kernel and by nobody else.
-        has_ended: whether the client sends no more.
+        unread: bytes that were read from the kernel and have not been returned by `read` yet.
+        has_ended: whether the client has closed its sending side.
     """
 
     def __init__(self) -> None:
@@ -31,17 +31,17 @@
         self.has_ended = False
 
     def feed_data(self, data: Iterable[SupportsIndex]) -> None:
-        """Take what was read from the kernel."""
+        """Buffer bytes that were read from the kernel."""
         self.unread += bytes(data)
         super().feed_data(data)
 
     def feed_eof(self) -> None:
-        """Take note that the client sends no more."""
+        """Record that the client has closed its sending side."""
         self.has_ended = True
         super().feed_eof()
 
     async def read(self, n: int = -1) -> bytes:
-        """Read up to `n` bytes."""
+        """Read up to `n` bytes; they no longer count as unread."""
         data = await super().read(n)
         del self.unread[: len(data)]
         return data
@@ -52,10 +52,10 @@
     """One open connection. Times are seconds of the event loop's clock.
 
     Attributes:
-        last_valid_at: when it last sent a valid message; NEVER before the first one.
-        partial_line: the line that it has begun and not ended.
-        splitter: splits what was read into lines.
-        pending_lines: lines that wait for their turn.
+        last_valid_at: when the client last sent a valid message; NEVER before the first one.
+        partial_line: the line whose beginning has arrived, but not its end.
+        splitter: splits the bytes read into lines.
+        pending_lines: lines that have been read, but not processed.
     """
 
     reader: PeekableReader
@@ -67,9 +67,10 @@
     pending_lines: list[bytes] = field(default_factory=list)
 
     def presence(self, request_id: str) -> ClientPresence:
-        """Return whether the client still waits for a request, by all that has arrived.
+        """Return whether the client still waits for the request.
 
-        That is: lines that wait, what the stream holds, and what is unread in the kernel.
+        This takes into account all that has arrived: the pending lines, the bytes buffered in the stream, and
+        the unread bytes in the kernel.
         """
         if self.reader.has_ended or self.writer.is_closing():
             return ClientPresence.DISCONNECTED
@@ -86,7 +87,7 @@
 
 
 def _peek_kernel(fd: int) -> bytes | None:
-    """Return what is unread in the kernel; None where the connection has ended."""
+    """Return the unread bytes in the kernel; None if the connection has ended."""
     poll = select.poll()
     poll.register(fd, select.POLLIN | select.POLLRDHUP)
     unread = b""
@@ -101,7 +102,7 @@
 
 
 def _peek(fd: int) -> bytes | None:
-    """Return what is unread: no bytes where the connection has ended, None where it does not say."""
+    """Return the unread bytes: empty if the connection has ended, None if the read would block or fails."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
     try:
         return sock.recv(MAX_PEEK_BYTES, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/kelpfront/platform/client_connections.py
+++ b/kelpfront/platform/client_connections.py
@@ -1,7 +1,7 @@
-"""The server for clients: lines in by turns, answers out, all of it bounded.
+"""The server for clients: reads their lines in turns and writes their answers, within limits.
 
-Accepting is `listener`'s affair, what has arrived on one connection `client_connection`'s, and what a message
-means the core's.
+Connections are accepted by `listener`, the bytes of one connection are kept by `client_connection`, and
+messages are interpreted by the core.
 """
 
 from __future__ import annotations
@@ -28,35 +28,35 @@
 log = structlog.get_logger("kelpfront.platform.client_connections")
 
 LISTEN_QUEUE = 1024
-"""Of the kernel: a connection that finds it full is tried again only after a second."""
+"""Backlog of the listening socket; a client that finds it full retries only after a second."""
 
 SWEEP_S = 0.25
-"""Between checks for connections that are closed for silence."""
+"""Interval between checks for silent connections, which are closed."""
 
-CLOSE_CHECK_S = 0.005
-"""Between checks, at the end, whether all connections are closed."""
+CLOSE_CHECK_INTERVAL_S = 0.005
+"""Interval between checks, during shutdown, whether all connections are closed."""
 
 READ_BYTES = 4 * MAX_LINE_BYTES
-"""Of one read."""
+"""Maximum size of one read."""
 
 LINES_PER_BATCH = 256
-"""Lines of one connection that are taken before the others have their turn."""
+"""Lines of one connection that are processed before the other connections have their turn."""
 
 MAX_UNSENT_BYTES = 256 << 10
-"""That a client may leave unread before its connection is broken."""
+"""Bytes that a client may leave unread before its connection is aborted."""
 
 LINGER_S = 1.0
-"""For what is still to be sent on a connection that is being closed."""
+"""How long a connection that is being closed may take to send its buffered bytes."""
 
 
 class ServerContext(msgspec.Struct, frozen=True):
-    """What the server for clients is given.
+    """What the server for clients depends on.
 
     Attributes:
-        access: takes messages to the core.
+        access: access to the core.
         max_connections: returns how many connections may be open now.
-        selector: knows since when data that is read may have been unread.
-        burst: so many more sockets may be open, of connections just accepted or being closed.
+        selector: records how long data may have been unread before it is read; None if that is not measured.
+        burst: sockets that may be open beyond the limit, for connections just accepted or being closed.
     """
 
     access: CoreAccess
@@ -69,7 +69,7 @@
     """Listens for clients, reads their lines and writes their answers.
 
     Attributes:
-        connections: those that are open, by their number.
+        connections: the open connections, by their id.
     """
 
     def __init__(self, context: ServerContext) -> None:
@@ -81,12 +81,12 @@
         self._selector = context.selector
         self._burst = context.burst
         self._eviction: EvictionOrder[ConnectionId] = EvictionOrder()
-        self._numbers = itertools.count(1)
+        self._connection_ids = itertools.count(1)
         self._lingering: dict[asyncio.StreamWriter, None] = {}
         self._listener: Listener | None = None
 
     def __len__(self) -> int:
-        """Connections that are open."""
+        """Return the number of open connections."""
         return len(self.connections)
 
     @property
@@ -95,14 +95,15 @@
         return self._listener is not None and self._listener.is_serving()
 
     async def start(self, address: Address) -> int:
-        """Listen; return the port.
+        """Start listening; return the port.
 
         Raises:
-            OSError: the address cannot be had.
+            OSError: the address is not available.
         """
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
-        # Named, not 0: asyncio turns Nagle's algorithm off only on sockets that say that they are TCP, and
-        # accepted ones say what their listener says. With it, a second answer waits 40 ms for an ACK.
+        # The protocol must not be 0: asyncio disables Nagle's algorithm only on sockets that report
+        # IPPROTO_TCP, and accepted sockets report the listener's protocol. With Nagle's algorithm, a second
+        # answer waits 40 ms for an ACK.
         sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -126,35 +127,35 @@
             writer.transport.abort()
             return
         assert isinstance(reader, PeekableReader)
-        number = next(self._numbers)
+        connection_id = next(self._connection_ids)
         connection = ClientConnection(reader, writer, asyncio.get_running_loop().time())
-        self._open(number, connection)
+        self._open(connection_id, connection)
         try:
-            await self._read(number, connection)
+            await self._read(connection_id, connection)
         except OSError:
             pass  # reset by the client
         except InvalidMessageError:
             self._core.counters.unreadable_lines += 1
-        finally:  # also where the task is cancelled: the core must not count on this connection
-            self.connections.pop(number, None)
-            self._eviction.remove(number)
-            self._core.on_client_disconnected(self._now(), number)
+        finally:  # also if the task is cancelled: the core must not keep this connection
+            self.connections.pop(connection_id, None)
+            self._eviction.remove(connection_id)
+            self._core.on_client_disconnected(self._now(), connection_id)
             self._flush()
             self._close_writer(writer)
 
-    def _open(self, number: ConnectionId, connection: ClientConnection) -> None:
-        self.connections[number] = connection
-        self._eviction.on_opened(number, connection.opened_at)
+    def _open(self, connection_id: ConnectionId, connection: ClientConnection) -> None:
+        self.connections[connection_id] = connection
+        self._eviction.on_opened(connection_id, connection.opened_at)
         loop = asyncio.get_running_loop()
-        # After the next poll, by which what it had sent when it was opened has been read.
-        loop.call_soon(loop.call_soon, loop.call_soon, self._eviction.on_first_read, number)
+        # Runs after the next poll, when all data that had arrived before the connection opened has been read.
+        loop.call_soon(loop.call_soon, loop.call_soon, self._eviction.on_first_read, connection_id)
         peername = connection.writer.get_extra_info("peername")
-        self._core.sessions.open(self._now(), number, peername[0] if peername else "")
+        self._core.sessions.open(self._now(), connection_id, peername[0] if peername else "")
         self._flush()
 
     def _close_writer(self, writer: asyncio.StreamWriter) -> None:
         writer.close()
-        if writer.transport.get_write_buffer_size():  # one that does not read would hold it for good
+        if writer.transport.get_write_buffer_size():  # a client that does not read would keep it open forever
             self._lingering[writer] = None
             asyncio.get_running_loop().call_later(LINGER_S, self._end_lingering, writer)
 
@@ -162,15 +163,15 @@
         self._lingering.pop(writer, None)
         writer.transport.abort()
 
-    async def _read(self, number: ConnectionId, connection: ClientConnection) -> None:
-        """Take what has arrived, in turns."""
+    async def _read(self, connection_id: ConnectionId, connection: ClientConnection) -> None:
+        """Read and process lines, in turns with the other connections, until the connection ends."""
         loop = asyncio.get_running_loop()
-        unread = UnreadTime(self._selector)
+        unread_time = UnreadTime(self._selector)
         while not connection.writer.is_closing():
             data = await connection.reader.read(READ_BYTES)
             if not data:
                 return
-            unread.on_read()
+            unread_time.on_read()
             connection.pending_lines = connection.splitter.feed(data)
             connection.partial_line = PartialLine.after_read(
                 connection.partial_line,
@@ -179,20 +180,25 @@
                 has_partial=connection.splitter.has_partial_line,
             )
             while connection.pending_lines:
-                self._process_batch(number, connection, unread)
+                self._process_batch(connection_id, connection, unread_time)
                 await asyncio.sleep(0)
 
-    def _process_batch(self, number: ConnectionId, connection: ClientConnection, unread: UnreadTime) -> None:
-        """Take some lines; requests are decided when all of them were received, also if one is malformed."""
+    def _process_batch(
+        self, connection_id: ConnectionId, connection: ClientConnection, unread_time: UnreadTime
+    ) -> None:
+        """Process one batch of lines.
+
+        New requests are submitted after the whole batch was received, also if a line is malformed.
+        """
         loop = asyncio.get_running_loop()
         lines = connection.pending_lines[:LINES_PER_BATCH]
         connection.pending_lines = connection.pending_lines[LINES_PER_BATCH:]
         try:
             for line in lines:
                 message = decode(line)
-                if self._core.on_client_message(self._now(), number, message, unread.unread_ms()):
+                if self._core.on_client_message(self._now(), connection_id, message, unread_time.unread_ms()):
                     connection.last_valid_at = loop.time()
-                    self._eviction.on_active(number, connection.last_valid_at)
+                    self._eviction.on_active(connection_id, connection.last_valid_at)
         finally:
             self._core.submit_arrivals(self._now())
             self._flush()
@@ -200,13 +206,13 @@
     # ---- All connections ------------------------------------------------------------------------------
 
     def _on_full(self) -> None:
-        """Free descriptors, none of which is left for one more: what only lingers gives its own back."""
+        """Free descriptors: abort lingering connections and close idle ones above the limit."""
         for writer in list(self._lingering):
             self._end_lingering(writer)
         self.shrink(self._max_connections())
 
     def shrink(self, limit: int) -> bool:
-        """Close idle connections until no more than `limit` are open; return whether that could be done."""
+        """Close idle connections until at most `limit` are open; return whether that was possible."""
         while len(self.connections) > limit:
             if not self._evict_one():
                 return False
@@ -214,19 +220,19 @@
 
     def _evict_one(self) -> bool:
         now = asyncio.get_running_loop().time()
-        number = self._eviction.next_evicted(now, self._core.sessions.is_in_use)
-        if number is None:
+        connection_id = self._eviction.next_evicted(now, self._core.sessions.is_in_use)
+        if connection_id is None:
             return False
-        self._eviction.remove(number)
-        writer = self.connections.pop(number).writer
-        if writer.transport.get_write_buffer_size():  # it does not read
+        self._eviction.remove(connection_id)
+        writer = self.connections.pop(connection_id).writer
+        if writer.transport.get_write_buffer_size():  # the client does not read
             writer.transport.abort()
-        writer.close()  # not broken: an answer that has just been written may be on its way
-        self._core.on_client_disconnected(self._now(), number)
+        writer.close()  # close, not abort: an answer that was just written may be in transit
+        self._core.on_client_disconnected(self._now(), connection_id)
         return True
 
     def send(self, intent: SendToClient) -> None:
-        """Write a line, or have the core take note that it cannot be written."""
+        """Write a line, or notify the core that it cannot be written."""
         connection = self.connections.get(intent.connection)
         if connection is None or connection.writer.is_closing():
             self._core.on_send_failed(self._now(), intent)
@@ -238,38 +244,38 @@
             log.warning("client does not read", unsent_bytes=unsent_bytes)
             transport.abort()
 
-    def presence(self, number: ConnectionId, request_id: str) -> ClientPresence:
+    def presence(self, connection_id: ConnectionId, request_id: str) -> ClientPresence:
         """Return whether the client still waits for the request.
 
-        Asked right before a request is decided, and right before each of its offers is sent.
+        This is called right before a request is submitted to the scheduler and before each offer is sent.
         """
-        connection = self.connections.get(number)
+        connection = self.connections.get(connection_id)
         return ClientPresence.DISCONNECTED if connection is None else connection.presence(request_id)
 
     def sweep(self) -> None:
-        """Close the connections that sent nothing valid for too long, or stopped within a line."""
+        """Close connections that have sent nothing valid, or left a line incomplete, for too long."""
         now = asyncio.get_running_loop().time()
-        for number, connection in list(self.connections.items()):
+        for connection_id, connection in list(self.connections.items()):
             activity = ConnectionActivity(
                 connection.opened_at,
                 connection.last_valid_at,
-                self._core.sessions.is_in_use(number),
+                self._core.sessions.is_in_use(connection_id),
                 connection.partial_line,
             )
             if activity.is_closed_at(now):
                 connection.writer.close()
 
     async def close(self) -> None:
-        """Close all connections and wait until what was written is sent, for LINGER_S at most."""
+        """Close all connections; wait at most LINGER_S until their buffered bytes are sent."""
         if self._listener is not None:
             self._listener.close()
         for connection in self.connections.values():
             connection.writer.close()
         loop = asyncio.get_running_loop()
-        until = loop.time() + LINGER_S
-        while self.connections and loop.time() < until:  # noqa: ASYNC110 - bounded, and once in a life
-            await asyncio.sleep(CLOSE_CHECK_S)
-        for connection in self.connections.values():  # they do not read
+        deadline = loop.time() + LINGER_S
+        while self.connections and loop.time() < deadline:  # noqa: ASYNC110 - bounded, and runs once per process
+            await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
+        for connection in self.connections.values():  # their clients do not read
             connection.writer.transport.abort()
         if self._listener is not None:
             await self._listener.wait_closed()
--- a/kelpfront/platform/client_messages.py
+++ b/kelpfront/platform/client_messages.py
@@ -1,7 +1,7 @@
 """Clients' messages: new requests, withdrawals, ends of running tasks, tests. Pure.
 
-New requests wait until all that came with them was received, and go to the scheduler then. Answers and
-withdrawals are `request_lifecycle`'s affair, running tasks `running_tasks`'.
+New requests are submitted to the scheduler once all lines of the same read have been received. Answers and
+withdrawals are handled by `request_lifecycle`, running tasks by `running_tasks`.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from kelpfront.scheduling.settings import SchedulerSettings
 
 MAX_INVALID_REQUESTS_LOGGED = 20
-"""Invalid requests that are logged; the counters go on counting."""
+"""Limit of logged invalid requests; later ones are only counted."""
 
 
 class ClientMessages:
-    """Takes clients' messages.
+    """Handles clients' messages.
 
     Attributes:
-        is_closing: whether new requests are rejected, because the placer is about to end.
+        is_closing: whether new requests are rejected, because the placer is shutting down.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self.is_closing = False
 
     def on_message(self, now: float, connection: ConnectionId, message: Message, unread_ms: float) -> bool:
-        """Take a message that lay unread for so long; return False where its connection is to be closed."""
+        """Handle a message that was unread for `unread_ms`; return whether it was valid."""
         match message.op:
             case "test":
                 is_ready = int(bool(self._endpoints.machines))
@@ -77,7 +77,7 @@
         elif request.answered:
             self._reply_to_end(connection, message, is_known=True)
             self._running_tasks.end_by_client(request, message.why)
-        elif request.connection != connection:  # a request is withdrawn where it was made
+        elif request.connection != connection:  # only the connection that made a request may withdraw it
             self._reply_to_end(connection, message, is_known=False)
         else:
             self._lifecycle.withdraw(now, request)
@@ -95,7 +95,7 @@
         known = self._requests.get(message.call)
         try:
             spec = messages.parse_request(message, self._settings)
-            _check_id_is_free(spec, known)
+            _check_id_is_unused(spec, known)
         except InvalidMessageError as error:
             self._on_invalid_request(now, connection, message, error)
             return False
@@ -128,7 +128,7 @@
             self._log.add(InvalidRequest(str(error)))
         known = self._requests.get(message.call)
         if known is not None and known.connection == connection:
-            # Two of one id on one connection: an answer to either would be one to both.
+            # Two requests with one id on one connection: an answer to either would count for both.
             if known.answered:
                 self._running_tasks.end_without_client(known)
             else:
@@ -138,9 +138,10 @@
             self._sessions.reply(connection, data)
 
     def submit_arrivals(self, now: float) -> None:
-        """Have the requests decided that are still wanted when all that came with them was received.
+        """Submit the new requests whose clients still wait, after all lines of the same read were received.
 
-        Withdrawn in the same read, by the hundred, they would fill machines' capacity in the estimates.
+        If requests that are withdrawn in the same read were submitted as well, hundreds of them would use up
+        the machines' capacity in the estimates.
         """
         arrivals = self._arrivals
         self._arrivals = []
@@ -152,17 +153,17 @@
     # ---- Connections ----------------------------------------------------------------------------------
 
     def on_send_failed(self, now: float, intent: SendToClient) -> None:
-        """Take note that a line could not be written: its connection is closing, and not reported closed."""
+        """Handle a line that could not be written: its connection is closing, but not reported closed yet."""
         self._lifecycle.on_disconnected(now, intent.connection)
         if intent.peer:
             self._sessions.send_end_to_peer(now, intent.peer, intent.data)
         request = self._requests.get(intent.accepted_request) if intent.accepted_request else None
-        # Its client counts the request as withdrawn with the connection; nobody would know of the task.
+        # The client regards the request as withdrawn with its connection, so nobody would know of the task.
         if request is not None and self._running_tasks.end_without_client(request):
             self._counters.placed_without_client += 1
 
 
-def _check_id_is_free(spec: PlacementRequest, known: PendingRequest | None) -> None:
+def _check_id_is_unused(spec: PlacementRequest, known: PendingRequest | None) -> None:
     if known is not None and not spec.running_on:
         raise InvalidMessageError("call: the id of an open set-up or of a task that stands")
 
--- a/kelpfront/platform/core.py
+++ b/kelpfront/platform/core.py
@@ -1,9 +1,9 @@
-"""One placer in service: what clients, machines and the endpoint list bring about. Sans I/O.
+"""The core of one placer: handles events of clients, machines and the endpoint list. Sans I/O.
 
-The core is made of parts that each keep one thing; this module makes them, hands what happens to the one in
-charge, and has the scheduler's actions carried out, as the simulator does for the bench's adapter. It chooses
-nothing: no machine, no time-out, no further attempt, no rejection. Times are Unix milliseconds. What is to be
-sent is in `outbox`, in order, after every call.
+The core consists of components with one responsibility each. This module creates them, forwards each event to
+the component in charge, and has the scheduler's actions carried out, as the simulator does for the bench's
+adapter. All choices are the scheduler's: machines, timeouts, retries and rejections. Times are Unix
+milliseconds. After each call, `outbox` holds what is to be sent, in order.
 """
 
 from __future__ import annotations
@@ -52,22 +52,22 @@
 
 
 class PlacerCore:
-    """One placer. The methods fill `outbox` and `log`; `timers` says when the next one is due.
+    """The core of one placer. Its methods fill `outbox` and `log`; `timers` holds the pending timers.
 
     Attributes:
-        outbox: what is to be done on sockets.
-        log: what is to be logged.
-        timers: what is due, and when.
+        outbox: intents to be carried out on sockets.
+        log: records to be logged.
+        timers: pending timers.
         counters: counts since the start.
-        limits: bounds that were reached.
+        limits: counts how often limits were reached.
         requests: placement requests and running tasks.
         endpoints: the machines of the endpoint list.
         sessions: clients' connections.
         health_checks: health checks in flight.
         freshness: whether the endpoint list is up to date.
         adopted_tasks: adopted tasks whose machine is not listed yet.
-        lifecycle: answers and withdrawals of requests.
-        client_messages: takes clients' messages.
+        lifecycle: answers and withdraws requests.
+        client_messages: handles clients' messages.
     """
 
     def __init__(
@@ -86,13 +86,13 @@
         self._driver = SchedulerDriver(scheduler, self.carry_out)
         self.health_checks = HealthChecks(self._driver.submit, self.outbox, self.timers)
         self.freshness = DiscoveryFreshness(self.timers, self._driver.submit)
-        self.adopted_tasks = AdoptedTasks(self.timers, self.freshness, self.limits, self._lose)
-        self._make_parts(config.settings)
+        self.adopted_tasks = AdoptedTasks(self.timers, self.freshness, self.limits, self._on_task_lost)
+        self._create_components(config.settings)
         if find_presence is not None:
             self.lifecycle.find_presence = find_presence
 
-    def _make_parts(self, settings: SchedulerSettings) -> None:
-        """Make the parts through which requests go, each from those that it needs."""
+    def _create_components(self, settings: SchedulerSettings) -> None:
+        """Create the components that handle requests, in the order of their dependencies."""
         state = CoreState(
             self.requests,
             self.endpoints,
@@ -106,42 +106,42 @@
         )
         driver = self._driver
         attempts = Attempts(settings, driver, state)
-        running = RunningTasks(state, driver, attempts, self.adopted_tasks)
+        running_tasks = RunningTasks(state, driver, attempts, self.adopted_tasks)
         self._attempts = attempts
-        self._running_tasks = running
+        self._running_tasks = running_tasks
         self.lifecycle = RequestLifecycle(state, driver, attempts)
-        self.client_messages = ClientMessages(settings, state, driver, self.lifecycle, running)
-        self._machine_messages = MachineMessages(state, driver, attempts, running, self.health_checks)
-        self._endpoint_updates = EndpointUpdates(state, driver, running)
+        self.client_messages = ClientMessages(settings, state, driver, self.lifecycle, running_tasks)
+        self._machine_messages = MachineMessages(state, driver, attempts, running_tasks, self.health_checks)
+        self._endpoint_updates = EndpointUpdates(state, driver, running_tasks)
 
     # ---- Clients --------------------------------------------------------------------------------------
 
     def on_client_message(
         self, now: float, connection: ConnectionId, message: Message, unread_ms: float = 0.0
     ) -> bool:
-        """Take a client's message that lay unread for so long.
+        """Handle a client's message that was unread for `unread_ms` milliseconds.
 
         Returns:
-            Whether it was valid; where it was not, its connection may be closed for silence.
+            Whether it was valid. Only valid messages keep their connection from being closed as silent.
         """
         return self.client_messages.on_message(now, connection, message, unread_ms)
 
     def submit_arrivals(self, now: float) -> None:
-        """Have the new requests decided, once all that came with them was received."""
+        """Submit the new requests to the scheduler, once all lines of the same read have been received."""
         self.client_messages.submit_arrivals(now)
 
     def on_client_disconnected(self, now: float, connection: ConnectionId) -> None:
-        """Take note that a connection is closed; its open requests are withdrawn, its tasks run on."""
+        """Handle a closed connection: its open requests are withdrawn, its tasks continue to run."""
         self.lifecycle.on_disconnected(now, connection)
 
     def on_send_failed(self, now: float, intent: SendToClient) -> None:
-        """Take note that a line could not be written to a client."""
+        """Handle a line that could not be written to a client."""
         self.client_messages.on_send_failed(now, intent)
 
     # ---- Machines -------------------------------------------------------------------------------------
 
     def encode_offer(self, now: float, key: AttemptKey) -> bytes | None:
-        """Return the bytes of an offer right before they are written; None where it is not to be sent."""
+        """Return the bytes of an offer, right before they are written; None if it must not be sent."""
         attempt = self.requests.unanswered_attempt(key)
         if attempt is None or attempt.sent or now >= attempt.deadline:
             return None
@@ -150,10 +150,10 @@
         return self._attempts.encode_offer(now, attempt)
 
     def on_attempt_failed(self, now: float, key: AttemptKey, outcome: AttemptOutcome) -> None:
-        """Close an attempt without an answer.
+        """Close an attempt that received no answer.
 
-        UNREACHABLE: its connection never came up, and nothing was sent. RESET: the connection ended after the
-        write. NOT_SENT: it was not tried.
+        The outcome is UNREACHABLE if no connection was established and nothing was sent, RESET if the
+        connection ended after the write, or NOT_SENT if sending was not tried.
         """
         attempt = self.requests.unanswered_attempt(key)
         if attempt is not None:
@@ -162,11 +162,11 @@
     def on_machine_message(
         self, now: float, machine: MachineId, message: Message, attempt_number: int | None = None
     ) -> None:
-        """Take a machine's message; see `MachineMessages.on_message`."""
+        """Handle a machine's message; see `MachineMessages.on_message`."""
         self._machine_messages.on_message(now, machine, message, attempt_number)
 
     def on_machine_disconnected(self, machine: MachineId) -> None:
-        """Repeat what a connection that ended may not have delivered."""
+        """Resend the task ends that the closed connection may not have delivered."""
         self._running_tasks.resend_ends(machine)
 
     def on_machine_process_dead(self, now: float, machine: MachineId) -> None:
@@ -174,24 +174,24 @@
         self._running_tasks.on_machine_process_dead(now, machine)
 
     def has_running_tasks(self, machine: MachineId) -> bool:
-        """Return whether tasks run there."""
+        """Return whether tasks run on the machine."""
         return self._machine_tasks.any_on(machine)
 
-    def _lose(self, now: float, request: PendingRequest) -> None:
-        self._running_tasks.lose(now, request)
+    def _on_task_lost(self, now: float, request: PendingRequest) -> None:
+        self._running_tasks.end_lost_task(now, request)
 
     # ---- The endpoint list ----------------------------------------------------------------------------
 
     def apply_endpoint_events(self, now: float, index: int, events: Sequence[EndpointEvent]) -> None:
-        """Apply the events of an answer of the coordinator, or of the configuration."""
+        """Apply endpoint events from an answer of the coordinator or from the configuration."""
         self._endpoint_updates.apply(now, index, events)
 
     # ---- The scheduler's actions ----------------------------------------------------------------------
 
     def carry_out(self, now: float, action: SchedulerAction) -> None:
-        """Carry out what the scheduler decided.
+        """Carry out an action of the scheduler.
 
-        `Subscribe` and `FetchEndpointList` ask for nothing here: the coordinator is polled all the time.
+        `Subscribe` and `FetchEndpointList` need no work here, because the coordinator is polled continuously.
         """
         match action:
             case Bind():
--- a/kelpfront/platform/core_access.py
+++ b/kelpfront/platform/core_access.py
@@ -1,4 +1,4 @@
-"""What connections need of the core: the core itself, the time, and to have carried out what it wants."""
+"""What connections need to use the core: the core, the clock, and a way to carry out its intents."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class CoreAccess(msgspec.Struct, frozen=True):
-    """The way of one placer's connections to its core.
+    """Access of one placer's connections to its core.
 
     Attributes:
-        core: takes what arrives.
+        core: receives messages and connection events.
         now: returns the time in Unix milliseconds.
-        flush: has what the core wants carried out; called after each thing that was handed to the core.
+        flush: carries out the core's intents; it must be called after each call of the core.
     """
 
     core: PlacerCore
--- a/kelpfront/platform/core_runner.py
+++ b/kelpfront/platform/core_runner.py
@@ -1,4 +1,4 @@
-"""Between the core and the sockets: carries out intents, writes the log, wakes the core when it is due."""
+"""Runs the core on an event loop: carries out its intents, writes its log records, and runs its timers."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     """
 
     def __init__(self, core: PlacerCore, now: Callable[[], float]) -> None:
-        """Make a runner; both carriers are set before the first flush, as they need `flush` themselves."""
+        """Create a runner; its senders need `flush` themselves and are set later, before the first flush."""
         self.send_to_client: Callable[[SendToClient], None] = _not_connected
         self.send_to_machine: Callable[[MachineIntent], None] = _not_connected
         self._core = core
@@ -34,7 +34,7 @@
         self._timer_at = 0.0
 
     def flush(self) -> None:
-        """Carry out what the core wants, and set its timer. What that brings about joins the queue."""
+        """Carry out the core's intents, including those that they cause, write its log, and set its timer."""
         if self._flushing:
             return
         self._flushing = True
@@ -62,7 +62,7 @@
             loop = asyncio.get_running_loop()
             self._timer_at = due
             delay_s = max(0.0, due - self._now()) / 1000.0
-            # What a stalled loop finds unread is read before time-outs are judged: two iterations later.
+            # After a stall of the loop, unread data is read before timers run; that takes two iterations.
             self._timer = loop.call_later(delay_s, loop.call_soon, loop.call_soon, self._on_timer)
 
     def _on_timer(self) -> None:
@@ -78,4 +78,4 @@
 
 
 def _not_connected(intent: Intent) -> None:
-    raise RuntimeError(f"no connections to carry out {type(intent).__name__}")
+    raise RuntimeError(f"no sender is set for {type(intent).__name__}")
--- a/kelpfront/platform/core_state.py
+++ b/kelpfront/platform/core_state.py
@@ -1,4 +1,4 @@
-"""What the parts of one core share: each item is kept by its own module and handed to those that need it."""
+"""State that the components of one core share; each item is defined in a module of its own."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
     Attributes:
         requests: placement requests and running tasks.
         endpoints: the machines of the endpoint list.
-        machine_tasks: which tasks run on which of them.
+        machine_tasks: which tasks run on which machine.
         sessions: clients' connections.
-        outbox: what is to be done on sockets.
-        timers: what is due, and when.
+        outbox: intents to be carried out on sockets.
+        timers: pending timers.
         counters: counts since the start.
-        log: what is to be logged.
-        numbers: numbers tasks and health checks, in one row, so that no id stands for two things.
+        log: records to be logged.
+        numbers: one sequence for the ids of tasks and health checks, so that no id is used twice.
     """
 
     requests: RequestTable
--- a/kelpfront/platform/counters.py
+++ b/kelpfront/platform/counters.py
@@ -1,4 +1,4 @@
-"""What one placer has counted since its start, for the periodic log line. Pure."""
+"""Counters of one placer since its start, for the periodic log line. Pure."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
     """Counts since the start.
 
     Attributes:
-        requests: valid placement requests, those rejected at once included.
-        invalid_requests: placement requests that the protocol does not allow.
-        adopted_tasks: tasks of a former incarnation that clients handed over.
-        attempts: offers that the scheduler asked for.
+        requests: valid placement requests, including those that are rejected at once.
+        invalid_requests: placement requests that violate the protocol.
+        adopted_tasks: running tasks of a previous incarnation that clients handed over.
+        attempts: offers that the scheduler requested.
         accepted: offers that machines accepted.
         rejected: final answers after which a retry is harmless.
         failed: final answers after which the task may have been executed.
-        withdrawn: requests that clients gave up.
-        clients_left_before_send: requests whose client was found to have left, or to have given up, by what
-            had arrived and was not read yet.
+        withdrawn: requests that clients withdrew.
+        clients_left_before_send: requests whose client had disconnected or withdrawn them, according to data
+            that had arrived but was not read yet.
         migrations: running tasks that were stopped so that their client submits them again.
-        tasks_lost: running tasks that were over with their machine.
+        tasks_lost: running tasks that ended because their machine was lost.
         health_checks: health checks that were sent.
         placed_without_client: acceptances that could not be delivered; the task was ended.
-        endpoint_list_gaps: times that events were found to be missing.
-        unreadable_lines: client connections closed for a line that is no message.
-        unexpected_accepts, unexpected_ends, unexpected_status_reports: machines' messages that belong to no
+        endpoint_list_gaps: how often events of the endpoint list were missing.
+        unreadable_lines: client connections closed because a line was not a message.
+        unexpected_accepts, unexpected_ends, unexpected_status_reports: messages of machines that match no
             attempt in flight there.
         attempt_outcomes: outcomes of attempts that no machine had accepted.
         task_outcomes: outcomes of attempts that were accepted.
@@ -57,16 +57,18 @@
     task_outcomes: Counter[AttemptOutcome] = field(default_factory=Counter)
 
     def log_fields(self) -> dict[str, int]:
-        """Return the counts that are not zero, flat, as fields of a log line."""
-        found: dict[str, int] = {}
-        for item in fields(self):
-            value = getattr(self, item.name)
+        """Return all nonzero counts as fields of a log line."""
+        counts: dict[str, int] = {}
+        for counter in fields(self):
+            value = getattr(self, counter.name)
             if isinstance(value, int) and value:
-                found[item.name] = value
-        found |= {f"attempts_{_name(outcome)}": count for outcome, count in self.attempt_outcomes.items()}
-        found |= {f"tasks_{_name(outcome)}": count for outcome, count in self.task_outcomes.items()}
-        return found
+                counts[counter.name] = value
+        counts |= {
+            f"attempts_{_outcome_name(outcome)}": count for outcome, count in self.attempt_outcomes.items()
+        }
+        counts |= {f"tasks_{_outcome_name(outcome)}": count for outcome, count in self.task_outcomes.items()}
+        return counts
 
 
-def _name(outcome: AttemptOutcome) -> str:
+def _outcome_name(outcome: AttemptOutcome) -> str:
     return outcome.name.lower()
--- a/kelpfront/platform/descriptor_shares.py
+++ b/kelpfront/platform/descriptor_shares.py
@@ -1,6 +1,6 @@
-"""How many file descriptors clients' and machines' connections may hold. Pure.
+"""How many file descriptors the connections of clients and to machines may hold. Pure.
 
-Which connection makes way for a new one is decided by `idle_connections` and `descriptor_budget`.
+Which connection is closed in favour of a new one is decided by `idle_connections` and `descriptor_budget`.
 """
 
 from __future__ import annotations
@@ -8,54 +8,56 @@
 import msgspec
 
 ACCEPT_BURST = 24
-"""Connections that are accepted before their limits are checked, where there are many descriptors."""
+"""Maximum size of a burst: connections that are accepted before the limits are checked."""
 
 RESERVED_FOR_FILES = 16
-"""Descriptors that are no connections: standard streams, the listener, the loop's own, modules."""
+"""Descriptors reserved for other uses: standard streams, the listener, the event loop, modules."""
 
-OPENED_LATER = 8
-"""Of those, opened after the start: the listener, the file of a reload, reads for the log."""
+OPENED_AFTER_START = 8
+"""Of that reserve, those opened after the start: the listener, the file of a reload, reads for the log."""
 
 RESERVED_FOR_POLLS = 6
-"""Of the endpoint list: two in flight, two being dropped, and those of another address after a move."""
+"""Polls of the endpoint list: two in flight, two being closed, and those to a new address after a move."""
 
 MIN_CLIENT_CONNECTIONS = 32
-"""Whatever machines hold: a placer that accepts nobody is of no use."""
+"""Client connections allowed however many machines hold: a placer that accepts no client is useless."""
 
 BURST_DIVISOR = 16
-"""Of the descriptors, at most one in so many is accepted in one go."""
+"""A burst is at most the number of descriptors divided by this."""
 
 MIN_BURST = 2
-"""Connections that are accepted in one go at least."""
+"""Minimum size of a burst."""
 
 MIN_CONNECTIONS = 4
-"""Connections in all, however few descriptors there are: two of each side."""
+"""Connections in total, however few descriptors there are: two for clients and two for machines."""
 
 CLIENT_SHARE = (11, 20)
-"""Share of the descriptors for clients, as a fraction: their connections are many, and most are idle."""
+"""Share of the descriptors for clients (numerator, denominator); most of their connections are idle."""
 
 MACHINE_DIVISOR = 4
-"""Of the descriptors, one in so many is for connections to machines."""
+"""The share for connections to machines is the number of descriptors divided by this."""
 
 
 class DescriptorShares(msgspec.Struct, frozen=True):
-    """How many descriptors each side may hold.
+    """How many descriptors the connections of clients and to machines may hold.
 
-    The rest is for files, for polls of the endpoint list, and for `burst` connections that were just accepted
-    and as many that were just closed to make way, whose sockets are closed an iteration later. Nobody else
-    takes it: a placer without a descriptor cannot receive a drain, and a machine that it cannot connect to
-    seems dead.
+    The remaining descriptors are reserved for files, for polls of the endpoint list, for `burst` connections
+    that were just accepted, and for as many that were just closed in favour of new ones, whose sockets are
+    closed one loop iteration later. This reserve must stay free: a placer without a descriptor cannot receive
+    a drain, and a machine to which it cannot connect appears dead.
 
-    Past their share a machine without a connection still gets one, for tasks run there: up to `max_machines`.
-    Idle clients make way for it, and where none is idle, the connection to another machine that is.
+    Above the share of machines, up to `max_machines`, a machine without a connection still gets one, because
+    tasks run on it. An idle client connection is closed for it or, if there is none, an idle connection to
+    another machine.
 
     Attributes:
-        clients: connections of clients.
-        min_clients: connections of clients, whatever machines hold.
-        machines: connections to machines.
-        max_machines: connections to machines, where each one more is the only one to its machine.
-        total: connections of both sides.
-        burst: connections accepted in one go.
+        clients: maximum of client connections.
+        min_clients: client connections allowed however many machines hold.
+        machines: connections to machines up to which a machine may get more than one.
+        max_machines: maximum of connections to machines; each one above `machines` is the only one to its
+            machine.
+        total: maximum of all connections.
+        burst: connections accepted in one burst.
     """
 
     clients: int
@@ -67,14 +69,14 @@
 
     @classmethod
     def of(cls, sockets: int, open_at_start: int = 0) -> DescriptorShares:
-        """Return the shares of so many descriptors.
+        """Return the shares for a number of descriptors.
 
         Args:
-            sockets: descriptors of the process.
-            open_at_start: those that it had open before any connection.
+            sockets: descriptors that the process may have.
+            open_at_start: descriptors that were open before the first connection.
         """
         burst = max(MIN_BURST, min(ACCEPT_BURST, sockets // BURST_DIVISOR))
-        files = max(RESERVED_FOR_FILES, open_at_start + OPENED_LATER)
+        files = max(RESERVED_FOR_FILES, open_at_start + OPENED_AFTER_START)
         total = max(MIN_CONNECTIONS, sockets - files - RESERVED_FOR_POLLS - 2 * burst)
         min_clients = min(MIN_CLIENT_CONNECTIONS, total // 2)
         machines = min(sockets // MACHINE_DIVISOR, total - min_clients)
@@ -83,9 +85,9 @@
         return cls(clients, min_clients, machines, total - min_clients, total, burst)
 
     def clients_beside(self, machines: int) -> int:
-        """Return how many connections clients may hold beside so many to machines."""
+        """Return how many connections clients may hold while there are `machines` connections to machines."""
         return max(self.min_clients, min(self.clients, self.total - machines))
 
     def machine_may_open(self, machines: int, clients: int) -> bool:
-        """Return whether one more connection to a machine has a descriptor, beside so many of either side."""
+        """Return whether a descriptor is left for one more connection to a machine, given both counts."""
         return machines < self.max_machines and machines + clients < self.total
--- a/kelpfront/platform/intents.py
+++ b/kelpfront/platform/intents.py
@@ -1,6 +1,6 @@
-"""What the core wants done on sockets: typed intents, in the order in which they are to be carried out.
+"""Intents: typed socket operations that the core requests, in the order in which they are carried out.
 
-The core puts them into its `Outbox`; the service hands each to the connection that it concerns.
+The core puts them into its `Outbox`; the service passes each to the connection that it concerns.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 from kelpfront.scheduling.events import MachineId
 
 ConnectionId = int
-"""The number of a client's connection, never used twice."""
+"""The id of a client's connection; ids are not reused."""
 
 HEALTH_CHECK_ATTEMPT = -1
-"""Stands for an attempt's number in the key of a health check."""
+"""The attempt number in the key of a health check."""
 
 
 class AttemptKey(NamedTuple):
-    """Names one attempt of a request, or one health check, towards the connections."""
+    """Identifies an attempt of a request, or a health check, to the connections."""
 
     request_id: str
     attempt_number: int
 
 
 class ClientPresence(Enum):
-    """Whether a client still waits for its request, by all that has arrived from it, read or not."""
+    """Whether a client still waits for its request, judged from all data that has arrived, read or not."""
 
     WAITING = "waiting"
     WITHDRAWN = "withdrawn"  # a line that withdraws this request has arrived
-    DISCONNECTED = "disconnected"  # its connection is closed or reset, or sends no more
+    DISCONNECTED = "disconnected"  # its connection is closed, half-closed or reset
 
 
 class SendToClient(msgspec.Struct, frozen=True):
     """Send a line to a client.
 
     Attributes:
-        peer: where the connection can no longer be written to, the end of a task is still owed to this
-            address, from which the client came; empty where nothing is owed.
-        accepted_request: the request that the line reports as placed, whose task has nobody who knows of it
-            where the line is not delivered; empty for other lines.
+        peer: the client's address, to which the line, the end of a task, must still be delivered if this
+            connection cannot be written to; empty if the line may be dropped then.
+        accepted_request: the request that the line reports as placed; if the line is not delivered, no client
+            knows of its task. Empty for other lines.
     """
 
     connection: ConnectionId
@@ -52,7 +52,7 @@
 
 
 class Offer(msgspec.Struct, frozen=True):
-    """Offer a request to a machine; `PlacerCore.encode_offer` gives its bytes right before the write."""
+    """Offer a request to a machine; `PlacerCore.encode_offer` returns the bytes right before the write."""
 
     machine: MachineId
     request_id: str
@@ -60,16 +60,16 @@
 
     @property
     def key(self) -> AttemptKey:
-        """The name of the attempt."""
+        """The key of the attempt."""
         return AttemptKey(self.request_id, self.attempt_number)
 
 
 class AbandonAttempt(msgspec.Struct, frozen=True):
-    """Give an attempt up; the machine is notified where the offer has been written.
+    """Abandon an attempt; the machine is notified if the offer has been written.
 
     Attributes:
-        data: the line for the machine; empty where nothing was sent.
-        no_response: whether no answer came in time, so that its connection may be of no more use.
+        data: the line for the machine; empty if nothing was sent.
+        no_response: whether no answer arrived in time, so that the connection may be broken.
     """
 
     machine: MachineId
@@ -79,7 +79,7 @@
 
 
 class SendToMachine(msgspec.Struct, frozen=True):
-    """Send a line on a running task, on any connection to its machine."""
+    """Send a line about a running task, on any connection to its machine."""
 
     machine: MachineId
     data: bytes
@@ -94,18 +94,18 @@
 
     @property
     def key(self) -> AttemptKey:
-        """The name of the health check."""
+        """The key of the health check."""
         return AttemptKey(self.check_id, HEALTH_CHECK_ATTEMPT)
 
 
 class KeepConnected(msgspec.Struct, frozen=True):
-    """Keep a connection open: tasks run on the machine, and it has to be able to report on them."""
+    """Keep a connection to a machine open, because it runs tasks and must be able to report on them."""
 
     machine: MachineId
 
 
 class ForgetMachine(msgspec.Struct, frozen=True):
-    """Close all connections: nothing runs there any more and the machine was removed."""
+    """Close all connections to a machine that was removed and runs no tasks any more."""
 
     machine: MachineId
 
@@ -132,7 +132,7 @@
         self._intents.append(intent)
 
     def drain(self) -> list[Intent]:
-        """Return all intents in their order, which are then gone from here."""
+        """Remove and return all intents, in order."""
         intents = self._intents
         self._intents = []
         return intents
--- a/kelpfront/platform/limits.py
+++ b/kelpfront/platform/limits.py
@@ -1,6 +1,6 @@
-"""The bounds of one placer that may be reached, how often each was, and the first time in the log. Pure.
+"""Counts how often each limit of one placer was reached, and logs the first time. Pure.
 
-The bounds themselves stand beside what they bound; this module only counts and reports.
+The limits themselves are defined in the modules that enforce them.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Limit(Enum):
-    """A bound; the value names it in the log."""
+    """A limit; its value is its name in the log."""
 
     REQUESTS = "requests"
     REQUESTS_PER_CONNECTION = "requests_per_connection"
@@ -26,18 +26,18 @@
 
 
 class LimitMonitor:
-    """Counts how often each bound was reached; `log` receives a record the first time."""
+    """Counts how often each limit was reached; `log` receives a record the first time."""
 
     def __init__(self, log: LogRecords) -> None:
         self._log = log
         self.counts: Counter[Limit] = Counter()
 
     def reached(self, limit: Limit) -> None:
-        """Count that the bound was reached."""
+        """Record that the limit was reached."""
         self.counts[limit] += 1
         if self.counts[limit] == 1:
             self._log.add(LimitReached(limit.value))
 
     def fields(self) -> dict[str, int]:
-        """Return the bounds that were reached, as fields of a log line."""
+        """Return the counts of the limits that were reached, as fields of a log line."""
         return {f"limit_{limit.value}": count for limit, count in self.counts.items()}
--- a/kelpfront/platform/listener.py
+++ b/kelpfront/platform/listener.py
@@ -1,8 +1,8 @@
 """The clients' listening socket: accepts no more connections than there are descriptors for.
 
-asyncio's own server accepts whatever comes; out of descriptors it rests for a second, and all else that needs
-one fails beside it: the next poll of the endpoint list, connections to machines, a read of a file. What is
-done with a connection is the affair of `client_connections`.
+asyncio's server accepts connections without a limit. When descriptors run out, it pauses for a second, and
+meanwhile everything else that needs a descriptor fails: the next poll of the endpoint list, connections to
+machines, reads of files. Accepted connections are handled by `client_connections`.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 log = structlog.get_logger("kelpfront.platform.listener")
 
-FULL_CHECK_S = 0.02
-"""Between checks whether there is capacity again."""
+FULL_CHECK_INTERVAL_S = 0.02
+"""Interval between checks whether another connection may be accepted."""
 
-REFUSED_REST_S = 0.25
-"""After the system has refused a descriptor all the same."""
+ACCEPT_ERROR_PAUSE_S = 0.25
+"""Pause after an error of `accept`, such as the system's refusal of a descriptor."""
 
 ServeConnection = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class _CountedProtocol(asyncio.StreamReaderProtocol):
-    """A stream that reports when its socket is closed."""
+    """A stream protocol that reports when its socket is closed."""
 
     def __init__(
         self, reader: asyncio.StreamReader, serve: ServeConnection, on_closed: Callable[[], None]
@@ -45,9 +45,9 @@
     """How many connections a listener accepts.
 
     Attributes:
-        burst: connections accepted in one go.
+        burst: connections accepted per loop iteration.
         max_open: returns how many sockets may be open.
-        on_full: called while there is no capacity for one more; it may close some.
+        on_full: called when no further connection can be accepted; it may close some.
     """
 
     burst: int
@@ -56,10 +56,10 @@
 
 
 class Listener:
-    """Accepts connections of a bound socket.
+    """Accepts connections on a bound socket.
 
     Attributes:
-        open_count: sockets that are open, also those whose connection is being closed.
+        open_count: open sockets, including those whose connection is being closed.
     """
 
     def __init__(
@@ -79,18 +79,18 @@
         self._serving = False
 
     def start(self, queue: int) -> None:
-        """Accept connections; so many may wait in the kernel."""
+        """Start to accept connections; up to `queue` of them may wait in the kernel."""
         self._sock.setblocking(False)  # noqa: FBT003 - takes it by position only
         self._sock.listen(queue)
         self._serving = True
         asyncio.get_running_loop().add_reader(self._sock, self._accept)
 
     def is_serving(self) -> bool:
-        """Return whether it is open."""
+        """Return whether the listening socket is open."""
         return self._serving
 
     def close(self) -> None:
-        """Accept no more; open connections stay."""
+        """Stop accepting connections; open ones are kept."""
         if self._serving:
             self._serving = False
             asyncio.get_running_loop().remove_reader(self._sock)
@@ -99,14 +99,14 @@
             self._resume_timer.cancel()
 
     async def wait_closed(self) -> None:
-        """Wait until no connection is half accepted."""
+        """Wait until every accepted connection has its stream."""
         await self._opening.wait()
 
     def _accept(self) -> None:
         for _ in range(self._limits.burst):
             if self.open_count >= self._limits.max_open():
                 self._limits.on_full()
-                self._pause(FULL_CHECK_S)
+                self._pause(FULL_CHECK_INTERVAL_S)
                 return
             try:
                 sock, _ = self._sock.accept()
@@ -115,7 +115,7 @@
             except OSError as error:
                 log.warning("connection not accepted", error=str(error), open_connections=self.open_count)
                 self._limits.on_full()
-                self._pause(REFUSED_REST_S)
+                self._pause(ACCEPT_ERROR_PAUSE_S)
                 return
             sock.setblocking(False)  # noqa: FBT003 - takes it by position only
             self.open_count += 1
@@ -128,7 +128,7 @@
             await loop.connect_accepted_socket(
                 lambda: _CountedProtocol(reader, self._serve, self._on_closed), sock
             )
-        except OSError:  # before its stream was made: nobody else reports it
+        except OSError:  # raised before the stream exists, so that its protocol cannot report the close
             sock.close()
             self._on_closed()
 
@@ -137,10 +137,10 @@
         if self._resume_timer is not None:
             self._resume()
 
-    def _pause(self, for_s: float) -> None:
+    def _pause(self, delay_s: float) -> None:
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._sock)
-        self._resume_timer = loop.call_later(for_s, self._resume)
+        self._resume_timer = loop.call_later(delay_s, self._resume)
 
     def _resume(self) -> None:
         if self._resume_timer is not None:
--- a/kelpfront/platform/log_records.py
+++ b/kelpfront/platform/log_records.py
@@ -1,6 +1,6 @@
-"""What the core has to log, as typed records: one event name, the rest as fields. Pure.
+"""Typed records of the core's log lines: an event name and fields. Pure.
 
-The core writes no log; the service takes the records and hands each to structlog.
+The core does not write to the log; the service drains the records and passes each to structlog.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """One log line at level info; `event` is its name, the record's fields are the line's."""
+    """One log line at level info: `event` is its event name, and the record's fields are its fields."""
 
     event: ClassVar[str]
 
@@ -25,8 +25,8 @@
 
     Attributes:
         machine: its id in hexadecimal digits.
-        scope: name of the class for which it is ejected; empty for all classes.
-        cause: the outcome that led to it.
+        scope: the name of the class for which it is ejected; empty for all classes.
+        cause: the outcome that led to the ejection.
     """
 
     event: ClassVar[str] = "machine ejected"
@@ -37,28 +37,28 @@
 
 
 class LimitReached(LogRecord, frozen=True):
-    """A bound was reached for the first time; the periodic counters go on counting."""
+    """A limit was reached for the first time; later times only appear in the periodic counters."""
 
     event: ClassVar[str] = "limit reached"
     limit: str
 
 
 class InvalidRequest(LogRecord, frozen=True):
-    """A client sent a placement request that the protocol does not allow; the error names the field."""
+    """A client sent a placement request that violates the protocol; the error names the field."""
 
     event: ClassVar[str] = "invalid placement request"
     error: str
 
 
 class EndpointEventsMissing(LogRecord, frozen=True):
-    """Events before `index` were left out, or the numbers went back; the complete list is requested."""
+    """Events before `index` are missing, or the index decreased; the complete list is requested."""
 
     event: ClassVar[str] = "endpoint events missing"
     index: int
 
 
 class LogRecords:
-    """The records that the service has not logged yet."""
+    """Records that the service has not logged yet."""
 
     def __init__(self) -> None:
         self._records: list[LogRecord] = []
@@ -71,7 +71,7 @@
         self._records.append(record)
 
     def drain(self) -> list[LogRecord]:
-        """Return all records, which are then gone from here."""
+        """Remove and return all records, in order."""
         records = self._records
         self._records = []
         return records
--- a/kelpfront/platform/messages.py
+++ b/kelpfront/platform/messages.py
@@ -1,9 +1,9 @@
-"""Lines of the platform's protocol to typed messages and back. Pure, strict and bounded.
+"""Decodes lines of the platform's protocol into typed messages and encodes them. Pure, strict and bounded.
 
-A line is one JSON object: `op`, `call` (16 hex digits), `with` (strings and numbers), and where they belong
+A line is one JSON object: `op`, `call` (16 hex digits), `with` (strings and numbers), and for some operations
 `why` (a cause) and `desc`. Fields and operations keep the protocol's names here and in `client_messages` and
-`machine_messages`; behind those a `call` is a request id and a `why` is a cause. What cannot be read is an
-`InvalidMessageError` that names what is wrong.
+`machine_messages`; elsewhere a `call` is a request id and a `why` is a cause. A line that cannot be decoded
+raises an `InvalidMessageError` that says what is wrong.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from kelpfront.scheduling.settings import Idempotency, SchedulerSettings
 
 MAX_LINE_BYTES = 16 << 10
-"""Of one message, its line feed included."""
+"""Maximum size of one message, including its line feed."""
 
 MAX_TIMEOUT_DEADLINES = 10.0
-"""The longest timeout of a request, in deadlines of its class: more is a mistake, and would be kept."""
+"""Limit of a request's timeout, in deadlines of its class; a longer one is a mistake and would be kept."""
 
 MAX_LOAD_VALUES = 16
-"""Values of one load report that are read."""
+"""Limit of the values of one load report; the others are ignored."""
 
 MAX_QUOTED = 32
-"""Characters of a wrong value that an error message quotes."""
+"""Maximum number of characters of an invalid value that an error message quotes."""
 
 _CALL = re.compile(r"[0-9a-fA-F]{16}")
 _SERVICE = re.compile(r"[0-9a-fA-F]{1,16}")
@@ -53,14 +53,14 @@
 
 
 class Cause(IntEnum):
-    """Causes of ends and rejections, by the names of the signalling standards."""
+    """Causes of ends and rejections, with the names of the signalling standards."""
 
     NORMAL = 16
-    UNSPECIFIED = 31  # of a task that was migrated, or ended by its client
+    UNSPECIFIED = 31  # a task was migrated, or ended by its client
     NO_CIRCUIT = 34  # full
     TEMPORARY_FAILURE = 41
     CONGESTION = 42  # rejected: a retry is harmless
-    UNAVAILABLE = 47  # a machine's error
+    UNAVAILABLE = 47  # an error of a machine
     UNKNOWN_CALL = 81
     MISSING_FIELD = 96
     INVALID_FIELD = 100
@@ -68,7 +68,7 @@
 
 
 RETRYABLE_CAUSES = frozenset({Cause.NO_CIRCUIT, Cause.CONGESTION, Cause.MOOT})
-"""Causes that promise a client that a retry is harmless."""
+"""Causes that guarantee to a client that a retry is harmless."""
 
 _RUNNING_OUTCOMES = {
     int(Cause.NORMAL): AttemptOutcome.ENDED,
@@ -82,7 +82,7 @@
 
 
 class InvalidMessageError(ValueError):
-    """A message that the protocol does not allow; `cause` is what its sender receives."""
+    """A message violates the protocol; `cause` is the cause sent to its sender."""
 
     def __init__(self, text: str, cause: Cause = Cause.INVALID_FIELD) -> None:
         super().__init__(text)
@@ -90,13 +90,13 @@
 
 
 class LineSplitter:
-    """Splits what arrives into lines, without their line feeds. What has no line feed yet is bounded."""
+    """Splits received bytes into lines without their line feeds; an incomplete line is limited in size."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now.
+        """Return the lines that `data` completes.
 
         Raises:
             InvalidMessageError: a line is longer than a message may be.
@@ -109,17 +109,17 @@
 
     @property
     def rest(self) -> bytes:
-        """What has arrived of a line that has not ended."""
+        """The received part of an incomplete line."""
         return self._rest
 
     @property
     def has_partial_line(self) -> bool:
-        """Whether a line has begun and has not ended."""
+        """Whether part of an incomplete line has been received."""
         return bool(self._rest)
 
 
 class Message(msgspec.Struct, rename={"with_": "with"}):
-    """One message, its fields named as on the wire. `why` is 0 and `desc` empty where they were left out."""
+    """One message, with the field names of the protocol. `why` is 0 and `desc` is empty if absent."""
 
     op: str
     call: str
@@ -128,7 +128,7 @@
     desc: str = ""
 
     def text(self, name: str) -> str:
-        """Return a field of `with` as text; empty where it was left out."""
+        """Return a field of `with` as text; empty if it is absent."""
         value = self.with_.get(name, "")
         return value if isinstance(value, str) else str(value)
 
@@ -138,10 +138,10 @@
 
 
 def decode(line: bytes) -> Message:
-    """Return the message of one line, with or without its line feed.
+    """Decode one line, with or without its line feed.
 
     Raises:
-        InvalidMessageError: it is not a message.
+        InvalidMessageError: the line is not a message.
     """
     if len(line) > MAX_LINE_BYTES:
         raise InvalidMessageError(f"a line of {len(line)} bytes, {MAX_LINE_BYTES} at most")
@@ -155,9 +155,9 @@
 
 
 def contains_withdrawal(unread: bytes, request_id: str) -> bool:
-    """Return whether a complete line among these withdraws the request.
+    """Return whether a complete line among the unread bytes withdraws the request.
 
-    What lies behind a malformed line does not count: it is never received.
+    Lines after a malformed line are ignored, because the connection is closed at that line.
     """
     encoded_id = request_id.encode()
     if encoded_id not in unread:
@@ -171,7 +171,7 @@
 def encode(
     op: str, call: str, with_: dict[str, str], why: int | None = None, desc: str | None = None
 ) -> bytes:
-    """Return one line with its line feed; the arguments are named as on the wire."""
+    """Encode one message as a line with its line feed; the arguments have the protocol's names."""
     message: dict[str, object] = {"op": op, "call": call, "with": with_}
     if why is not None:
         message["why"] = int(why)
@@ -181,14 +181,14 @@
 
 
 class PlacementRequest(msgspec.Struct, frozen=True):
-    """What a client asks for.
+    """A client's request to place a task.
 
     Attributes:
-        timeout_ms: for how long its client waits.
-        key: the name of the task towards machines.
-        idempotency_key: empty where the class needs none.
-        running_on: name of the machine that runs the task already; empty for a new one.
-        description: goes on to the machine as it is.
+        timeout_ms: how long the client waits.
+        key: the name of the task for machines.
+        idempotency_key: empty if the class needs none.
+        running_on: the name of the machine that already runs the task; empty for a new task.
+        description: passed on to the machine unchanged.
     """
 
     request_id: str
@@ -203,7 +203,7 @@
     description: str
 
     def encode_offer(self, class_name: str, timeout_ms: float) -> bytes:
-        """Return the line by which it is offered to a machine that is waited for `timeout_ms`."""
+        """Return the line that offers the request to a machine, whose answer is awaited for `timeout_ms`."""
         fields = {"class": class_name, "left": str(max(1, round(timeout_ms))), "key": self.key}
         if self.idempotency_key:
             fields["idem"] = self.idempotency_key
@@ -211,16 +211,16 @@
 
 
 def parse_request(message: Message, settings: SchedulerSettings) -> PlacementRequest:
-    """Return a placement request, checked against the settings.
+    """Parse a placement request and validate it against the settings.
 
     Raises:
-        InvalidMessageError: the message names the field and what is allowed.
+        InvalidMessageError: a field is invalid; the text names it and what is allowed.
     """
     class_index = _parse_class(message, settings)
     task_class = settings.classes[class_index]
     extras = _parse_pairs(message.text("extras"))
     running_on = extras.get("at", "")
-    timeout_ms = 0.0  # nobody waits for a task that runs: its timeout means nothing
+    timeout_ms = 0.0  # no client waits for a task that already runs, so its timeout is ignored
     if not running_on:
         longest_ms = MAX_TIMEOUT_DEADLINES * task_class.deadline_ms
         timeout_ms = _positive_number("left", message.text("left"), longest_ms)
@@ -265,7 +265,7 @@
 
 
 def names_running_machine(message: Message) -> bool:
-    """Return whether a request, also an invalid one, is about a task that runs already."""
+    """Return whether a request, valid or not, is for a task that already runs."""
     return "at:" in message.text("extras")
 
 
@@ -292,7 +292,7 @@
 
 
 def parse_load(message: Message) -> LoadReport | None:
-    """Return the load report of a machine's message, as far as it makes sense."""
+    """Return the valid values of a machine's load report; None if there are none."""
     text = message.text("load")
     if not text:
         return None
@@ -315,14 +315,14 @@
 
 
 class StatusReport(NamedTuple):
-    """What a machine reports on a running task."""
+    """A machine's report on a running task."""
 
     topic: StatusTopic
     value: float
 
 
 def parse_status(message: Message) -> StatusReport | None:
-    """Return the status report of a message; None where its topic or value is not known."""
+    """Return the status report of a message; None if its topic is unknown or its value is invalid."""
     topic = _STATUS_TOPICS.get(message.text("note"))
     if topic is None:
         return None
@@ -331,14 +331,14 @@
 
 
 class ReportedOutcome(NamedTuple):
-    """What a machine's end of an attempt says of it."""
+    """The outcome of an attempt and its reason, as reported by the machine that ended it."""
 
     outcome: AttemptOutcome
     reason: OutcomeReason
 
 
 def parse_outcome(message: Message, *, accepted: bool) -> ReportedOutcome:
-    """Return the outcome that a machine's `end` stands for.
+    """Return the outcome that a machine's `end` message reports.
 
     Args:
         message: the machine's message.
@@ -346,12 +346,16 @@
     """
     reason = _REASONS.get(message.text("note"), OutcomeReason.UNSPECIFIED)
     if not accepted and message.why == Cause.NORMAL:
-        # A healthy machine ends in order what is over before it was running: it may have been executed.
+        # Healthy machines report a normal end for a task that ended before it was reported as running, so it
+        # may have been executed.
         return ReportedOutcome(AttemptOutcome.RESET, OutcomeReason.NOT_HERE)
     outcomes = _RUNNING_OUTCOMES if accepted else _OFFER_OUTCOMES
     return ReportedOutcome(outcomes.get(message.why, AttemptOutcome.RESET), reason)
 
 
 def machine_id(name: str) -> MachineId:
-    """Return the id of a machine's name: the same for all placers, which share out cold machines by it."""
+    """Return the id of a machine, a hash of its name.
+
+    All placers compute the same id, because they divide cold machines among themselves by it.
+    """
     return int.from_bytes(blake2b(name.encode(), digest_size=6).digest())
--- a/kelpfront/platform/request_lifecycle.py
+++ b/kelpfront/platform/request_lifecycle.py
@@ -1,7 +1,7 @@
-"""How a placement request ends: by its one answer, or because its client no longer waits. Pure.
+"""How a placement request ends: with its only answer, or because its client no longer waits. Pure.
 
-The scheduler decides on answers. A client's presence is looked up, right before a request is decided and
-right before each offer is sent, in all that has arrived from it.
+The scheduler decides on answers. Whether a client still waits is determined right before a request is
+submitted and right before each offer is sent, from all data that has arrived from the client.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     """Answers and withdraws requests.
 
     Attributes:
-        find_presence: whether a client still waits.
+        find_presence: looks up whether a client still waits.
     """
 
     def __init__(self, state: CoreState, driver: SchedulerDriver, attempts: Attempts) -> None:
@@ -43,7 +43,7 @@
             self._counters.rejected += 1
 
     def fail(self, now: float, task: TaskId) -> None:
-        """Send the final answer that the request was not placed as far as is known."""
+        """Send the final answer that the request was not placed, although the task may have been executed."""
         if self._answer(now, task, Cause.TEMPORARY_FAILURE):
             self._counters.failed += 1
 
@@ -56,15 +56,15 @@
         return True
 
     def _finish(self, now: float, request: PendingRequest) -> None:
-        """End a request; an attempt that is still in flight is given up."""
+        """End a request and abandon its attempt if one is in flight."""
         request.answered = True
         if request.attempt is not None:
-            self._attempts.give_up(now, request.attempt, AttemptOutcome.CANCELLED)
+            self._attempts.abandon(now, request.attempt, AttemptOutcome.CANCELLED)
         else:
             self._attempts.forget_request(request)
 
     def withdraw(self, now: float, request: PendingRequest) -> None:
-        """End a request that its client no longer wants; no answer is due."""
+        """End a request that its client has withdrawn, without an answer."""
         self._counters.withdrawn += 1
         if request.submitted:
             self._driver.submit(now, TaskWithdrawn(request.task))
@@ -72,7 +72,7 @@
             self._finish(now, request)
 
     def on_disconnected(self, now: float, connection: ConnectionId) -> None:
-        """Withdraw the requests that are open on a connection which is closed; running tasks go on."""
+        """Withdraw the open requests of a closed connection; its running tasks continue."""
         self._withdraw_all(now, self._sessions.close(connection))
 
     def _withdraw_all(self, now: float, session: Session | None) -> None:
@@ -83,9 +83,10 @@
                 self.withdraw(now, request)
 
     def is_client_waiting(self, now: float, request: PendingRequest) -> bool:
-        """Return whether the client still waits; what it gave up, received or not yet, is withdrawn.
+        """Return whether the client still waits; withdraw the request if it does not.
 
-        A connection that has closed is not taken as closed before what came ahead of that was received.
+        If the client has disconnected, its other open requests are withdrawn too. Its session stays open
+        until the lines that arrived before the disconnection have been processed.
         """
         presence = self.find_presence(request.connection, request.request_id)
         if presence is ClientPresence.WAITING:
--- a/kelpfront/platform/requests.py
+++ b/kelpfront/platform/requests.py
@@ -1,7 +1,7 @@
-"""Placement requests of one placer, their attempts, and the ids of requests that are over. Pure.
+"""Placement requests of one placer, their attempts, and the ids of finished requests. Pure.
 
-The table is the only place where a request is kept from its arrival to its end. Who answers a request, and
-when an attempt ends, is decided by `request_lifecycle` and `attempts`.
+The table is the only place that keeps a request from its arrival to its end. Requests are answered by
+`request_lifecycle`, and attempts are ended by `attempts`.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 from kelpfront.scheduling.events import MachineId, TaskId
 
 MAX_REQUESTS = 8_192
-"""Waiting requests and running tasks that came of them; more are rejected as congestion."""
+"""Limit of requests, waiting or with a running task; above it, requests are rejected as congestion."""
 
 MAX_REQUESTS_PER_CONNECTION = 2_048
-"""Of those, on one connection: one client must not take the capacity of all."""
+"""The same limit for one connection, so that one client cannot use up the capacity of all."""
 
 ADOPTED_MEMORY_SHARE = 0.25
-"""Share of the memory that the settings give which adopted tasks may use."""
+"""Share of the configured memory that adopted tasks may use."""
 
 BYTES_PER_ADOPTED_TASK = 2_048
-"""Memory of one adopted task, with what the scheduler keeps of it."""
+"""Memory of one adopted task, including the scheduler's state of it."""
 
 MAX_ENDED_IDS = 4_096
-"""Ids of requests that are over, so that a message which crosses their end is recognized."""
+"""Limit of remembered ids of finished requests, by which late messages on them are recognized."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A placement request, and the task that runs because of it.
+    """A placement request and the task that runs because of it.
 
     Attributes:
-        spec: what was asked for.
-        deadline: when its client gives up, in Unix milliseconds.
+        spec: the content of the request.
+        deadline: when the client stops waiting, in Unix milliseconds.
         attempt_count: attempts made so far.
-        attempt: the attempt in flight, or the one that was accepted and runs.
-        submitted: whether the scheduler knows of it.
+        attempt: the attempt in flight, or the accepted one whose task runs.
+        submitted: whether the scheduler has received the request.
         answered: whether no final answer is due any more.
-        ended: whether its client ended it or it was migrated, so that no end is owed to the client.
-        adopted: whether it runs since a former incarnation and was handed over by its client.
+        ended: whether the client ended the task or it was migrated, so that no end is sent to the client.
+        adopted: whether the task was placed by a previous incarnation and handed over by its client.
     """
 
     request_id: str
@@ -64,8 +64,8 @@
     """One offer of a request to one machine. Times are Unix milliseconds.
 
     Attributes:
-        deadline: when an attempt without an answer is given up.
-        send_by: when it may begin to be sent at the latest.
+        deadline: when an attempt without an answer is abandoned.
+        send_by: the latest time at which sending may begin.
         sent: whether the offer was written to the machine.
         accepted: whether the machine accepted it; the task runs until the attempt is closed.
     """
@@ -81,15 +81,15 @@
 
     @property
     def key(self) -> AttemptKey:
-        """The name of the attempt towards the connections."""
+        """The key that identifies the attempt to the connections."""
         return AttemptKey(self.request.request_id, self.number)
 
 
 def max_adopted_tasks(memory_mb: float) -> int:
-    """Return how many tasks a placer with so much memory may adopt.
+    """Return how many tasks a placer with this much memory may adopt.
 
-    They run already, and nobody is notified where one is passed over: nobody would look after it. So they do
-    not share the limits of new requests, whose clients receive a rejection and may ask again.
+    Adopted tasks do not share the limits of new requests. They already run, and if one is not adopted, nobody
+    is notified and no placer tracks it, whereas the client of a rejected request is notified and may retry.
     """
     return max(1, int(memory_mb * 2**20 * ADOPTED_MEMORY_SHARE / BYTES_PER_ADOPTED_TASK))
 
@@ -101,7 +101,7 @@
         self._limits = limits
         self._adopted_limit = adopted_limit
         self._adopted_count = 0
-        self._per_connection: Counter[ConnectionId] = Counter()  # without adopted tasks
+        self._per_connection: Counter[ConnectionId] = Counter()  # excludes adopted tasks
         self._by_id: dict[str, PendingRequest] = {}
         self._by_task: dict[TaskId, PendingRequest] = {}
         self._ended: dict[str, None] = {}
@@ -111,19 +111,19 @@
 
     @property
     def unanswered_count(self) -> int:
-        """Requests that are still owed an answer."""
+        """The number of requests that have not received their final answer."""
         return sum(not request.answered for request in self._by_id.values())
 
     def get(self, request_id: str) -> PendingRequest | None:
-        """Return the request of that id, or None where there is none now."""
+        """Return the current request with that id; None if there is none."""
         return self._by_id.get(request_id)
 
     def of_task(self, task: TaskId) -> PendingRequest | None:
-        """Return the request that the scheduler knows as `task`."""
+        """Return the request with the scheduler's task id."""
         return self._by_task.get(task)
 
     def unanswered_attempt(self, key: AttemptKey) -> Attempt | None:
-        """Return the attempt of that key if it is the one in flight and has no answer yet."""
+        """Return the attempt with that key if it is in flight and has no answer yet."""
         request = self._by_id.get(key.request_id)
         attempt = None if request is None else request.attempt
         if attempt is None or attempt.number != key.attempt_number or attempt.accepted:
@@ -148,7 +148,7 @@
         return True
 
     def add(self, request: PendingRequest) -> None:
-        """Enter a request."""
+        """Add a request."""
         if request.adopted:
             self._adopted_count += 1
         else:
@@ -157,7 +157,7 @@
         self._by_task[request.task] = request
 
     def remove(self, request: PendingRequest) -> None:
-        """Drop a request that is over and of which nothing is in flight; its id is remembered."""
+        """Remove a finished request without an attempt in flight; its id is remembered."""
         if request.adopted:
             self._adopted_count -= 1
         else:
@@ -171,5 +171,5 @@
             del self._ended[next(iter(self._ended))]
 
     def has_ended(self, request_id: str) -> bool:
-        """Return whether the id is of a request that was over not long ago."""
+        """Return whether the request with that id has ended recently."""
         return request_id in self._ended
--- a/kelpfront/platform/running_tasks.py
+++ b/kelpfront/platform/running_tasks.py
@@ -1,7 +1,7 @@
-"""Tasks that run on machines: adopted, ended by their client or machine, migrated, lost. Pure.
+"""Handles tasks that run on machines: adoption, ends by client or machine, migration, loss. Pure.
 
-A task runs from the machine's acceptance, or from its adoption, until its attempt is closed. Which task runs
-where is kept by `machine_tasks`.
+A task counts as running from the machine's acceptance, or from its adoption, until its attempt is closed.
+`machine_tasks` keeps track of which task runs on which machine.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 
 class RunningTasks:
-    """The running tasks of one placer; `waiting` keeps adopted ones whose machine is not listed."""
+    """The running tasks of one placer; `adopted_tasks` holds those whose machine is not listed yet."""
 
     def __init__(
         self,
         state: CoreState,
         driver: SchedulerDriver,
         attempts: Attempts,
-        waiting: AdoptedTasks,
+        adopted_tasks: AdoptedTasks,
     ) -> None:
         self._driver = driver
         self._attempts = attempts
@@ -46,12 +46,12 @@
         self._outbox = state.outbox
         self._counters = state.counters
         self._numbers = state.numbers
-        self._waiting = waiting
+        self._adopted_tasks = adopted_tasks
 
-    # ---- Begin ----------------------------------------------------------------------------------------
+    # ---- Start ----------------------------------------------------------------------------------------
 
     def on_accepted(self, now: float, attempt: Attempt, description: str) -> None:
-        """Answer a request that a machine accepted; its task runs from now on."""
+        """Answer a request that a machine accepted, and track its task as running."""
         request = attempt.request
         attempt.accepted = True
         request.answered = True
@@ -62,10 +62,10 @@
         self._sessions.accept(request, messages.encode("accept", request.request_id, {}, desc=description))
         elapsed_ms = now - attempt.created_at
         self._driver.submit(now, TaskPlaced(request.task, attempt.number, attempt.machine, elapsed_ms))
-        self._begin(now, attempt.machine, request)
+        self._start_tracking(now, attempt.machine, request)
 
     def adopt(self, now: float, connection: ConnectionId, session: Session, spec: PlacementRequest) -> None:
-        """Look after a task that a machine runs already; its client receives no answer."""
+        """Adopt a task that a machine already runs; its client receives no answer."""
         self._counters.adopted_tasks += 1
         if not self._requests.has_capacity_to_adopt():
             return
@@ -79,25 +79,25 @@
             now,
             TaskFound(request.task, spec.class_index, spec.service, spec.cores, spec.memory, machine),
         )
-        early_end = self._waiting.pop_early_end(machine, request.request_id)
+        early_end = self._adopted_tasks.pop_early_end(machine, request.request_id)
         if early_end is not None:
             self.on_machine_ended(now, attempt, early_end)
         elif machine not in self._endpoints.machines:
-            self._waiting.wait_for_machine(now, machine, request)
+            self._adopted_tasks.wait_for_machine(now, machine, request)
         else:
-            self._begin(now, machine, request)
+            self._start_tracking(now, machine, request)
 
     def _adopted_request(
         self, now: float, connection: ConnectionId, session: Session, spec: PlacementRequest
     ) -> PendingRequest:
-        # Only its machine needs the rest, which may be 16 KiB for each of some ten thousand tasks.
-        kept = msgspec.structs.replace(spec, key="", idempotency_key="", description="")
+        # Only the machine needs the other fields, which may be 16 KiB for each of some ten thousand tasks.
+        trimmed_spec = msgspec.structs.replace(spec, key="", idempotency_key="", description="")
         return PendingRequest(
             spec.request_id,
             next(self._numbers),
             connection,
             session.peer,
-            spec=kept,
+            spec=trimmed_spec,
             deadline=now,
             attempt_count=1,
             answered=True,
@@ -105,20 +105,20 @@
         )
 
     def on_machine_listed(self, now: float, machine_id: MachineId) -> None:
-        """Begin the adopted tasks that waited for the machine."""
-        for request in self._waiting.on_machine_listed(machine_id):
-            self._begin(now, machine_id, request)
+        """Track the adopted tasks that waited for the machine as running."""
+        for request in self._adopted_tasks.on_machine_listed(machine_id):
+            self._start_tracking(now, machine_id, request)
 
-    def _begin(self, now: float, machine_id: MachineId, request: PendingRequest) -> None:
+    def _start_tracking(self, now: float, machine_id: MachineId, request: PendingRequest) -> None:
         machine = self._endpoints.machines.get(machine_id)
         if machine is None:
             return
         machine.running[request.request_id] = request
         if machine.state is MachineState.REMOVED:
-            self.lose(now, request)
+            self.end_lost_task(now, request)
             return
         self._outbox.put(KeepConnected(machine_id))
-        if request.ended:  # by its client, before the list named the machine
+        if request.ended:  # by the client, before the machine was listed
             self._send_end(machine_id, request, Cause.NORMAL)
 
     # ---- End ------------------------------------------------------------------------------------------
@@ -136,7 +136,7 @@
         self._attempts.close(now, attempt, AttemptEnd(outcome, reason, messages.parse_load(message)))
 
     def end_by_client(self, request: PendingRequest, cause: int) -> None:
-        """End a running task that its client wants ended; its machine is notified if it is listed."""
+        """End a running task at its client's request; the machine is notified if it is listed."""
         attempt = request.attempt
         if attempt is None or not attempt.accepted or request.ended:
             return
@@ -145,7 +145,7 @@
             self._send_end(attempt.machine, request, cause or Cause.NORMAL)
 
     def end_without_client(self, request: PendingRequest) -> bool:
-        """End a running task that no client knows of any more; return whether it was running."""
+        """End a running task that no client knows of any more; return whether it had to be ended."""
         if request.attempt is None or request.ended:
             return False
         request.ended = True
@@ -163,8 +163,8 @@
         self._sessions.send_end(now, request, messages.encode("redirect", request.request_id, {}))
         self._send_end(attempt.machine, request, Cause.UNSPECIFIED)
 
-    def lose(self, now: float, request: PendingRequest) -> None:
-        """End a task that is over with its machine: its client is notified, and so is the scheduler."""
+    def end_lost_task(self, now: float, request: PendingRequest) -> None:
+        """End a task that was lost with its machine; notify its client and the scheduler."""
         if request.attempt is None:
             return
         if not request.ended:
@@ -173,20 +173,20 @@
         self._attempts.close(now, request.attempt, AttemptEnd(AttemptOutcome.RESET))
 
     def on_machine_process_dead(self, now: float, machine_id: MachineId) -> None:
-        """End all tasks of a machine whose process is dead, or counts as such."""
+        """End all tasks of a machine whose process is dead or presumed dead."""
         requests = self._machine_tasks.on(machine_id)
         self._counters.tasks_lost += len(requests)
         for request in requests:
-            self.lose(now, request)
+            self.end_lost_task(now, request)
 
     def on_unknown_task_ended(self, machine_id: MachineId, message: Message) -> None:
-        """Keep the end of a task that nobody has handed over yet."""
-        self._waiting.store_early_end(machine_id, message)
+        """Store the end of a task that no client has handed over yet."""
+        self._adopted_tasks.store_early_end(machine_id, message)
 
     def resend_ends(self, machine_id: MachineId) -> None:
-        """Repeat to a machine which tasks have ended and it has not confirmed: a connection to it ended.
+        """Resend to a machine the ends that it has not confirmed, after a connection to it was closed.
 
-        Lines on that connection may be lost.
+        Lines sent on that connection may be lost.
         """
         for request in self._machine_tasks.on(machine_id):
             if request.ended:
--- a/kelpfront/platform/scheduler_driver.py
+++ b/kelpfront/platform/scheduler_driver.py
@@ -1,6 +1,6 @@
-"""Hands events to the scheduler one at a time and has its actions carried out. Pure.
+"""Passes events to the scheduler one at a time and has its actions carried out. Pure.
 
-It decides nothing, and knows neither requests nor machines: the core carries the actions out.
+The driver makes no decisions and knows neither requests nor machines; the core carries the actions out.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
         self._handling = False
 
     def enqueue(self, event: SchedulerEvent) -> None:
-        """Append an event that an action brought about; it is handled when that action is done."""
+        """Append an event caused by an action; it is handled after that action has been carried out."""
         self._events.append(event)
 
     def submit(self, now: float, event: SchedulerEvent) -> None:
-        """Handle an event and all that it brings about; within an action, only append it."""
+        """Handle an event and all events that it causes; during an action, only append it."""
         self._events.append(event)
         if self._handling:
             return
--- a/kelpfront/platform/sessions.py
+++ b/kelpfront/platform/sessions.py
@@ -1,6 +1,6 @@
-"""Clients' connections, and where a line for a client goes: there, to another of its, or later. Pure.
+"""Clients' connections, and the routing of lines: to a connection, to another of the client, or later. Pure.
 
-A session is the core's view of one connection; its socket is `client_connections`' affair.
+A session is the core's view of one connection; `client_connections` handles its socket.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from kelpfront.platform.requests import PendingRequest
 
 MAX_UNDELIVERED_ENDS = 1_024
-"""Ends of tasks that wait for a connection of their client."""
+"""Limit of task ends that wait for a connection of their client; past it, the oldest is dropped."""
 
 UNDELIVERED_END_TTL_MS = 8_000.0
-"""How long such an end is kept: as long as the protocol has it owed."""
+"""How long such an end is kept: as long as the protocol requires its delivery."""
 
 
 @dataclass(slots=True, eq=False)
@@ -25,9 +25,9 @@
     """One connection of a client.
 
     Attributes:
-        peer: the address that it comes from.
-        established: whether a machine has accepted a task of it: it sends what machines can use.
-        requests: its requests and running tasks, by request id.
+        peer: the client's address.
+        established: whether a machine has accepted one of its tasks, so its requests are known to be usable.
+        requests: its open requests and running tasks, by request id.
     """
 
     peer: str
@@ -42,7 +42,7 @@
 
 
 class Sessions:
-    """All clients' connections of one placer, by their number and by the address they come from."""
+    """All client connections of one placer, by id and by the client's address."""
 
     def __init__(self, outbox: Outbox, limits: LimitMonitor) -> None:
         self._outbox = outbox
@@ -53,7 +53,7 @@
 
     @property
     def undelivered_count(self) -> int:
-        """Ends of tasks that wait for a connection of their client."""
+        """The number of task ends that wait for a connection of their client."""
         return len(self._undelivered)
 
     def get(self, connection: ConnectionId) -> Session | None:
@@ -71,12 +71,12 @@
         return session is not None and session.established
 
     def open(self, now: float, connection: ConnectionId, peer: str) -> None:
-        """Enter a new connection; what waits for one from that address, and is still owed, goes out on it."""
+        """Add a new connection, and send the waiting ends for its address that have not expired on it."""
         self._sessions[connection] = Session(peer)
         self._by_peer.setdefault(peer, {})[connection] = None
-        waiting = self._undelivered
+        undelivered = self._undelivered
         self._undelivered = deque()
-        for end in waiting:
+        for end in undelivered:
             if end.expires_at <= now:
                 continue
             if end.peer == peer:
@@ -85,7 +85,7 @@
                 self._undelivered.append(end)
 
     def close(self, connection: ConnectionId) -> Session | None:
-        """Drop a connection that is closed; return its session."""
+        """Remove a closed connection and return its session."""
         session = self._sessions.pop(connection, None)
         if session is not None:
             connections = self._by_peer[session.peer]
@@ -95,34 +95,34 @@
         return session
 
     def forget_request(self, request: PendingRequest) -> None:
-        """Drop a request that is over from its connection."""
+        """Remove a finished request from its session."""
         session = self._sessions.get(request.connection)
         if session is not None:
             session.requests.pop(request.request_id, None)
 
     def reply(self, connection: ConnectionId, data: bytes) -> None:
-        """Answer a message on the connection on which it came."""
+        """Answer a message on the connection on which it arrived."""
         if connection in self._sessions:
             self._outbox.put(SendToClient(connection, data))
 
     def reject(self, request: PendingRequest, data: bytes) -> None:
-        """Send the final answer to a request that was not placed, on its own connection only."""
+        """Send the final answer to a request that was not placed, only on the request's connection."""
         self.reply(request.connection, data)
 
     def accept(self, request: PendingRequest, data: bytes) -> None:
-        """Report a request as placed, on its own connection only: nowhere else is the answer waited for."""
+        """Report a request as placed, only on its connection: the client expects no answer elsewhere."""
         if request.connection in self._sessions:
             self._outbox.put(SendToClient(request.connection, data, accepted_request=request.request_id))
 
     def send_end(self, now: float, request: PendingRequest, data: bytes) -> None:
-        """Send what is owed on a running task: on its connection, another from there, or the next."""
+        """Send the end of a running task on its connection, or else to its client's address."""
         if request.connection in self._sessions:
             self._outbox.put(SendToClient(request.connection, data, request.peer))
         else:
             self.send_end_to_peer(now, request.peer, data)
 
     def send_end_to_peer(self, now: float, peer: str, data: bytes) -> None:
-        """Send it on the youngest connection from that address, or keep it for the next one."""
+        """Send the end of a task on the newest connection from that address, or keep it for the next one."""
         connections = self._by_peer.get(peer)
         if connections:
             self._outbox.put(SendToClient(next(reversed(connections)), data, peer))
--- a/kelpfront/platform/timeouts.py
+++ b/kelpfront/platform/timeouts.py
@@ -1,7 +1,7 @@
-"""How long a placer in service waits for others, and what it then concludes. Pure.
+"""Timeouts of a placer in service, and the decisions that follow from them. Pure.
 
-Time-outs of attempts, health checks and silence of machines are decided by `kelpfront.scheduling`; here is
-what only a placer with sockets meets.
+Timeouts of attempts, health checks and unresponsive machines are decided by `kelpfront.scheduling`; this
+module holds those that concern sockets.
 """
 
 from __future__ import annotations
@@ -9,62 +9,62 @@
 import msgspec
 
 RECONNECT_MS = 250.0
-"""Between attempts to reach a machine on which tasks run."""
+"""Interval between attempts to reconnect to a machine on which tasks run."""
 
 DEAD_AFTER_REFUSALS = 2
-"""Refused connections in a row: the process is dead; one alone may meet a restart of its listener."""
+"""Consecutive refused connections of a dead process; a single one may be a restart of its listener."""
 
-UNLISTED_MACHINE_MS = 2_000.0
-"""An adopted task on a machine that no list names within this time is over."""
+UNLISTED_MACHINE_TIMEOUT_MS = 2_000.0
+"""How long an adopted task waits for its machine to be listed; after that it counts as lost."""
 
-MAX_UNLISTED_MACHINE_MS = 6_000.0
-"""The same where the list has given no answer since: its end is owed to the client within 8 s."""
+MAX_UNLISTED_MACHINE_TIMEOUT_MS = 6_000.0
+"""The same without an answer of the coordinator since then: the client must receive the end within 8 s."""
 
 POLL_WAIT_MS = 1_000.0
-"""Wait of one poll: what a silent coordinator would have notified counts as notified 2 s after its end."""
+"""How long a poll may be held open; 2 s later, events of a silent coordinator count as notified."""
 
 POLL_SLACK_MS = 500.0
-"""Past that wait; then the coordinator is polled on another connection."""
+"""How late an answer may be after that wait; then the coordinator is polled on another connection."""
 
 POLL_CONNECT_MS = 500.0
-"""For a connection to the coordinator, where the settings say nothing of connections."""
+"""Connect timeout for the coordinator if the settings contain no connect timeout."""
 
 DISCOVERY_STALE_MS = 7_000.0
-"""Since the list's last answer: what the coordinator withholds counts as notified by now."""
+"""Age of the coordinator's last answer at which the events that it withholds count as notified."""
 
 DRAIN_SERVE_MS = 800.0
-"""Once told to end: clients that have not been notified of it yet still come."""
+"""How long a placer serves after the signal to stop: clients not notified of it yet still connect."""
 
 DRAIN_ACCEPT_MS = 700.0
-"""Once told to end: a request that comes later would be lost with an end that nobody announces."""
+"""How long it accepts requests after that signal: a later one could be lost in an unannounced kill."""
 
 REBIND_MS = 50.0
-"""Between attempts to bind the listening address."""
+"""Interval between attempts to bind the listening address."""
 
 MAX_REBIND_MS = 10_000.0
-"""For so long in all: a former incarnation may still hold the address, and look after its tasks."""
+"""Limit of these attempts; the previous incarnation may still use the address and track its tasks."""
 
 
 class ReachabilityCheck(msgspec.Struct):
-    """Whether the process of a machine on which tasks run is alive, by attempts to connect in a row."""
+    """Whether the process of a machine with running tasks is alive, judged from consecutive connects."""
 
     refusals: int = 0
 
     def on_refused(self) -> bool:
-        """Return whether the process is dead, and what ran there is over."""
+        """Count a refused connection; return whether the process is dead and its tasks are lost."""
         self.refusals += 1
         return self.refusals >= DEAD_AFTER_REFUSALS
 
     def on_no_response(self) -> None:
-        """Begin to count anew: nobody refused, and a machine that is cut off may run on."""
+        """Reset the count: the connection was not refused, and an unreachable machine may still run."""
         self.refusals = 0
 
 
 class ShutdownSchedule(msgspec.Struct, frozen=True):
-    """When a placer that was told to end may do so. Times are Unix milliseconds.
+    """When a placer that was told to stop may exit. Times are Unix milliseconds.
 
     Attributes:
-        begun_at: when it was told to end.
+        begun_at: when it was told to stop.
         longest_deadline_ms: the longest deadline of all classes.
     """
 
@@ -72,13 +72,13 @@
     longest_deadline_ms: float
 
     def rejects_requests(self, now: float) -> bool:
-        """Return whether a new request is rejected: its placer might be killed before it is answered."""
+        """Return whether new requests are rejected: the placer might be killed before it answers them."""
         return now > self.begun_at + DRAIN_ACCEPT_MS
 
     def is_over(self, now: float, unanswered_count: int, request_count: int) -> bool:
-        """Return whether all is answered, and tasks were looked after while their end would go unreported.
+        """Return whether all requests are answered and running tasks were tracked for their grace period.
 
-        Afterwards tasks run on at their machines, and are handed to the next incarnation.
+        Remaining tasks continue on their machines, and clients hand them over to the next incarnation.
         """
         if unanswered_count or now < self.begun_at + DRAIN_SERVE_MS:
             return False
--- a/tests/platform/test_platform_descriptors.py
+++ b/tests/platform/test_platform_descriptors.py
@@ -31,7 +31,7 @@
 from kelpfront.platform.descriptor_budget import DescriptorBudget
 from kelpfront.platform.descriptor_shares import (
     MIN_CLIENT_CONNECTIONS,
-    OPENED_LATER,
+    OPENED_AFTER_START,
     RESERVED_FOR_FILES,
     RESERVED_FOR_POLLS,
     DescriptorShares,
@@ -199,7 +199,7 @@
 ) -> None:
     """Guards against shares that come to more than there is. Whoever holds on idles; others are in use."""
     shares = DescriptorShares.of(sockets, at_start)
-    own = max(RESERVED_FOR_FILES, at_start + OPENED_LATER) + RESERVED_FOR_POLLS
+    own = max(RESERVED_FOR_FILES, at_start + OPENED_AFTER_START) + RESERVED_FOR_POLLS
     assert shares.total + 2 * shares.burst + own <= sockets or shares.total == 4
     assert shares.min_clients >= 2
     assert shares.machines >= 2
--- a/tests/platform/test_platform_running_tasks.py
+++ b/tests/platform/test_platform_running_tasks.py
@@ -24,7 +24,7 @@
 from kelpfront.platform.messages import decode, machine_id
 from kelpfront.platform.sessions import UNDELIVERED_END_TTL_MS
 from kelpfront.platform.timeouts import (
-    UNLISTED_MACHINE_MS,
+    UNLISTED_MACHINE_TIMEOUT_MS,
 )
 from kelpfront.scheduling.actions import Migrate
 from kelpfront.scheduling.scheduler import Scheduler
@@ -157,11 +157,11 @@
     """Guards against a task told over that runs on: its client would have it started anew."""
     stage = Stage()
     stage.client(offer(cls="once", extras="cores:1;memory:2;service:1;at:m-9"))
-    stage.advance(UNLISTED_MACHINE_MS + 1.0)
+    stage.advance(UNLISTED_MACHINE_TIMEOUT_MS + 1.0)
     assert stage.sent_to_clients == []
-    stage.advance(UNLISTED_MACHINE_MS)
+    stage.advance(UNLISTED_MACHINE_TIMEOUT_MS)
     stage.events({"index": 2, "updates": [event(2, member("m-9"))]})
-    stage.advance(UNLISTED_MACHINE_MS)
+    stage.advance(UNLISTED_MACHINE_TIMEOUT_MS)
     assert stage.sent_to_clients == []
     assert stage.core.has_running_tasks(machine_id("m-9"))
 
