--- a/tests/platform/core_stage.py
+++ b/tests/platform/core_stage.py
@@ -1,4 +1,4 @@
-"""A core without sockets, for tests: its endpoint list, one client's connection, and what it wanted done."""
+"""A placer core without sockets for tests, with an endpoint list and one client connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Stage:
-    """A core with its list, one client's connection, and what it wanted done so far."""
+    """A core with an endpoint list, one client connection, and the intents that it has issued so far."""
 
     def __init__(self, *members: Json) -> None:
         self.config = config(*(members or (member("m-1"), member("m-2"))))
@@ -71,7 +71,7 @@
         self.now = until
 
     def send_offer(self, call: str = CALL) -> Offer:
-        """The last offer of the call, after it has gone out."""
+        """Encode the last offer of the request, as right before a write, and return the offer."""
         last = [i for i in self.intents if isinstance(i, Offer) and i.request_id == call][-1]
         assert self.core.encode_offer(self.now, last.key) is not None
         return last
--- a/tests/platform/placers_under_load.py
+++ b/tests/platform/placers_under_load.py
@@ -1,4 +1,4 @@
-"""Three placers as processes under load, among two machines that note when they are offered a task."""
+"""Three placer processes under load, and two machines that record when they are offered a task."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from kelpfront.lab.fleet.settings import config_json
 from kelpfront.lab.platform import Json, Machine, Peer, accepts, event, line, member, offer
 
-NOTIFIED_S = 1.5  # three times what rule 3 gives: the host of the tests may be busy
-TASK_S = 0.1  # short tasks: capacity is not what is tested
+DRAIN_LIMIT_S = 1.5  # three times the limit of the platform's rule 3, because the test host may be busy
+TASK_DURATION_S = 0.1  # short, because the machines' capacity is not under test
 PLACERS = 3
 
 
-async def request_until(placer: PlacerProcess, numbers: list[int], stop: asyncio.Event) -> None:
-    """A client that sends a request every 20 ms wherever it is accepted."""
+async def send_requests_until(placer: PlacerProcess, request_count: list[int], stop: asyncio.Event) -> None:
+    """Send a request every 20 ms; reconnect whenever the connection is refused or closed."""
     while not stop.is_set():
         peer = await reached(placer)
         while peer is not None and not stop.is_set():
-            numbers[0] += 1
-            peer.say(offer(f"{numbers[0]:016x}", cls=("easy", "keyed", "once")[numbers[0] % 3]))
+            request_count[0] += 1
+            peer.say(offer(f"{request_count[0]:016x}", cls=("easy", "keyed", "once")[request_count[0] % 3]))
             await asyncio.sleep(0.02)
             if peer.writer.is_closing() or peer.reader.at_eof():
                 peer = None
@@ -35,7 +35,7 @@
 
 
 class PlacersUnderLoad:
-    """The placers, their machines m-1 and m-2, and the clients that go on whatever happens."""
+    """Three placers, two machines, and one client per placer that sends requests until `stop`."""
 
     def __init__(self, path: Path, service: ListService) -> None:
         self.offered_at: dict[str, list[float]] = {"m-1": [], "m-2": []}
@@ -54,10 +54,10 @@
         await accepts(machine, peer, message)
         if message["op"] == "offer":
             end = line("end", message["call"], why=16)
-            asyncio.get_running_loop().call_later(TASK_S, peer.say, end)
+            asyncio.get_running_loop().call_later(TASK_DURATION_S, peer.say, end)
 
     async def start(self) -> None:
-        """Starts all; returns when both machines have had some offers."""
+        """Start everything; return when both machines have received more than five offers."""
         for machine in self.machines:
             await machine.start()
         self.complete = event(1, *(member(m.name, m.address) for m in self.machines), whole=True)
@@ -71,15 +71,16 @@
             await placer.start()
         for placer in self.placers:
             (await ready(placer)).cut()
-        numbers = [0]
+        request_count = [0]
         self._clients = [
-            asyncio.create_task(request_until(placer, numbers, self._stop)) for placer in self.placers
+            asyncio.create_task(send_requests_until(placer, request_count, self._stop))
+            for placer in self.placers
         ]
         await until(lambda: all(len(times) > 5 for times in self.offered_at.values()))
 
     def offers_after(self, machine: str, notified_at: float) -> list[float]:
-        """When the machine was offered tasks past the time in which a drain is to be kept."""
-        return [at - notified_at for at in self.offered_at[machine] if at > notified_at + NOTIFIED_S]
+        """Return when the machine was offered tasks after the drain limit, in seconds since `notified_at`."""
+        return [at - notified_at for at in self.offered_at[machine] if at > notified_at + DRAIN_LIMIT_S]
 
     async def stop(self) -> None:
         self._stop.set()
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -1,7 +1,7 @@
-"""What comes between two lines of the placer in service: a close, an answer, a word that crosses its own.
+"""Events that cross on the connections of a running placer: closes, answers, withdrawals, duplicates.
 
-Each test forces the order. Where the loop must not run between two things, both are done in one turn of it.
-docs/design/platform.md has the table of these crossings.
+Each test forces the order of events. Where the event loop must not run between two events, the test causes
+both in one iteration. docs/design/platform.md has the table of these crossings.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from kelpfront.scheduling.events import AttemptOutcome
 
 SECOND = "00000000000000a2"
-LATER_S = 0.5  # for what must not come: over the 0.1 s after which a user counts it
+ABSENCE_WAIT_S = 0.5  # how long to wait for what must not happen; users count it after 0.1 s
 
 
 @pytest.fixture
@@ -36,7 +36,7 @@
 
 
 def receive_from_client(stage: Stage, *lines: bytes, conn: int = 1) -> None:
-    """What an client says, heard in this turn of the loop and not in the next."""
+    """Have the placer handle a client's lines in this iteration of the loop, not in the next."""
     placer = stage.running
     for data in lines:
         placer.core.on_client_message(placer.now(), conn, decode(data))
@@ -45,12 +45,12 @@
 
 
 def socket_of(writer: asyncio.StreamWriter) -> socket.socket:
-    """The socket of a stream, to act on it past the loop."""
+    """Return a duplicate of a stream's socket, to act on it without the event loop."""
     return socket.socket(fileno=os.dup(writer.get_extra_info("socket").fileno()))
 
 
 def fill(sock: socket.socket, data: bytes) -> None:
-    """Sends the same until the kernel takes no more of it."""
+    """Send `data` again and again until the kernel's buffer is full."""
     with contextlib.suppress(BlockingIOError):
         while True:
             sock.send(data)
@@ -60,15 +60,15 @@
     return list(stage.running.service.machines.pools[machine_id(name)].connections)
 
 
-def once_first() -> Json:
-    """Settings under which a task of class `once` may come back to a machine that has refused it."""
+def same_machine_retry_info() -> Json:
+    """Return settings under which a task of class `once` may return to a machine that has rejected it."""
     info = platforms.info()
     info["FamilyInfo"]["Precedence"] = [0, 2, 2]
     return info
 
 
-def refuses_first(*copies_after_s: float) -> Callable[[Machine, Peer, Json], Any]:
-    """The first offer is refused, and again after each of these times; the next is accepted 0.2 s later."""
+def reject_first_offer(*repeat_delays_s: float) -> Callable[[Machine, Peer, Json], Any]:
+    """Return a script that rejects the first offer, repeats that after delays, and accepts the next offer."""
 
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] != "offer":
@@ -76,10 +76,10 @@
         if len(machine.offers()) > 1:
             asyncio.get_running_loop().call_later(0.2, peer.say, line("accept", message["call"], desc="good"))
             return
-        refusal = line("end", message["call"], why=34, with_={"note": "nh"})
-        peer.say(refusal)
-        for after_s in copies_after_s:
-            asyncio.get_running_loop().call_later(after_s, peer.say, refusal)
+        rejection = line("end", message["call"], why=34, with_={"note": "nh"})
+        peer.say(rejection)
+        for delay_s in repeat_delays_s:
+            asyncio.get_running_loop().call_later(delay_s, peer.say, rejection)
 
     return script
 
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
 async def test_an_offer_is_not_written_to_a_connection_whose_end_is_unread(stage: Stage, how: str) -> None:
-    """Guards against an unsafe task lost on an idle connection that its machine has just closed."""
+    """Guards against a lost task: a non-idempotent offer on an idle connection that was just closed."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
@@ -108,36 +108,36 @@
 
 
 async def test_nothing_is_written_behind_bytes_that_a_machine_does_not_read(stage: Stage) -> None:
-    """Guards against a set-up that leaves a buffer when its machine drains and its client is gone."""
+    """Guards against an offer that leaves a send buffer after its machine drains or its client has left."""
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
     machine = stage.machines["m-1"]
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
-    (wire,) = connections_to(stage, "m-1")
-    wire.writer.write(b"\n" * (16 << 20))
-    assert wire.unsent_bytes
+    (connection,) = connections_to(stage, "m-1")
+    connection.writer.write(b"\n" * (16 << 20))
+    assert connection.unsent_bytes
     client.say(offer(SECOND, cls="once"))
     (accepted,) = await ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened == 2
 
 
-async def test_an_offer_that_a_full_socket_does_not_take_was_not_executed(stage: Stage) -> None:
-    """Guards against an unsafe task given up for lost, or sent late, of which not a byte has come."""
+async def test_an_offer_that_does_not_fit_into_a_full_socket_counts_as_not_executed(stage: Stage) -> None:
+    """Guards against a non-idempotent task that counts as lost, or is sent late, with no byte sent so far."""
     machine = Machine("m-1")
-    placer = await stage.start(machine, settings=once_first())
+    placer = await stage.start(machine, settings=same_machine_retry_info())
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
-    (wire,) = connections_to(stage, "m-1")
-    with socket_of(wire.writer) as sock:
+    (connection,) = connections_to(stage, "m-1")
+    with socket_of(connection.writer) as sock:
         sock.setblocking(False)  # noqa: FBT003 - takes it by position only
         fill(sock, b"\n" * 65_536)
-        fill(sock, b"\n")  # to the last byte: a request must not fit any more
-        assert not wire.unsent_bytes
+        fill(sock, b"\n")  # to the last byte, so that no offer fits any more
+        assert not connection.unsent_bytes
         receive_from_client(stage, offer(SECOND, cls="once"))
     (accepted,) = await ops(client, "accept")
     assert accepted["call"] == SECOND
@@ -146,43 +146,43 @@
 
 
 @pytest.mark.parametrize("how", ["closes", "withdraws"])
-async def test_an_offer_still_in_our_kernel_does_not_arrive_after_its_client_has_left(
+async def test_an_offer_still_in_the_placers_kernel_does_not_arrive_after_its_client_has_left(
     stage: Stage, how: str
 ) -> None:
-    """As behind a connection that only seemed up, or was cut off: guards against an attempt seconds later."""
+    """Guards against an attempt that arrives seconds late on a connection that was broken or cut off."""
     machine = Machine("m-1")
-    placer = await stage.start(machine, settings=once_first())
+    placer = await stage.start(machine, settings=same_machine_retry_info())
     client, other = await placer.client(), await placer.client()
     client.say(offer())
     await ops(client, "accept")
-    taken = machine.peers[0].reader._transport  # type: ignore[attr-defined]
-    taken.pause_reading()
-    (wire,) = connections_to(stage, "m-1")
+    machine_transport = machine.peers[0].reader._transport  # type: ignore[attr-defined]
+    machine_transport.pause_reading()
+    (connection,) = connections_to(stage, "m-1")
     filler = line("info", "00000000000000f1")
-    with socket_of(wire.writer) as sock:
+    with socket_of(connection.writer) as sock:
         sock.setblocking(False)  # noqa: FBT003 - takes it by position only
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 16_384)
         sent, idle = 0, 0
-        while idle < 10:  # the machine's end may make room for more a few times
+        while idle < 10:  # the machine's receive buffer may grow a few times
             try:
                 sent += sock.send((filler * 300)[sent % len(filler) :])
                 idle = 0
             except BlockingIOError:
                 idle += 1
                 await asyncio.sleep(0.02)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 131_072)  # room for more, on this side alone
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 131_072)  # space for more, on this side only
         sock.send(filler[sent % len(filler) :])
         other.say(offer(SECOND, cls="once"))
         await until(lambda: placer.core.counters.attempts == 2)
-        assert not wire.unsent_bytes
-        assert wire.has_unacknowledged_bytes
+        assert not connection.unsent_bytes
+        assert connection.has_unacknowledged_bytes
     if how == "closes":
         other.cut()
     else:
         other.say(line("end", SECOND, why=16))
     await until(lambda: placer.core.counters.withdrawn)
-    taken.resume_reading()
-    await until(lambda: machine.opened > 1)  # the task that stands there is listened to anew
+    machine_transport.resume_reading()
+    await until(lambda: machine.opened > 1)  # the placer reconnects because of the task that runs there
     third = await placer.client()
     third.say(offer("00000000000000a3"))
     await ops(third, "accept")
@@ -193,9 +193,9 @@
 async def test_a_second_rejection_of_one_attempt_does_not_end_the_next_on_the_same_machine(
     stage: Stage, after_s: float
 ) -> None:
-    """Guards against attempts of one call being mixed up: all bear its id."""
-    machine = Machine("m-1", refuses_first(after_s))
-    placer = await stage.start(machine, settings=once_first())
+    """Guards against mixing up the attempts of one request, which all have its id."""
+    machine = Machine("m-1", reject_first_offer(after_s))
+    placer = await stage.start(machine, settings=same_machine_retry_info())
     client = await placer.client()
     client.say(offer(cls="once"))
     (accepted,) = await ops(client, "accept")
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize("after_s", [0.005, 0.05])
-async def test_a_second_acceptance_is_no_second_answer(stage: Stage, after_s: float) -> None:
+async def test_a_duplicate_acceptance_causes_no_second_answer(stage: Stage, after_s: float) -> None:
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             copy = line("accept", message["call"], desc="good")
@@ -220,13 +220,13 @@
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
-    await until(lambda: placer.core.counters.unexpected_accepts == 2)  # of nobody, and the copy
+    await until(lambda: placer.core.counters.unexpected_accepts == 2)  # unknown id, duplicate
     client.say(line("test", "00000000000000f0", why=0))
-    await ops(client, "tested")  # and nothing before it
+    await ops(client, "tested")  # and no other message before it
 
 
-def slow_info(connect_ms: float = 10_000.0) -> Json:
-    """Settings under which a connection may take long to come up, and clients wait for longer."""
+def slow_connect_info(connect_ms: float = 10_000.0) -> Json:
+    """Return settings under which connecting may take long, and clients wait longer than that."""
     info = platforms.info()
     info["Permissions"]["ConnectTimeoutMs"] = connect_ms
     for category in info["Categories"]:
@@ -234,10 +234,10 @@
     return info
 
 
-async def test_a_request_that_waits_for_its_connection_takes_one_that_is_free(
+async def test_a_request_that_waits_for_a_connection_uses_another_that_becomes_idle(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a connection that never comes up holding a set-up beside one that is idle."""
+    """Guards against a request that waits for a connection that is never established beside an idle one."""
     answers: list[Peer] = []
 
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
@@ -246,7 +246,7 @@
         else:
             await accepts(machine, peer, message)
 
-    placer = await stage.start(Machine("m-1", script), settings=slow_info())
+    placer = await stage.start(Machine("m-1", script), settings=slow_connect_info())
     client = await placer.client()
     dials = Dials(stage, monkeypatch, prompt=1)
     client.say(offer(left="20000"))
@@ -260,10 +260,10 @@
     dials.up.set()
 
 
-async def test_a_connection_that_never_comes_up_costs_its_timeout_and_proves_that_nothing_was_executed(
+async def test_an_attempt_whose_connection_times_out_counts_as_not_executed(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    placer = await stage.start(Machine("m-1"), Machine("m-2"), settings=slow_info(50.0))
+    placer = await stage.start(Machine("m-1"), Machine("m-2"), settings=slow_connect_info(50.0))
     dials = Dials(stage, monkeypatch, prompt=0)
     client = await placer.client()
     client.say(offer(cls="once", left="20000"))
@@ -278,22 +278,23 @@
 async def test_a_retry_with_an_idempotency_key_is_not_sent_after_its_window(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, *, comes_up: bool
 ) -> None:
-    """The first attempt broke and may have run; the connection for the second takes longer than the window.
+    """Guards against a retry after the idempotency window has expired.
 
-    Seen with a window of 0.9 s (deploy/sites/short-deadlines), zone+mass and join+mass, seed 301.
+    The first attempt breaks and may have run; connecting for the second takes longer than the window. This
+    occurred with a window of 0.9 s (deploy/sites/short-deadlines), zone+mass and join+mass, seed 301.
     """
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             peer.cut()
 
-    info = slow_info()
+    info = slow_connect_info()
     info["Categories"][1] |= {"WindowMs": 400.0, "Group": "all"}
     placer = await stage.start(Machine("m-1", script), Machine("m-2", script), settings=info)
     dials = Dials(stage, monkeypatch, prompt=1)
     client = await placer.client()
     client.say(offer(cls="keyed", left="20000"))
-    (failed,) = await ops(client, "end")  # at once when the window is over, and long before its deadline
+    (failed,) = await ops(client, "end")  # as soon as the window has expired, long before the deadline
     assert failed["why"] == 41
     assert dials.begun >= 2
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.NOT_SENT] == 1
@@ -304,34 +305,34 @@
     assert sum(len(machine.offers()) for machine in stage.machines.values()) == 1
 
 
-async def test_a_task_ends_at_its_machine_though_the_connection_breaks_under_the_message(
+async def test_a_task_ends_at_its_machine_although_the_connection_breaks_during_the_end(
     stage: Stage,
 ) -> None:
-    """Guards against a task that stands for nobody: its client has ended it and will not ask again."""
+    """Guards against a task that runs for nobody: its client has ended it and will not repeat that."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
 
-    async def breaks(machine: Machine, peer: Peer, message: Json) -> None:
+    async def cut_on_end(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "end":
             machine.script = accepts
             peer.cut()
 
-    machine.script = breaks
+    machine.script = cut_on_end
     client.say(line("end", CALL, why=31))
     await ops(client, "ended")
     await until(lambda: not placer.core.requests)
     assert machine.opened > 1
 
 
-async def test_a_connection_that_ends_as_it_comes_up_keeps_no_request(
+async def test_no_request_waits_for_a_connection_that_ends_as_soon_as_it_is_established(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a set-up that waits for a connection when none is under way: it goes elsewhere.
+    """Guards against a request that waits for a connection although none is being opened.
 
-    The end is there before the set-up could be written, so nothing ran.
+    The connection ends before the offer can be written, so nothing ran and the request goes elsewhere.
     """
     opens = asyncio.open_connection
 
@@ -357,7 +358,7 @@
     assert stage.machines["m-1"].offers() == []
 
 
-# ---- An client that has left -------------------------------------------------------------------------------
+# ---- A client that has left --------------------------------------------------------------------------------
 
 
 async def withdraws(client: Peer) -> None:
@@ -378,28 +379,28 @@
     client.cut()
 
 
-LEAVES = pytest.mark.parametrize("leave", [withdraws, half_closes, closes, resets])
+WAYS_OF_LEAVING = pytest.mark.parametrize("leave", [withdraws, half_closes, closes, resets])
 
 
-@LEAVES
+@WAYS_OF_LEAVING
 async def test_nothing_is_sent_for_a_client_that_left_before_the_connection_came_up(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, leave: Callable[[Peer], Any]
 ) -> None:
     machine = Machine("m-1")
-    placer = await stage.start(machine, settings=slow_info())
+    placer = await stage.start(machine, settings=slow_connect_info())
     dials = Dials(stage, monkeypatch, prompt=0)
     client = await placer.client()
     client.say(offer(left="20000"))
     await until(lambda: dials.begun)
     await leave(client)
-    dials.up.set()  # at once, and not when it has been heard
+    dials.up.set()  # at once, before the placer has read that the client left
     await until(lambda: machine.opened)
     await until(lambda: placer.core.counters.withdrawn)
-    await asyncio.sleep(LATER_S)
+    await asyncio.sleep(ABSENCE_WAIT_S)
     assert machine.offers() == []
 
 
-@LEAVES
+@WAYS_OF_LEAVING
 async def test_nothing_is_sent_for_a_client_that_left_while_no_machine_was_ready(
     stage: Stage, leave: Callable[[Peer], Any]
 ) -> None:
@@ -415,15 +416,15 @@
     stage.coordinator.events.append(event(index + 2, member("m-1", machine.address)))
     await until(lambda: placer.core.endpoints.index == index + 2)
     await until(lambda: placer.core.counters.withdrawn)
-    await asyncio.sleep(LATER_S)
+    await asyncio.sleep(ABSENCE_WAIT_S)
     assert machine.offers() == []
 
 
-@LEAVES
+@WAYS_OF_LEAVING
 async def test_nothing_is_sent_for_a_client_that_left_between_two_attempts(
     stage: Stage, leave: Callable[[Peer], Any]
 ) -> None:
-    """The first machine has refused, and no other has room yet."""
+    """The first machine has rejected the request, and no other has capacity yet."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
@@ -441,13 +442,13 @@
     stage.coordinator.events.append(event(index + 1, member("m-2", other.address)))
     await until(lambda: placer.core.endpoints.index == index + 1)
     await until(lambda: placer.core.counters.withdrawn)
-    await asyncio.sleep(LATER_S)
+    await asyncio.sleep(ABSENCE_WAIT_S)
     assert other.offers() == []
     assert len(machine.offers()) == 1
 
 
 async def test_the_end_of_a_connection_is_noticed_behind_many_lines_of_one_read(stage: Stage) -> None:
-    """More than is read in one go, while nothing can be offered: the end lies behind a paused reader."""
+    """The client sends more than one read takes, and no machine is ready: a paused reader hides the end."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     index = placer.core.endpoints.index
@@ -459,11 +460,11 @@
     await until(lambda: placer.core.counters.requests == 1_000 and not placer.core.requests.unanswered_count)
     stage.coordinator.events.append(event(index + 2, member("m-1", machine.address)))
     await until(lambda: placer.core.endpoints.index == index + 2)
-    await asyncio.sleep(LATER_S)
+    await asyncio.sleep(ABSENCE_WAIT_S)
     assert machine.offers() == []
 
 
-# ---- An client's connection that closes --------------------------------------------------------------------
+# ---- A client's connection that closes ---------------------------------------------------------------------
 
 
 def client_writer(stage: Stage, conn: int) -> asyncio.StreamWriter:
@@ -472,14 +473,14 @@
 
 
 def receive_from_machine(stage: Stage, data: bytes) -> None:
-    """What the machine says, heard in this turn of the loop and not in the next."""
+    """Have the placer handle a machine's line in this iteration of the loop, not in the next."""
     pool = stage.running.service.machines.pools[machine_id("m-1")]
     pool._on_message(next(iter(pool.connections)), decode(data))
     stage.running.service._runner.flush()
 
 
-async def test_a_task_end_goes_by_another_connection_where_its_own_is_closing(stage: Stage) -> None:
-    """Guards against a release that is owed and was dropped without a word, its close not reported yet."""
+async def test_a_task_end_is_sent_on_another_connection_if_its_own_is_closing(stage: Stage) -> None:
+    """Guards against a task end that is dropped silently before the close of its connection is reported."""
     placer = await stage.start(Machine("m-1"))
     first, second = await placer.client(), await placer.client()
     second.say(line("test", "00000000000000f0", why=0))
@@ -493,7 +494,7 @@
     assert ended["why"] == 16
 
 
-async def test_a_task_end_waits_where_no_connection_is_left(stage: Stage) -> None:
+async def test_a_task_end_waits_if_no_connection_is_left(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer())
@@ -505,7 +506,7 @@
 
 
 async def test_a_task_whose_acceptance_cannot_be_delivered_is_ended(stage: Stage) -> None:
-    """Its client counts it as given up with its connection; the machine has to hear so."""
+    """The client regards the request as withdrawn with its connection; the machine must be notified."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "end":
@@ -523,11 +524,14 @@
     assert placer.core.counters.placed_without_client == 1
 
 
-# ---- The end of a life ------------------------------------------------------------------------------------
+# ---- Shutdown ---------------------------------------------------------------------------------------------
 
 
 async def test_late_requests_to_a_draining_placer_are_rejected_at_once(stage: Stage) -> None:
-    """Guards against set-ups that a kill finds unanswered: tasks stand, it lives on, and clients may come."""
+    """Guards against requests that are unanswered when the placer is killed.
+
+    While tasks run, a draining placer continues to run, and clients may still connect.
+    """
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
@@ -539,12 +543,12 @@
     await until(lambda: placer.core.client_messages.is_closing)
     for number, peer in enumerate((client, await placer.client())):
         peer.say(offer(f"{number:016x}"))
-        (refused,) = await ops(peer, "end")
-        assert refused["why"] == 42
+        (rejected,) = await ops(peer, "end")
+        assert rejected["why"] == 42
     assert len(machine.offers()) == 2
     for call in (CALL, SECOND):
         machine.peers[0].say(line("end", call, why=16))
-    await ops(client, "end", "end")  # and what stood is still looked after
+    await ops(client, "end", "end")  # the tasks that ran are still tracked
     assert placer.task is not None
     await placer.task
 
@@ -552,32 +556,32 @@
 async def test_a_draining_placer_answers_what_is_queued_connecting_and_sent(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Waiting for a machine with room, for a connection, and for an answer: each gets its own."""
-    held: list[Peer] = []
+    """Requests that wait for a machine with capacity, a connection, or an answer each get their answer."""
+    pending_peers: list[Peer] = []
 
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer" and message["call"] == CALL:
-            held.append(peer)
+            pending_peers.append(peer)
         else:
             await accepts(machine, peer, message)
 
-    info = slow_info()
+    info = slow_connect_info()
     info["Categories"][0]["DeadlineMs"] = 3_000.0
     placer = await stage.start(Machine("m-1", script), settings=info)
     dials = Dials(stage, monkeypatch, prompt=1)
     client = await placer.client()
     client.say(offer(left="20000"))
-    await until(lambda: held)
+    await until(lambda: pending_peers)
     client.say(offer(SECOND, left="20000"))
     await until(lambda: dials.begun == 2)
     client.say(
         offer("00000000000000a3", left="1500", extras="cores:22;memory:40;service:1")
-    )  # no room for it
+    )  # no machine has the capacity
     await until(lambda: placer.core.requests.unanswered_count == 3)
     placer.service._shutdown.set()
     await until(lambda: placer.core.client_messages.is_closing)
     dials.up.set()
-    held[0].say(line("accept", CALL, desc="late"))
+    pending_peers[0].say(line("accept", CALL, desc="late"))
     answers = {
         m["call"]: m["op"] for m in [await client.read(), await client.read(), await client.read()] if m
     }
@@ -585,7 +589,7 @@
 
 
 async def test_a_buffered_answer_is_sent_before_the_placer_ends(stage: Stage) -> None:
-    """An client that reads slowly gets what was written; one that never reads holds nobody up for long."""
+    """A slow client receives what was written; one that never reads does not delay the shutdown for long."""
     placer = await stage.start(Machine("m-1"))
     slow, never = await placer.client(), await placer.client()
     for peer in (slow, never):
@@ -613,7 +617,7 @@
 # ---- Answers and floods -----------------------------------------------------------------------------------
 
 
-async def test_an_answer_counts_though_its_connection_is_reset_right_after_it(stage: Stage) -> None:
+async def test_an_answer_counts_although_its_connection_is_reset_right_after_it(stage: Stage) -> None:
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             peer.say(line("accept", message["call"], desc="good"))
@@ -627,16 +631,16 @@
     client.say(offer(cls="once"))
     (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "good"
-    await until(lambda: machine.opened > 1)  # its task stands: the machine is reached again
+    await until(lambda: machine.opened > 1)  # the placer reconnects because of the running task
 
 
-async def test_a_machine_that_hangs_costs_no_client_its_answer(stage: Stage) -> None:
-    """It takes connections and set-ups and says nothing. What may be repeated goes elsewhere."""
+async def test_every_client_gets_an_answer_although_a_machine_hangs(stage: Stage) -> None:
+    """The machine accepts connections and offers, but never answers. Harmless retries go elsewhere."""
 
-    async def hangs(_machine: Machine, peer: Peer, message: Json) -> None:
+    async def never_answer(_machine: Machine, peer: Peer, message: Json) -> None:
         pass
 
-    await stage.start(Machine("m-1", hangs), Machine("m-2"))
+    await stage.start(Machine("m-1", never_answer), Machine("m-2"))
     client = await stage.running.client()
     calls = {f"{number:016x}": ("easy", "keyed", "once")[number % 3] for number in range(1, 13)}
     for call, cls in calls.items():
@@ -644,27 +648,27 @@
     answers = {m["call"]: m for m in [await client.read() for _ in calls] if m is not None}
     assert set(answers) == set(calls)
     assert all(answers[call]["op"] == "accept" for call, cls in calls.items() if cls == "easy")
-    hung = {message["call"] for message in stage.machines["m-1"].offers()}
-    assert all(answers[call]["why"] == 41 for call in hung if calls[call] == "once")
+    unanswered = {message["call"] for message in stage.machines["m-1"].offers()}
+    assert all(answers[call]["why"] == 41 for call in unanswered if calls[call] == "once")
 
 
 async def test_a_flood_of_requests_leaves_other_clients_served(stage: Stage) -> None:
-    """500 connections that say nothing, and 300 set-ups withdrawn in one breath by one that reads on."""
+    """500 connections are silent, and another client sends and withdraws 300 requests in one write."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
     machine = Machine("m-1")
     placer = await stage.start(machine, limits=limits)
-    usual = await placer.client()
-    usual.say(offer())
-    await ops(usual, "accept")
+    other_client = await placer.client()
+    other_client.say(offer())
+    await ops(other_client, "accept")
     silent = [await placer.client() for _ in range(500)]
-    flood = await placer.client()
+    flooding_client = await placer.client()
     calls = [f"{number:016x}" for number in range(0x1000, 0x1000 + 300)]
-    flood.say(b"".join(offer(call) + line("end", call, why=16) for call in calls))
-    flood.say(line("test", "00000000000000f0", why=0))
-    usual.say(offer(SECOND))
-    (accepted,) = await ops(usual, "accept")
+    flooding_client.say(b"".join(offer(call) + line("end", call, why=16) for call in calls))
+    flooding_client.say(line("test", "00000000000000f0", why=0))
+    other_client.say(offer(SECOND))
+    (accepted,) = await ops(other_client, "accept")
     assert accepted["call"] == SECOND
-    while (message := await flood.read()) is not None and message["op"] != "tested":
+    while (message := await flooding_client.read()) is not None and message["op"] != "tested":
         pass
     assert message is not None
     ends = [asyncio.create_task(peer.read()) for peer in silent]
--- a/tests/platform/test_platform_descriptors.py
+++ b/tests/platform/test_platform_descriptors.py
@@ -1,4 +1,4 @@
-"""A placer's descriptors: whoever fills them, what it needs itself is to be had."""
+"""A placer keeps the descriptors that it needs for its own use, whoever uses up the others."""
 
 from __future__ import annotations
 
@@ -39,35 +39,35 @@
 from kelpfront.platform.intents import SendHealthCheck
 
 IDLE_CLIENTS = 300
-HALF_A_LINE = b'{"op":"offer","ca'
+PARTIAL_LINE = b'{"op":"offer","ca'
 
 
-class Crowd:
-    """Clients that come and hold on: a third says nothing, one asks once, one stops in a line.
+class IdleClients:
+    """Clients that keep connections open; a third each is silent, tests once, or sends part of a line.
 
-    Whoever is closed comes again.
+    Clients whose connection is closed reconnect.
     """
 
     def __init__(self, port: int) -> None:
-        self._port, self.held = port, 0
-        self._jobs = [asyncio.create_task(self._hold(number)) for number in range(IDLE_CLIENTS)]
+        self._port, self.open_count = port, 0
+        self._jobs = [asyncio.create_task(self._hold_connection(number)) for number in range(IDLE_CLIENTS)]
 
-    async def _hold(self, number: int) -> None:
-        said = (b"", line("test", f"{number:016x}", why=0), HALF_A_LINE)[number % 3]
+    async def _hold_connection(self, number: int) -> None:
+        sent = (b"", line("test", f"{number:016x}", why=0), PARTIAL_LINE)[number % 3]
         while True:
             with contextlib.suppress(OSError):
                 reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
-                self.held += 1
+                self.open_count += 1
                 try:
-                    writer.write(said)
+                    writer.write(sent)
                     while await reader.read(4096):
                         pass
                 finally:
-                    self.held -= 1
+                    self.open_count -= 1
                     writer.transport.abort()
             await asyncio.sleep(0.05)
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         for job in self._jobs:
             job.cancel()
         await asyncio.gather(*self._jobs, return_exceptions=True)
@@ -75,13 +75,13 @@
 
 @dataclass
 class Scene:
-    """A placer with just so many descriptors, the list service, and more machines than it has descriptors."""
+    """A placer with a descriptor limit, the list service, and more machines than that limit."""
 
     path: Path
     service: ListService = field(default_factory=ListService)
     machines: list[Machine] = field(default_factory=list)
     placer: PlacerProcess | None = None
-    crowd: Crowd | None = None
+    idle_clients: IdleClients | None = None
     most_open: int = 0
 
     async def start(self, sockets: int, count: int, script: Script = accepts) -> PlacerProcess:
@@ -105,7 +105,7 @@
         return self.placer
 
     async def watch(self, stop: asyncio.Event) -> None:
-        """The most descriptors that the placer was seen with."""
+        """Record the highest number of open descriptors of the placer until `stop` is set."""
         assert self.placer is not None
         while not stop.is_set():
             with contextlib.suppress(OSError):
@@ -113,8 +113,8 @@
             await asyncio.sleep(0.002)
 
     async def stop(self) -> None:
-        if self.crowd is not None:
-            await self.crowd.leave()
+        if self.idle_clients is not None:
+            await self.idle_clients.stop()
         if self.placer is not None:
             await self.placer.kill()
         for machine in self.machines:
@@ -130,7 +130,7 @@
 
 
 async def is_served(placer: PlacerProcess, number: int) -> bool:
-    """Whether an client that comes anew gets its task placed; it may be asked to come again."""
+    """Return whether a new client gets its task placed; it may have to reconnect."""
     async with asyncio.timeout(20.0):
         while True:
             with contextlib.suppress(OSError, TimeoutError):
@@ -150,21 +150,21 @@
 async def test_idle_clients_in_a_discovery_outage_leave_descriptors_for_the_placers_own_use(
     scene: Scene, sockets: int, outage: str
 ) -> None:
-    """Guards against a placer that cannot ask for the list, dial, log or accept: all were taken by idle ones.
+    """Guards against idle clients that use up the descriptors for polls, machines, logs and accepts.
 
-    It has tasks on more machines than it has descriptors.
+    The placer has tasks on more machines than it has descriptors.
     """
     placer = await scene.start(sockets, count=sockets)
     client = await ready(placer)
     stop = asyncio.Event()
     watching = asyncio.create_task(scene.watch(stop))
     if outage == "silent":
-        scene.service.rate = 0.001  # an answer each 1,000 s
+        scene.service.rate = 0.001  # one answer per 1,000 s
     else:
         await scene.service.stop()
     for number, machine in enumerate(scene.machines):
         client.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{machine.name}"))
-    scene.crowd = Crowd(placer.port)
+    scene.idle_clients = IdleClients(placer.port)
     await until(lambda: b"coordinator lost" in placer.log_path.read_bytes())
     for number in range(20):
         assert await is_served(placer, 0xA0000 + 0x100 * number)
@@ -192,21 +192,21 @@
     sockets=st.integers(64, 4096),
     at_start=st.integers(0, 30),
     steps=st.lists(st.sampled_from(["client", "machine", "client idles", "client left", "machine closed"])),
-    crowd=st.integers(0, 4096),
+    initial_clients=st.integers(0, 4096),
 )
-def test_no_order_of_connections_takes_what_the_placer_itself_needs(
-    sockets: int, at_start: int, steps: list[str], crowd: int
+def test_no_order_of_connections_uses_the_descriptors_reserved_for_the_placer(
+    sockets: int, at_start: int, steps: list[str], initial_clients: int
 ) -> None:
-    """Guards against shares that come to more than there is. Whoever holds on idles; others are in use."""
+    """Guards against shares that exceed the descriptors. The initial clients are idle, later ones in use."""
     shares = DescriptorShares.of(sockets, at_start)
-    own = max(RESERVED_FOR_FILES, at_start + OPENED_AFTER_START) + RESERVED_FOR_POLLS
-    assert shares.total + 2 * shares.burst + own <= sockets or shares.total == 4
+    reserved = max(RESERVED_FOR_FILES, at_start + OPENED_AFTER_START) + RESERVED_FOR_POLLS
+    assert shares.total + 2 * shares.burst + reserved <= sockets or shares.total == 4
     assert shares.min_clients >= 2
     assert shares.machines >= 2
-    idle, used, machines = min(crowd, shares.clients_beside(0)), 0, 0
-    for step in [*["machine"] * min(crowd, 60), *steps]:
+    idle, used, machines = min(initial_clients, shares.clients_beside(0)), 0, 0
+    for step in [*["machine"] * min(initial_clients, 60), *steps]:
         match step:
-            case "client":  # one that comes, and is in use from then on
+            case "client":  # a new client, in use from then on
                 while idle and idle + used >= shares.clients_beside(machines):
                     idle -= 1
                 used += idle + used < shares.clients_beside(machines)
@@ -224,7 +224,7 @@
     assert shares.clients_beside(machines) >= min(MIN_CLIENT_CONNECTIONS, shares.total // 2)
 
 
-def test_machines_past_their_limit_or_beside_clients_in_use_get_no_descriptor() -> None:
+def test_machines_above_their_limit_or_with_too_many_clients_in_use_get_no_descriptor() -> None:
     shares = DescriptorShares.of(64)
     assert shares.machine_may_open(shares.max_machines - 1, shares.min_clients)
     assert not shares.machine_may_open(shares.max_machines, 0)
@@ -232,7 +232,7 @@
 
 
 async def test_a_pool_that_has_to_send_gets_a_descriptor_before_those_that_only_receive() -> None:
-    """Guards against a sign of life that waits behind a thousand machines that have nothing to say."""
+    """Guards against a health check that waits behind a thousand machines that have nothing to send."""
     order: list[str] = []
 
     class Pool:
@@ -249,7 +249,7 @@
     for pool, to_send in zip(pools, (False, False, False, True), strict=True):
         budget.wait(pool, to_send=to_send)
     budget.wait(pools[2], to_send=True)
-    budget.wait(pools[2], to_send=False)  # it stays where it is
+    budget.wait(pools[2], to_send=False)  # it keeps its place
     budget.in_use = 2
     budget.release()
     budget.release()
@@ -258,35 +258,35 @@
     assert budget.in_use == 0
 
 
-async def test_a_pool_whose_message_was_given_up_holds_up_no_pool_that_has_to_send() -> None:
+async def test_a_pool_whose_message_was_abandoned_delays_no_pool_that_has_to_send() -> None:
     limits = SimpleNamespace(reached=lambda _limit: None)
     core: Any = SimpleNamespace(has_running_tasks=lambda _machine: True, limits=limits)
     budget = DescriptorBudget(0, lambda: False)
     context = PoolContext(CoreAccess(core, lambda: 0.0, lambda: None), budget, BackgroundTasks(), 1.0, 1.0)
     address = Address("127.0.0.1", 9)
-    given_up, sends = ConnectionPool(1, address, context), ConnectionPool(2, address, context)
+    abandoned, sends = ConnectionPool(1, address, context), ConnectionPool(2, address, context)
     test = SendHealthCheck(2, "00000000000000a1", b"")
-    budget.wait(given_up, to_send=True)
+    budget.wait(abandoned, to_send=True)
     sends.send(test)
     tried: list[ConnectionPool] = []
-    for pool in (given_up, sends):
-        pool.try_again = partial(_tried, tried, pool, pool.try_again)  # type: ignore[method-assign]
+    for pool in (abandoned, sends):
+        pool.try_again = partial(_record_and_try, tried, pool, pool.try_again)  # type: ignore[method-assign]
     budget.serve_waiting()
-    assert tried[:2] == [given_up, sends]
+    assert tried[:2] == [abandoned, sends]
     tried.clear()
     budget.serve_waiting()
-    assert tried == [sends, given_up]
+    assert tried == [sends, abandoned]
 
 
-def _tried(tried: list[ConnectionPool], pool: ConnectionPool, again: Callable[[], None]) -> None:
+def _record_and_try(tried: list[ConnectionPool], pool: ConnectionPool, again: Callable[[], None]) -> None:
     tried.append(pool)
     again()
 
 
 async def test_the_ends_of_tasks_on_more_machines_than_descriptors_are_all_received(scene: Scene) -> None:
-    """Guards against a machine that is held for dead, as all descriptors are kept for others.
+    """Guards against a machine that is considered dead because all descriptors are used for other machines.
 
-    Each says that its task is over when it is asked whether it lives, and not before.
+    Each machine reports the end of its task when it receives a health check, not before.
     """
 
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
--- a/tests/platform/test_platform_invalid_clients.py
+++ b/tests/platform/test_platform_invalid_clients.py
@@ -1,4 +1,4 @@
-"""Requests and messages of invalid clients in the core, without sockets."""
+"""Invalid requests and messages of clients in the core, without sockets."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert not stage.intents_of(Offer)
 
 
-def test_the_id_of_an_open_request_on_another_connection_harms_nothing() -> None:
+def test_a_request_with_the_id_of_an_open_one_on_another_connection_does_not_affect_it() -> None:
     stage = Stage()
     stage.core.sessions.open(stage.now, 2, "127.0.0.66")
     stage.client(offer())
@@ -45,7 +45,7 @@
 
 
 def test_errors_on_requests_of_an_unknown_client_eject_no_machine() -> None:
-    """Guards against bad clients that no check can tell: machines err on them, and are well."""
+    """Guards against ejecting healthy machines that return errors for requests which no check detects."""
     stage = Stage()
     stage.core.sessions.open(stage.now, 2, "127.0.0.66")
     for conn, call in ((2, "00000000000000b1"), (2, "00000000000000b2"), (2, "00000000000000b3")):
@@ -58,15 +58,15 @@
         stage.client(offer(call, cls="once"))
         if any(
             intent.request_id == call for intent in stage.intents_of(Offer)
-        ):  # none is sent once both are set aside
+        ):  # no offer is made after both machines are ejected
             stage.machine(stage.send_offer(call).machine, "end", call, why=47)
     assert any(
         isinstance(record, MachineEjected) and record.scope == "once" for record in stage.core.log.drain()
     )
 
 
-def test_machines_that_end_in_order_what_never_ran_are_not_ejected() -> None:
-    """Guards against a fleet set aside for tasks that are over: all machines end them in milliseconds."""
+def test_machines_that_normally_end_tasks_which_never_ran_are_not_ejected() -> None:
+    """Guards against ejecting all machines because they end tasks normally within milliseconds."""
     stage = Stage()
     for number in range(0xD1, 0xD6):
         call = f"{number:016x}"
--- a/tests/platform/test_platform_messages.py
+++ b/tests/platform/test_platform_messages.py
@@ -1,4 +1,4 @@
-"""Lines of the protocol to typed messages and back, without sockets."""
+"""Decoding and encoding of protocol lines, without sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_a_named_error(data: bytes) -> None:
+def test_any_bytes_decode_to_a_message_or_raise_an_error_with_a_text(data: bytes) -> None:
     message, error = None, ""
     try:
         message = decode(data)
@@ -71,9 +71,9 @@
         messages.parse_request(decode(offer(**changes)), config(member("m-1")).settings)
 
 
-def test_an_offer_holds_only_what_machines_are_to_see() -> None:
-    asked = messages.parse_request(decode(offer(cls="keyed")), config(member("m-1")).settings)
-    sent = json.loads(asked.encode_offer("keyed", 812.4))
+def test_an_offer_contains_only_the_fields_for_machines() -> None:
+    request = messages.parse_request(decode(offer(cls="keyed")), config(member("m-1")).settings)
+    sent = json.loads(request.encode_offer("keyed", 812.4))
     assert sent == {
         "op": "offer",
         "call": CALL,
@@ -83,44 +83,44 @@
 
 
 def test_load_reports_and_outcomes_of_machines() -> None:
-    def said(**fields: Any) -> messages.Message:
+    def end_message(**fields: Any) -> messages.Message:
         return decode(line("end", **fields))
 
-    assert messages.parse_load(said(with_={"load": "x0:12;x1:40;queue:3;new:9;x1:nan"})) == LoadReport(
+    assert messages.parse_load(end_message(with_={"load": "x0:12;x1:40;queue:3;new:9;x1:nan"})) == LoadReport(
         12.0, 40.0, 3.0
     )
-    assert messages.parse_load(said(with_={"load": ";:;x0:a"})) is None
-    assert messages.parse_outcome(said(why=34, with_={"note": "nm"}), accepted=False) == (
+    assert messages.parse_load(end_message(with_={"load": ";:;x0:a"})) is None
+    assert messages.parse_outcome(end_message(why=34, with_={"note": "nm"}), accepted=False) == (
         AttemptOutcome.REJECTED,
         OutcomeReason.NO_MEMORY,
     )
-    assert messages.parse_outcome(said(why=47), accepted=False) == (
+    assert messages.parse_outcome(end_message(why=47), accepted=False) == (
         AttemptOutcome.ERROR,
         OutcomeReason.UNSPECIFIED,
     )
-    assert messages.parse_outcome(said(why=102), accepted=False) == (
+    assert messages.parse_outcome(end_message(why=102), accepted=False) == (
         AttemptOutcome.NOT_SENT,
         OutcomeReason.UNSPECIFIED,
     )
-    assert messages.parse_outcome(said(why=41), accepted=False)[0] is AttemptOutcome.RESET
-    assert messages.parse_outcome(said(why=16), accepted=False) == (
+    assert messages.parse_outcome(end_message(why=41), accepted=False)[0] is AttemptOutcome.RESET
+    assert messages.parse_outcome(end_message(why=16), accepted=False) == (
         AttemptOutcome.RESET,
         OutcomeReason.NOT_HERE,
     )
-    assert messages.parse_outcome(said(why=16), accepted=True)[0] is AttemptOutcome.ENDED
-    assert messages.parse_outcome(said(why=41, with_={"note": "ev"}), accepted=True) == (
+    assert messages.parse_outcome(end_message(why=16), accepted=True)[0] is AttemptOutcome.ENDED
+    assert messages.parse_outcome(end_message(why=41, with_={"note": "ev"}), accepted=True) == (
         AttemptOutcome.RESET,
         OutcomeReason.EVICTED,
     )
-    assert messages.parse_outcome(said(why=31), accepted=True)[0] is AttemptOutcome.CANCELLED
+    assert messages.parse_outcome(end_message(why=31), accepted=True)[0] is AttemptOutcome.CANCELLED
 
 
-def test_lines_are_read_wherever_they_are_split() -> None:
-    cutter = messages.LineSplitter()
-    assert cutter.feed(b"a\nbc") == [b"a"]
-    assert cutter.has_partial_line
-    assert cutter.feed(b"d\n\n") == [b"bcd", b""]
-    assert not cutter.has_partial_line
-    assert cutter.feed(b"x" * (MAX_LINE_BYTES - 1)) == []
+def test_lines_are_assembled_wherever_the_data_is_split() -> None:
+    splitter = messages.LineSplitter()
+    assert splitter.feed(b"a\nbc") == [b"a"]
+    assert splitter.has_partial_line
+    assert splitter.feed(b"d\n\n") == [b"bcd", b""]
+    assert not splitter.has_partial_line
+    assert splitter.feed(b"x" * (MAX_LINE_BYTES - 1)) == []
     with pytest.raises(InvalidMessageError):
-        cutter.feed(b"x")
+        splitter.feed(b"x")
--- a/tests/platform/test_platform_requests.py
+++ b/tests/platform/test_platform_requests.py
@@ -1,4 +1,4 @@
-"""Placement requests in the core, without sockets: one answer, attempts, limits."""
+"""Placement requests in the core, without sockets: exactly one answer, attempts, limits."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from kelpfront.scheduling.events import AttemptOutcome
 
 
-def test_a_request_is_offered_accepted_ended_and_forgotten() -> None:
+def test_a_request_is_offered_accepted_ended_and_removed() -> None:
     stage = Stage()
     machine = stage.place()
     assert stage.sent_to_clients == [(1, {"op": "accept", "call": CALL, "with": {}, "desc": "given"})]
@@ -43,7 +43,7 @@
     assert stage.sent_to_clients == []
 
 
-def test_an_unanswered_attempt_is_given_up_before_the_next_one_is_sent() -> None:
+def test_an_unanswered_attempt_is_abandoned_before_the_next_one_is_sent() -> None:
     stage = Stage()
     stage.client(offer(left="1500"))
     stage.send_offer()
@@ -87,7 +87,7 @@
     assert len(stage.sent_to_clients) == 1
 
 
-def test_nothing_is_sent_to_a_machine_that_drains_meanwhile() -> None:
+def test_no_offer_is_sent_to_a_machine_that_drains_after_the_decision() -> None:
     stage = Stage()
     stage.client(offer(cls="once"))
     sent = stage.intents_of(Offer)[-1]
@@ -120,7 +120,7 @@
     assert not stage.sent_to_clients
 
 
-def test_ended_requests_leave_nothing_behind_but_bounded_ids() -> None:
+def test_only_the_ids_of_ended_requests_are_kept() -> None:
     stage = Stage()
     for number in range(300):
         call = f"{number:016x}"
@@ -135,30 +135,33 @@
     assert not core.endpoints.machines[machine_id("m-1")].running
 
 
-def test_requests_are_bounded_for_all_and_for_one_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_are_limited_in_total_and_per_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(requests, "MAX_REQUESTS", 3)
     monkeypatch.setattr(requests, "MAX_REQUESTS_PER_CONNECTION", 2)
     stage = Stage()
     stage.core.sessions.open(stage.now, 2, "127.0.0.6")
     for number, conn in ((1, 1), (2, 1), (3, 1), (4, 2), (5, 2)):
         stage.client(offer(f"{number:016x}"), conn=conn)
-    refused = {message["call"][-1]: message["why"] for _, message in stage.sent_to_clients}
-    assert refused == {"3": Cause.CONGESTION, "5": Cause.CONGESTION}
+    rejected = {message["call"][-1]: message["why"] for _, message in stage.sent_to_clients}
+    assert rejected == {"3": Cause.CONGESTION, "5": Cause.CONGESTION}
     reached = [record for record in stage.core.log.drain() if isinstance(record, LimitReached)]
     assert reached == [LimitReached("requests_per_connection"), LimitReached("requests")]
 
 
-def test_an_offer_decided_for_a_former_incarnation_is_not_sent_to_the_next() -> None:
-    """Guards against a cold machine that gets what a warm one was chosen for, beside its turns."""
+def test_an_offer_decided_for_a_previous_incarnation_is_not_sent_to_the_next() -> None:
+    """Guards against a cold machine that receives, beyond its share, an offer chosen for a warm one.
+
+    The machine restarts between the decision and the write.
+    """
     stage = Stage(member("m-1"))
     stage.client(offer(left="3000"))
-    (out,) = [intent for intent in stage.intents if isinstance(intent, Offer)]
+    (first_offer,) = [intent for intent in stage.intents if isinstance(intent, Offer)]
     stage.now += 10.0
     stage.events({"index": 2, "updates": [event(2, member("m-1", up_since_ms=stage.now - 1.0))]})
-    assert stage.core.encode_offer(stage.now, out.key) is None
+    assert stage.core.encode_offer(stage.now, first_offer.key) is None
     assert stage.core.counters.attempt_outcomes[AttemptOutcome.NOT_SENT] == 1
     stage.collect_intents()
-    stage.client(offer("00000000000000a2"))  # what is decided from now on knows of it
+    stage.client(offer("00000000000000a2"))  # later decisions take the restart into account
     assert all(
         i.request_id != "00000000000000a2" or stage.core.encode_offer(stage.now, i.key)
         for i in stage.intents
--- a/tests/platform/test_platform_running_tasks.py
+++ b/tests/platform/test_platform_running_tasks.py
@@ -71,8 +71,8 @@
 def test_a_new_machine_at_the_address_of_a_removed_one_is_another_machine() -> None:
     stage = Stage(member("m-1", "127.0.0.1:7"))
     stage.place()
-    gone, fresh = member("m-1", "127.0.0.1:7", "Gone"), member("m-2", "127.0.0.1:7")
-    stage.events({"index": 2, "updates": [event(2, gone, fresh)]})
+    removed, added = member("m-1", "127.0.0.1:7", "Gone"), member("m-2", "127.0.0.1:7")
+    stage.events({"index": 2, "updates": [event(2, removed, added)]})
     stage.machine(machine_id("m-2"), "end", why=16)
     assert [message["why"] for _, message in stage.sent_to_clients if message["op"] == "end"] == [41]
     assert stage.intents_of(ForgetMachine)[0].machine == machine_id("m-1")
@@ -80,7 +80,7 @@
     assert stage.intents_of(Offer)[-1].machine == machine_id("m-2")
 
 
-def test_four_attempts_are_made_and_no_more() -> None:
+def test_no_more_than_the_maximum_of_attempts_is_made() -> None:
     stage = Stage(*(member(f"m-{n}") for n in range(1, 8)))
     stage.client(offer(left="3000"))
     for _ in range(8):
@@ -93,7 +93,7 @@
     assert [message["op"] for _, message in stage.sent_to_clients] == ["end"]
 
 
-def test_a_task_end_whose_connection_is_closed_goes_by_another_of_its_client() -> None:
+def test_a_task_end_whose_connection_is_closed_is_sent_on_another_of_its_client() -> None:
     stage = Stage()
     machine = stage.place()
     stage.core.sessions.open(stage.now, 2, "127.0.0.5")
@@ -104,7 +104,7 @@
     assert stage.sent_to_clients[-1][1]["op"] == "end"
 
 
-def test_a_task_end_without_a_connection_waits_for_the_next_while_it_is_owed() -> None:
+def test_a_task_end_without_a_connection_waits_for_the_next_one_until_it_expires() -> None:
     stage = Stage()
     for call, wait in ((CALL, 100.0), ("00000000000000a2", UNDELIVERED_END_TTL_MS + 1)):
         stage.core.sessions.open(stage.now, 2, "127.0.0.7")
@@ -132,8 +132,8 @@
     assert [message["op"] for _, message in stage.sent_to_clients] == ["end"]
 
 
-def test_a_task_end_that_comes_before_the_task_is_adopted_is_sent_when_it_is() -> None:
-    """Guards against tasks of a former life that would be held for good: machines tell of an end once."""
+def test_a_task_end_that_arrives_before_the_task_is_adopted_is_sent_on_adoption() -> None:
+    """Guards against adopted tasks that are kept forever: machines report the end of a task only once."""
     stage = Stage()
     stage.machine(machine_id("m-1"), "end", why=16)
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-1"))
@@ -145,7 +145,7 @@
     stage = Stage()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-9"))
     stage.advance(1000)
-    stage.events({"index": 1, "updates": []})  # nothing new, says the list
+    stage.events({"index": 1, "updates": []})  # the coordinator reports no change
     assert stage.sent_to_clients == []
     stage.advance(2000)
     assert [message["op"] for _, message in stage.sent_to_clients] == ["end"]
@@ -153,8 +153,8 @@
     assert not stage.core.requests
 
 
-def test_a_task_adopted_in_a_discovery_outage_is_not_lost_for_it() -> None:
-    """Guards against a task told over that runs on: its client would have it started anew."""
+def test_a_task_adopted_during_a_discovery_outage_is_not_lost() -> None:
+    """Guards against reporting the end of a task that is still running: its client would start it again."""
     stage = Stage()
     stage.client(offer(cls="once", extras="cores:1;memory:2;service:1;at:m-9"))
     stage.advance(UNLISTED_MACHINE_TIMEOUT_MS + 1.0)
@@ -166,14 +166,14 @@
     assert stage.core.has_running_tasks(machine_id("m-9"))
 
 
-def test_the_end_of_an_adopted_task_is_sent_in_time_though_the_list_is_silent() -> None:
+def test_the_end_of_an_adopted_task_is_sent_in_time_although_the_coordinator_is_silent() -> None:
     stage = Stage()
     stage.client(offer(cls="once", extras="cores:1;memory:2;service:1;at:m-9"))
     stage.advance(8_000.0)
     assert [message["op"] for _, message in stage.sent_to_clients] == ["end"]
 
 
-def test_a_task_adopted_before_its_machine_is_listed_runs_on() -> None:
+def test_a_task_adopted_before_its_machine_is_listed_continues_to_run() -> None:
     stage = Stage()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-9"))
     stage.events({"index": 2, "updates": [event(2, member("m-9"))]})
@@ -199,33 +199,33 @@
 
 
 def test_a_machine_that_becomes_unresponsive_is_health_checked_and_its_tasks_end_in_time() -> None:
-    """Guards against machines that are cut off: their connections stay open, and nobody tells of them."""
+    """Guards against machines that are cut off: their connections stay open, and nobody reports them."""
     stage = Stage(member("m-1"))
     stage.place()
     stage.advance(6900)
     assert [message["op"] for _, message in stage.sent_to_clients] == [
         "accept"
-    ]  # one cut off for some seconds runs on
-    stage.advance(1000)  # within 8 s of its end
+    ]  # a machine cut off for some seconds keeps its tasks
+    stage.advance(1000)  # within 8 s after the machine became unresponsive
     assert [message["op"] for _, message in stage.sent_to_clients] == ["accept", "end"]
     assert len(stage.intents_of(SendHealthCheck)) >= 3
 
 
 def test_a_machine_that_only_runs_tasks_is_health_checked_rarely() -> None:
-    """Guards against sixteen placers that each ask nearly every machine by the second, all being well."""
+    """Guards against sixteen placers that each check nearly every machine every second without need."""
     stage = Stage(member("m-1"))
     machine = stage.place()
     stage.advance(4000)
     assert not stage.intents_of(SendHealthCheck)
-    stage.machine(machine, "info", with_={"note": "c", "value": "0.5"})  # any word counts
+    stage.machine(machine, "info", with_={"note": "c", "value": "0.5"})  # any message counts
     stage.advance(4000)
     assert not stage.intents_of(SendHealthCheck)
     stage.advance(1000)
     assert len(stage.intents_of(SendHealthCheck)) == 1
 
 
-def test_a_machine_that_owes_an_answer_is_health_checked_soon() -> None:
-    """Guards against set-ups that wait for their whole patience on a machine that fell silent."""
+def test_a_machine_with_an_unanswered_offer_is_health_checked_soon() -> None:
+    """Guards against requests that wait until their timeout for a machine that became unresponsive."""
     stage = Stage(member("m-1"))
     stage.client(offer(left="20000"))
     stage.send_offer()
@@ -248,21 +248,21 @@
     assert answered >= 4
 
 
-@pytest.mark.parametrize(("cls", "again"), [("easy", True), ("once", False)])
+@pytest.mark.parametrize(("cls", "retries"), [("easy", True), ("once", False)])
 def test_an_offer_on_an_unresponsive_machine_goes_elsewhere_only_if_that_is_harmless(
-    cls: str, *, again: bool
+    cls: str, *, retries: bool
 ) -> None:
     stage = Stage()
     stage.client(offer(cls=cls, left="20000"))
     silent = stage.send_offer().machine
     stage.advance(3500)
     offers = stage.intents_of(Offer)
-    assert (len(offers) == 2 and offers[1].machine != silent) is again
-    assert any(intent.key.request_id == CALL for intent in stage.intents_of(AbandonAttempt)) is again
+    assert (len(offers) == 2 and offers[1].machine != silent) is retries
+    assert any(intent.key.request_id == CALL for intent in stage.intents_of(AbandonAttempt)) is retries
 
 
 def test_a_machine_that_fails_its_health_checks_is_reachable_and_keeps_its_offers() -> None:
-    """Guards against hot machines, which fail a probe at once and answer the set-up soon after."""
+    """Guards against abandoning offers on busy machines, which fail a health check but answer soon after."""
     stage = Stage()
     stage.client(offer(left="20000"))
     machine = stage.send_offer().machine
@@ -281,7 +281,7 @@
 def test_a_task_that_ends_before_its_late_acceptance_is_reported_and_not_retried(
     cls: str, why: int, sign: str
 ) -> None:
-    """Guards against answers held up by a peer: it stood, its client is owed the end soon."""
+    """Guards against answers that a peer delays: the task ran, and its client must receive the end soon."""
     stage = Stage()
     stage.client(offer(cls=cls))
     machine = stage.send_offer().machine
@@ -292,7 +292,7 @@
         stage.machine(machine, "end", why=41, with_={"note": "pre"})
     stage.machine(machine, "accept", desc="late")
     stage.advance(5000)
-    assert [(told["op"], told["why"]) for _, told in stage.sent_to_clients] == [("end", why)]
+    assert [(message["op"], message["why"]) for _, message in stage.sent_to_clients] == [("end", why)]
     assert len(stage.intents_of(Offer)) == 1
 
 
@@ -304,16 +304,16 @@
     assert not stage.sent_to_clients
 
 
-def test_22_000_tasks_may_be_adopted_on_one_connection_and_requests_have_capacity_beside_them() -> None:
-    """Guards against tasks that run and that nobody owns, where most placers of a region are lost."""
+def test_22_000_tasks_may_be_adopted_on_one_connection_without_using_the_capacity_for_requests() -> None:
+    """Guards against running tasks that no placer tracks after most placers of a region are lost."""
     stage = Stage()
     for number in range(22_000):
         extras = f"cores:0.01;memory:0.01;service:1;at:m-{1 + number % 2}"
         stage.core.on_client_message(stage.now, 1, decode(offer(f"{0xF0000 + number:016x}", extras=extras)))
     assert len(stage.core.requests) == stage.core.counters.adopted_tasks == 22_000
     assert not stage.core.limits.counts
-    held = sum(len(machine.running) for machine in stage.core.endpoints.machines.values())
-    assert held == 22_000
+    tracked = sum(len(machine.running) for machine in stage.core.endpoints.machines.values())
+    assert tracked == 22_000
     stage.client(offer())
     assert (
         stage.core.limits.counts[Limit.REQUESTS]
@@ -323,30 +323,30 @@
     assert stage.core.requests.get(CALL) is not None
 
 
-def test_adopted_tasks_are_bounded_by_the_memory_limit_and_one_that_ends_frees_capacity() -> None:
+def test_adopted_tasks_are_limited_by_the_memory_limit_and_one_that_ends_frees_capacity() -> None:
     stage = Stage()
-    most = requests.max_adopted_tasks(3.0)
+    max_adopted = requests.max_adopted_tasks(3.0)
     assert requests.max_adopted_tasks(192.0) > 22_000
     assert requests.max_adopted_tasks(1e-6) == 1
-    assert most == 384
+    assert max_adopted == 384
     limits = platforms.raw_config(member("m-1"))["limits"] | {"memory_mb": 3.0}
-    its = config(member("m-1"), limits=limits)
-    stage.core = core = PlacerCore(its, Scheduler(its.settings, 7))
-    core.apply_endpoint_events(NOW, *parse_events(its.known, its))
+    limited_config = config(member("m-1"), limits=limits)
+    stage.core = core = PlacerCore(limited_config, Scheduler(limited_config.settings, 7))
+    core.apply_endpoint_events(NOW, *parse_events(limited_config.known, limited_config))
     core.sessions.open(NOW, 1, "127.0.0.5")
-    at = "cores:0.01;memory:0.01;service:1;at:m-1"
-    for number in range(most + 5):
-        stage.client(offer(f"{0xF0000 + number:016x}", extras=at))
-    assert len(core.requests) == most
+    extras = "cores:0.01;memory:0.01;service:1;at:m-1"
+    for number in range(max_adopted + 5):
+        stage.client(offer(f"{0xF0000 + number:016x}", extras=extras))
+    assert len(core.requests) == max_adopted
     assert core.limits.counts[Limit.ADOPTED_TASKS] == 5
     assert core.log.drain() == [LimitReached("adopted_tasks")]
     stage.machine(machine_id("m-1"), "end", f"{0xF0000:016x}", why=16)
-    stage.client(offer(f"{0xF0000 + most:016x}", extras=at))
-    assert len(core.requests) == most
+    stage.client(offer(f"{0xF0000 + max_adopted:016x}", extras=extras))
+    assert len(core.requests) == max_adopted
     assert core.limits.counts[Limit.ADOPTED_TASKS] == 5
 
 
-def test_nothing_is_kept_of_an_adopted_task_that_only_its_machine_needs() -> None:
+def test_fields_of_an_adopted_task_that_only_its_machine_needs_are_not_kept() -> None:
     """Guards against 22,000 descriptions of 16 KiB each."""
     stage = Stage()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-1", desc="x" * 15_000))
