--- a/kelpfront/platform/core_runner.py
+++ b/kelpfront/platform/core_runner.py
@@ -25,8 +25,8 @@
 
     def __init__(self, core: PlacerCore, now: Callable[[], float]) -> None:
         """Create a runner; its senders need `flush` themselves and are set later, before the first flush."""
-        self.send_to_client: Callable[[SendToClient], None] = _not_connected
-        self.send_to_machine: Callable[[MachineIntent], None] = _not_connected
+        self.send_to_client: Callable[[SendToClient], None] = _raise_no_sender
+        self.send_to_machine: Callable[[MachineIntent], None] = _raise_no_sender
         self._core = core
         self._now = now
         self._flushing = False
@@ -77,5 +77,5 @@
             self._timer = None
 
 
-def _not_connected(intent: Intent) -> None:
+def _raise_no_sender(intent: Intent) -> None:
     raise RuntimeError(f"no sender is set for {type(intent).__name__}")
--- a/kelpfront/platform/descriptor_shares.py
+++ b/kelpfront/platform/descriptor_shares.py
@@ -11,7 +11,7 @@
 """Maximum size of a burst: connections that are accepted before the limits are checked."""
 
 RESERVED_FOR_FILES = 16
-"""Descriptors reserved for other uses: standard streams, the listener, the event loop, modules."""
+"""Descriptors reserved beside connections: standard streams, the listener, the event loop, modules."""
 
 OPENED_AFTER_START = 8
 """Of that reserve, those opened after the start: the listener, the file of a reload, reads for the log."""
--- a/kelpfront/platform/timeouts.py
+++ b/kelpfront/platform/timeouts.py
@@ -12,13 +12,13 @@
 """Interval between attempts to reconnect to a machine on which tasks run."""
 
 DEAD_AFTER_REFUSALS = 2
-"""Consecutive refused connections of a dead process; a single one may be a restart of its listener."""
+"""Consecutive refusals after which a process counts as dead; one may be a restart of its listener."""
 
 UNLISTED_MACHINE_TIMEOUT_MS = 2_000.0
 """How long an adopted task waits for its machine to be listed; after that it counts as lost."""
 
 MAX_UNLISTED_MACHINE_TIMEOUT_MS = 6_000.0
-"""The same without an answer of the coordinator since then: the client must receive the end within 8 s."""
+"""The same limit while the coordinator does not answer: the client must receive the end within 8 s."""
 
 POLL_WAIT_MS = 1_000.0
 """How long a poll may be held open; 2 s later, events of a silent coordinator count as notified."""
--- a/tests/platform/core_stage.py
+++ b/tests/platform/core_stage.py
@@ -55,9 +55,9 @@
         return is_valid
 
     def machine(self, ident: int, op: str, call: str = CALL, **fields: Any) -> None:
-        found = self.core.requests.get(call)
+        request = self.core.requests.get(call)
         number = fields.pop(
-            "number", None if found is None or found.attempt is None else found.attempt.number
+            "number", None if request is None or request.attempt is None else request.attempt.number
         )
         self.core.on_machine_message(self.now, ident, decode(line(op, call, **fields)), number)
         self.collect_intents()
@@ -83,9 +83,9 @@
         return machine
 
     def call(self, call: str = CALL) -> requests.PendingRequest:
-        found = self.core.requests.get(call)
-        assert found is not None
-        return found
+        request = self.core.requests.get(call)
+        assert request is not None
+        return request
 
     def intents_of(self, kind: type) -> list[Any]:
         return [intent for intent in self.intents if isinstance(intent, kind)]
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -274,9 +274,9 @@
     assert sum(len(machine.offers()) for machine in stage.machines.values()) == 1
 
 
-@pytest.mark.parametrize("comes_up", [True, False])
+@pytest.mark.parametrize("is_established", [True, False])
 async def test_a_retry_with_an_idempotency_key_is_not_sent_after_its_window(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch, *, comes_up: bool
+    stage: Stage, monkeypatch: pytest.MonkeyPatch, *, is_established: bool
 ) -> None:
     """Guards against a retry after the idempotency window has expired.
 
@@ -298,7 +298,7 @@
     assert failed["why"] == 41
     assert dials.begun >= 2
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.NOT_SENT] == 1
-    if comes_up:
+    if is_established:
         dials.up.set()
         await until(lambda: sum(machine.opened for machine in stage.machines.values()) >= 2)
         await asyncio.sleep(0.1)
--- a/tests/platform/test_platform_running_tasks.py
+++ b/tests/platform/test_platform_running_tasks.py
@@ -350,6 +350,6 @@
     """Guards against 22,000 descriptions of 16 KiB each."""
     stage = Stage()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-1", desc="x" * 15_000))
-    found = stage.core.requests.get(CALL)
-    assert found is not None
-    assert found.spec.description == found.spec.key == found.spec.idempotency_key == ""
+    request = stage.core.requests.get(CALL)
+    assert request is not None
+    assert request.spec.description == request.spec.key == request.spec.idempotency_key == ""
