--- a/tests/platform/core_stage.py
+++ b/tests/platform/core_stage.py
@@ -1,4 +1,4 @@
-"""A core without sockets, for tests: its endpoint list, one client's connection, and what it wanted done."""
+"""A placer core without sockets for tests, with an endpoint list and one client connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Stage:
-    """A core with its list, one client's connection, and what it wanted done so far."""
+    """A core with an endpoint list, one client connection, and the intents that it has issued so far."""
 
     def __init__(self, *members: Json) -> None:
         self.config = config(*(members or (member("m-1"), member("m-2"))))
@@ -55,9 +55,9 @@
         return is_valid
 
     def machine(self, ident: int, op: str, call: str = CALL, **fields: Any) -> None:
-        found = self.core.requests.get(call)
+        request = self.core.requests.get(call)
         number = fields.pop(
-            "number", None if found is None or found.attempt is None else found.attempt.number
+            "number", None if request is None or request.attempt is None else request.attempt.number
         )
         self.core.on_machine_message(self.now, ident, decode(line(op, call, **fields)), number)
         self.collect_intents()
@@ -71,7 +71,7 @@
         self.now = until
 
     def send_offer(self, call: str = CALL) -> Offer:
-        """The last offer of the call, after it has gone out."""
+        """Encode the last offer of the request, as right before a write, and return the offer."""
         last = [i for i in self.intents if isinstance(i, Offer) and i.request_id == call][-1]
         assert self.core.encode_offer(self.now, last.key) is not None
         return last
@@ -83,9 +83,9 @@
         return machine
 
     def call(self, call: str = CALL) -> requests.PendingRequest:
-        found = self.core.requests.get(call)
-        assert found is not None
-        return found
+        request = self.core.requests.get(call)
+        assert request is not None
+        return request
 
     def intents_of(self, kind: type) -> list[Any]:
         return [intent for intent in self.intents if isinstance(intent, kind)]
