--- a/kelpfront/machine/admission.py
+++ b/kelpfront/machine/admission.py
@@ -1,7 +1,7 @@
-"""Which offers fit on a machine, what is preempted for them, and what is evicted when memory runs out.
+"""Admission, preemption and eviction: which offers fit on a machine and which tasks have to end.
 
-Pure functions of a machine's capacity and of what its tasks request and use. `evaluation` applies them; tasks
-are stopped elsewhere.
+These are pure functions of a machine's capacity and of what its tasks request and use. `evaluation` applies
+the admission decisions and `node` the evictions.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from kelpfront.machine.messages import NO_CORES, NO_MEMORY
 
-_ROUNDING_SLACK = 1e-9  # sums of requests such as 0.1 + 0.2 must not refuse what just fits
+_ROUNDING_SLACK = 1e-9  # rounding in sums such as 0.1 + 0.2 must not cause an exact fit to be refused
 
 
 @dataclass(frozen=True, slots=True)
 class Capacity:
-    """A machine's size, and how many times that its tasks may request together."""
+    """A machine's cores and memory, and the multiple of each that its tasks may request in total."""
 
     cores: float
     memory: float
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a task that is to be admitted requests."""
+    """The priority and the resources of a task that is considered for admission."""
 
     priority: int
     cores: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What a task on the machine requests and uses; `since` is when it was admitted."""
+    """The priority and the resources of a task on the machine; `since` is the time of its admission."""
 
     task: str
     priority: int
@@ -47,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionDecision:
-    """`reason` is empty where the request fits, once the tasks in `preempted` have ended."""
+    """The result of `decide_admission`.
+
+    `reason` is empty if the request fits, or will fit once the tasks in `preempted` have ended.
+    """
 
     reason: str = ""
     message: str = ""
@@ -56,7 +59,7 @@
 
 @dataclass(slots=True)
 class _Total:
-    """The cores and memory requested in all, beside what the machine accepts."""
+    """The total of the requested cores and memory, and the maximum that the machine accepts."""
 
     cores: float
     memory: float
@@ -76,7 +79,7 @@
         return not self.cores_short and not self.memory_short
 
     def is_relieved_by(self, claim: Claim) -> bool:
-        """Whether the end of a task frees some of what is short."""
+        """Return whether the end of a task frees some of a resource that is short."""
         frees_cores = self.cores_short and claim.cores > 0
         frees_memory = self.memory_short and claim.memory > 0
         return frees_cores or frees_memory
@@ -85,10 +88,10 @@
 def decide_admission(
     capacity: Capacity, claims: Collection[Claim], request: Request, *, preempts: bool
 ) -> AdmissionDecision:
-    """Decide whether a request fits beside the tasks that are here.
+    """Decide whether a request fits in addition to the existing claims.
 
-    Where the machine preempts, as few tasks as possible end for it, those of the least priority first. Among
-    equals the youngest end: they have done the least work.
+    With `preempts`, tasks of lower priority are preempted until the request fits: the lowest priority first
+    and, within a priority, the latest admitted first, since it loses the least work.
     """
     total = _Total(
         sum(claim.cores for claim in claims) + request.cores,
@@ -109,7 +112,7 @@
 
 
 def _preempt(total: _Total, claims: Collection[Claim], priority: int) -> tuple[str, ...]:
-    """Choose tasks of lower priority until the total fits, and take them off it."""
+    """Select tasks of lower priority until the total fits, and subtract them from the total."""
     victims: list[str] = []
     lower = [claim for claim in claims if claim.priority < priority]
     for claim in sorted(lower, key=lambda claim: (claim.priority, -claim.since, claim.task)):
@@ -125,9 +128,10 @@
 def select_evictions(
     capacity: Capacity, claims: Collection[Claim], other_memory: float = 0.0
 ) -> tuple[str, ...]:
-    """Return the tasks to stop where more memory is in use than there is.
+    """Return the tasks to stop when the memory in use exceeds the machine's memory.
 
-    Those of the least priority come first, then those that are furthest over what they requested.
+    Tasks of the lowest priority are evicted first and, within a priority, those that exceed their request the
+    most.
     """
     used_memory = other_memory + sum(claim.used_memory for claim in claims)
     victims: list[str] = []
--- a/kelpfront/machine/admission_queue.py
+++ b/kelpfront/machine/admission_queue.py
@@ -1,6 +1,7 @@
-"""Offers that wait for their evaluation, which a machine does one at a time, in the order in which they came.
+"""The queue of offers that wait for evaluation. A machine evaluates one offer at a time, in order of arrival.
 
-It owns the queue and the time at which the head will have been evaluated. The decision is `evaluation`'s.
+This module tracks the queue and the time at which the evaluation of its head finishes. `evaluation` makes the
+decision.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class AdmissionQueue:
-    """A queue whose head takes `evaluation_ms` to be evaluated."""
+    """A first-in, first-out queue; `evaluation_ms` returns how long the evaluation of its head takes."""
 
     def __init__(self, evaluation_ms: Callable[[], float]) -> None:
         self._evaluation_ms = evaluation_ms
@@ -25,11 +26,11 @@
 
     @property
     def next_due(self) -> float:
-        """When the head will have been evaluated; infinite where nothing is being evaluated."""
+        """The time at which the evaluation of the head finishes; infinite if none is in progress."""
         return self._head_evaluated_at
 
     def all(self) -> list[ActiveTask]:
-        """Return the tasks that wait."""
+        """Return the waiting tasks."""
         return list(self._tasks)
 
     def append(self, task: ActiveTask) -> None:
@@ -37,13 +38,13 @@
         self._tasks.append(task)
 
     def remove(self, task: ActiveTask) -> None:
-        """Remove a task; where it is the head its evaluation is broken off."""
+        """Remove a task; if it is the head, its evaluation is cancelled."""
         if self._tasks[0] is task:
             self._head_evaluated_at = math.inf
         self._tasks.remove(task)
 
     def pop_evaluated(self, now: float) -> ActiveTask | None:
-        """Begin the evaluation of the head if none has begun; return the head once it is evaluated."""
+        """Remove and return the head once its evaluation has finished; start its evaluation if needed."""
         if not self._tasks:
             self._head_evaluated_at = math.inf
             return None
--- a/kelpfront/machine/drain.py
+++ b/kelpfront/machine/drain.py
@@ -1,6 +1,6 @@
-"""The drain of a machine: it accepts nothing new and, where it is set to, evicts its tasks.
+"""Draining of a machine: it refuses new offers and, depending on the drain mode, evicts its tasks.
 
-It owns whether the machine drains and when the next eviction is due.
+This module tracks whether the machine is draining and when the next eviction is due.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Drain:
-    """The drain of a node."""
+    """The drain state and the evictions of a node."""
 
     def __init__(
         self, settings: NodeSettings, tasks: TaskTable, withdrawals: Withdrawals, running: RunningTasks
@@ -28,22 +28,22 @@
 
     @property
     def next_due(self) -> float:
-        """When the next eviction is due; infinite where none is."""
+        """The time of the next eviction; infinite if none is due."""
         return self._next_eviction_at
 
     def begin(self, now: float) -> None:
-        """Begin to drain: withdraw what has not begun, and schedule evictions where they are set."""
+        """Start draining: withdraw all tasks whose start has not begun, and schedule evictions if enabled."""
         self.is_draining = True
         self._withdrawals.withdraw_all("sent-away", "draining")
         self._next_eviction_at = math.inf if self._settings.drain_mode == "none" else now
 
     def cancel(self) -> None:
-        """Accept tasks again; what was evicted stays so."""
+        """Accept offers again; tasks that were evicted are not restored."""
         self.is_draining = False
         self._next_eviction_at = math.inf
 
     def evict_due(self, now: float) -> None:
-        """Evict the tasks that are due, those of the least priority first."""
+        """Perform the evictions that are due, lowest priority first."""
         while self._next_eviction_at <= now:
             live = [task for task in self._tasks.by_uid.values() if task.phase in LIVE_PHASES]
             live.sort(key=_eviction_order)
--- a/kelpfront/machine/effects.py
+++ b/kelpfront/machine/effects.py
@@ -1,4 +1,4 @@
-"""What a node wants done: the effects that it hands to whoever holds it, which carries them out in order.
+"""The effects of a node: the actions that it decides on and that its owner carries out in order.
 
 The node itself does no I/O; the server answers offers and a `TaskRuntime` starts and stops tasks.
 """
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerOffer:
-    """Answer the offer of this attempt, on each connection that waits for it."""
+    """Send the answer to the offer of this attempt on each connection that waits for it."""
 
     task: str
     attempt: int
@@ -23,8 +23,8 @@
 class StartTask:
     """Start the task.
 
-    `needs_program` is set where no task of the service runs here and its program is not cached: such a first
-    start takes longer.
+    `needs_program` is set if no task of the service is active on this machine and its program is not cached:
+    such a first start takes longer.
     """
 
     offer: Offer
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopTask:
-    """Stop a task that starts or runs; `Node.exited` is to be called when its process has ended."""
+    """Stop a task that is starting or running; call `Node.exited` when its process has ended."""
 
     task: str
     cause: GoneCause
@@ -42,9 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SupersedeAttempt:
-    """A task that starts or runs belongs to a later attempt from now on.
+    """Assign a task that is starting or running to a later attempt.
 
-    `Node.attempt_superseded` is to be called once that is on record: only then is the later attempt answered.
+    Call `Node.attempt_superseded` once the change is recorded: only then is the later attempt answered.
     """
 
     offer: Offer
@@ -56,7 +56,7 @@
 
 
 class EffectBuffer:
-    """Effects in the order in which they were decided, until they are carried out."""
+    """Effects that are not carried out yet, in the order in which they were decided."""
 
     def __init__(self) -> None:
         self._effects: list[Effect] = []
@@ -66,7 +66,7 @@
         self._effects.append(effect)
 
     def pop_all(self) -> list[Effect]:
-        """Return all effects and forget them."""
+        """Remove and return all effects."""
         effects = self._effects
         self._effects = []
         return effects
--- a/kelpfront/machine/evaluation.py
+++ b/kelpfront/machine/evaluation.py
@@ -1,6 +1,7 @@
-"""Evaluates an offer whose turn has come: the task is refused, or admitted to the queue of starts.
+"""Evaluation of an offer at the head of the admission queue: it is refused or admitted to the start queue.
 
-It applies `admission` to what is on the machine, claims the idempotency key, and preempts where that is set.
+An evaluation applies `admission` to the tasks on the machine, claims the idempotency key, and preempts tasks
+of lower priority if preemption is enabled.
 """
 
 from __future__ import annotations
@@ -33,21 +34,21 @@
         self._stops = stops
 
     def evaluate(self, now: float, task: ActiveTask) -> None:
-        """Refuse or admit a task that has left the admission queue."""
+        """Admit or refuse a task that was removed from the admission queue."""
         if now > task.offer.not_after:
             self._refuse(task, Answer("refused", NOT_HERE, "too late"))
             return
         holder = self._tasks.keys.holder(task.offer)
         if holder is not None:
-            self._refuse(task, _already_runs(holder))
+            self._refuse(task, _duplicate_refusal(holder))
             return
         decision = self._decide(task)
         if decision.reason:
             self._refuse(task, self._answers.with_load("refused", decision.reason, decision.message))
             return
-        holder = self._tasks.keys.claim(task.offer)  # between the check and here another may have claimed it
+        holder = self._tasks.keys.claim(task.offer)  # another machine may have claimed it since the check
         if holder is not None:
-            self._refuse(task, _already_runs(holder))
+            self._refuse(task, _duplicate_refusal(holder))
             return
         self._admit(now, task, decision)
 
@@ -72,5 +73,5 @@
         self._answers.give_for(task, answer)
 
 
-def _already_runs(holder: RecordHolder) -> Answer:
+def _duplicate_refusal(holder: RecordHolder) -> Answer:
     return Answer("refused", NOT_HERE, f"a copy stands on {holder.machine}")
--- a/kelpfront/machine/grpc_conversion.py
+++ b/kelpfront/machine/grpc_conversion.py
@@ -1,7 +1,7 @@
-"""Converts the messages of the machines' protocol to those of node.proto and back. Both carry the same.
+"""Conversion between the messages of the machine protocol and those of node.proto; both carry the same data.
 
-Names of fields and values here are those of node.proto. A value that this version does not know raises
-UnknownValueError where it may not be guessed; messages of unknown kinds are ignored by the callers.
+Field names and values are those of node.proto. A value that this version does not know raises
+UnknownValueError if there is no safe default. Callers ignore messages of unknown kinds.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from kelpfront.machine import messages as m
+from kelpfront.machine import messages
 from kelpfront.v1 import node_pb2 as pb
 
 EFFECTS: dict[str, Any] = {"safe": 1, "keyed": 2, "unsafe": 3}
@@ -43,7 +43,7 @@
 # ---- Offers and answers -----------------------------------------------------------------------------------
 
 
-def offer_message(offer: m.Offer) -> pb.OfferTask:
+def offer_message(offer: messages.Offer) -> pb.OfferTask:
     """Convert an offer."""
     return pb.OfferTask(
         **{"class": offer.cls},
@@ -63,7 +63,7 @@
     )
 
 
-def _job_message(job: m.JobRef) -> pb.JobRef:
+def _job_message(job: messages.JobRef) -> pb.JobRef:
     return pb.JobRef(
         namespace=job.namespace,
         name=job.name,
@@ -75,16 +75,16 @@
     )
 
 
-def _command_message(command: m.Command) -> pb.Command:
+def _command_message(command: messages.Command) -> pb.Command:
     return pb.Command(argv=command.argv, env=command.env, workdir=command.workdir, grace_ms=command.grace_ms)
 
 
-def read_offer(offer: pb.OfferTask) -> m.Offer:
+def read_offer(offer: pb.OfferTask) -> messages.Offer:
     """Read an offer.
 
-    Raises UnknownValueError where its effect or group is none that is known: neither may be guessed.
+    Raises UnknownValueError if its effect or group is unknown: neither has a safe default.
     """
-    return m.Offer(
+    return messages.Offer(
         task=offer.task,
         attempt=offer.attempt,
         job=_read_job(offer.job),
@@ -102,15 +102,17 @@
     )
 
 
-def _read_job(job: pb.JobRef) -> m.JobRef:
-    return m.JobRef(job.namespace, job.name, job.uid, job.index, job.count or 1, job.token, dict(job.labels))
+def _read_job(job: pb.JobRef) -> messages.JobRef:
+    return messages.JobRef(
+        job.namespace, job.name, job.uid, job.index, job.count or 1, job.token, dict(job.labels)
+    )
 
 
-def _read_command(command: pb.Command) -> m.Command:
-    return m.Command(tuple(command.argv), dict(command.env), command.workdir, command.grace_ms)
+def _read_command(command: pb.Command) -> messages.Command:
+    return messages.Command(tuple(command.argv), dict(command.env), command.workdir, command.grace_ms)
 
 
-def load_message(load: m.LoadReport) -> pb.Load:
+def load_message(load: messages.LoadReport) -> pb.Load:
     """Convert a machine's load."""
     return pb.Load(
         free_cores=load.free_cores,
@@ -122,14 +124,14 @@
     )
 
 
-def read_load(load: pb.Load) -> m.LoadReport:
+def read_load(load: pb.Load) -> messages.LoadReport:
     """Read a machine's load."""
-    return m.LoadReport(
+    return messages.LoadReport(
         load.free_cores, load.free_memory, load.unused_cores, load.unused_memory, load.waiting, load.busy
     )
 
 
-def answer_message(task: str, attempt: int, answer: m.Answer) -> pb.NodeMessage:
+def answer_message(task: str, attempt: int, answer: messages.Answer) -> pb.NodeMessage:
     """Convert the answer to an offer."""
     offer_answer = pb.OfferAnswer(
         task=task,
@@ -142,18 +144,21 @@
     return pb.NodeMessage(answer=offer_answer)
 
 
-def read_answer(answer: pb.OfferAnswer) -> m.Answer:
-    """Read the answer to an offer. One of a kind that is not known proves nothing: it is an error."""
+def read_answer(answer: pb.OfferAnswer) -> messages.Answer:
+    """Read the answer to an offer.
+
+    An answer of an unknown kind does not prove whether the task ran, so it is read as an error.
+    """
     kind: Any = _ANSWER_BY_NUMBER.get(answer.answer, "error")
     load = read_load(answer.load) if answer.HasField("load") else None
-    return m.Answer(kind, answer.reason, answer.message, load)
+    return messages.Answer(kind, answer.reason, answer.message, load)
 
 
 # ---- The machine's own messages ---------------------------------------------------------------------------
 
 
-def report_message(report: m.TaskReport) -> pb.TaskReport:
-    """Convert a task as a snapshot shows it."""
+def report_message(report: messages.TaskReport) -> pb.TaskReport:
+    """Convert a task's report in a snapshot."""
     return pb.TaskReport(
         offer=offer_message(report.offer),
         incarnation=report.incarnation,
@@ -166,9 +171,9 @@
     )
 
 
-def read_report(report: pb.TaskReport) -> m.TaskReport:
-    """Read a task as a snapshot shows it; raises UnknownValueError for an unknown phase or cause."""
-    return m.TaskReport(
+def read_report(report: pb.TaskReport) -> messages.TaskReport:
+    """Read a task's report in a snapshot; raises UnknownValueError for an unknown phase or cause."""
+    return messages.TaskReport(
         read_offer(report.offer),
         report.incarnation,
         _one_of(PHASES, report.phase, "phase"),
@@ -180,25 +185,25 @@
     )
 
 
-def stream_message(message: m.StreamMessage) -> pb.NodeMessage:
-    """Convert a message of the stream."""
+def stream_message(message: messages.StreamMessage) -> pb.NodeMessage:
+    """Convert a stream message."""
     match message:
-        case m.Hello():
+        case messages.Hello():
             return pb.NodeMessage(hello=_hello_message(message))
-        case m.Snapshot(seq, tasks):
+        case messages.Snapshot(seq, tasks):
             reports = [report_message(report) for report in tasks]
             return pb.NodeMessage(snapshot=pb.Snapshot(seq=seq, tasks=reports))
-        case m.Heartbeat(state, load):
+        case messages.Heartbeat(state, load):
             return pb.NodeMessage(heartbeat=pb.Heartbeat(state=state, load=load_message(load)))
-        case m.Taken(seq, task, attempt, running):
+        case messages.Taken(seq, task, attempt, running):
             return pb.NodeMessage(taken=pb.Taken(seq=seq, task=task, attempt=attempt, running=running))
-        case m.Gone():
+        case messages.Gone():
             return pb.NodeMessage(gone=_gone_message(message))
-        case m.Note(task, attempt, topic, value):
+        case messages.Note(task, attempt, topic, value):
             return pb.NodeMessage(note=pb.Note(task=task, attempt=attempt, topic=topic, value=value))
 
 
-def _hello_message(hello: m.Hello) -> pb.Hello:
+def _hello_message(hello: messages.Hello) -> pb.Hello:
     return pb.Hello(
         boot=hello.boot,
         age_ms=hello.age_ms,
@@ -209,7 +214,7 @@
     )
 
 
-def _gone_message(gone: m.Gone) -> pb.Gone:
+def _gone_message(gone: messages.Gone) -> pb.Gone:
     return pb.Gone(
         seq=gone.seq,
         task=gone.task,
@@ -222,40 +227,42 @@
     )
 
 
-def read_stream_message(message: pb.NodeMessage) -> m.StreamMessage | None:
-    """Read a message of the stream.
+def read_stream_message(message: pb.NodeMessage) -> messages.StreamMessage | None:
+    """Read a stream message.
 
-    Returns None for answers, which are no messages of the stream, and for kinds of later versions. Raises
-    UnknownValueError for a value that may not be guessed.
+    Returns None for answers, which are not stream messages, and for message kinds and topics of later
+    versions. Raises UnknownValueError for a value that has no safe default.
     """
     kind = message.WhichOneof("message")
     read = _STREAM_READERS.get(kind) if kind is not None else None
     return None if read is None else read(message)
 
 
-def _read_hello(message: pb.NodeMessage) -> m.Hello:
+def _read_hello(message: pb.NodeMessage) -> messages.Hello:
     hello = message.hello
-    return m.Hello(hello.boot, hello.age_ms, hello.kind, hello.heartbeat_ms, hello.resumed, hello.next_seq)
+    return messages.Hello(
+        hello.boot, hello.age_ms, hello.kind, hello.heartbeat_ms, hello.resumed, hello.next_seq
+    )
 
 
-def _read_snapshot(message: pb.NodeMessage) -> m.Snapshot:
+def _read_snapshot(message: pb.NodeMessage) -> messages.Snapshot:
     reports = tuple(read_report(report) for report in message.snapshot.tasks)
-    return m.Snapshot(message.snapshot.seq, reports)
+    return messages.Snapshot(message.snapshot.seq, reports)
 
 
-def _read_heartbeat(message: pb.NodeMessage) -> m.Heartbeat:
+def _read_heartbeat(message: pb.NodeMessage) -> messages.Heartbeat:
     heartbeat = message.heartbeat
-    return m.Heartbeat(_one_of(STATES, heartbeat.state, "state"), read_load(heartbeat.load))
+    return messages.Heartbeat(_one_of(STATES, heartbeat.state, "state"), read_load(heartbeat.load))
 
 
-def _read_taken(message: pb.NodeMessage) -> m.Taken:
+def _read_taken(message: pb.NodeMessage) -> messages.Taken:
     taken = message.taken
-    return m.Taken(taken.seq, taken.task, taken.attempt, taken.running)
+    return messages.Taken(taken.seq, taken.task, taken.attempt, taken.running)
 
 
-def _read_gone(message: pb.NodeMessage) -> m.Gone:
+def _read_gone(message: pb.NodeMessage) -> messages.Gone:
     gone = message.gone
-    return m.Gone(
+    return messages.Gone(
         gone.seq,
         gone.task,
         gone.attempt,
@@ -267,15 +274,15 @@
     )
 
 
-def _read_note(message: pb.NodeMessage) -> m.Note | None:
+def _read_note(message: pb.NodeMessage) -> messages.Note | None:
     note = message.note
     if note.topic not in TOPICS:
-        return None  # of a later version: the next report says as much
+        return None  # a topic of a later version; status reports are not essential, so it is ignored
     topic: Any = note.topic
-    return m.Note(note.task, note.attempt, topic, note.value)
+    return messages.Note(note.task, note.attempt, topic, note.value)
 
 
-_STREAM_READERS: dict[str, Callable[[pb.NodeMessage], m.StreamMessage | None]] = {
+_STREAM_READERS: dict[str, Callable[[pb.NodeMessage], messages.StreamMessage | None]] = {
     "hello": _read_hello,
     "snapshot": _read_snapshot,
     "heartbeat": _read_heartbeat,
--- a/kelpfront/machine/grpc_link.py
+++ b/kelpfront/machine/grpc_link.py
@@ -1,6 +1,7 @@
-"""One placer's stream over gRPC: its offers, stops and health checks, the answers, and what it is sent.
+"""One placer's gRPC stream: offers, stops and health checks in, answers and stream messages out.
 
-It owns the tasks that read, write and wait for answers, and ends them all when one of the first two ends.
+A link owns the asyncio tasks that read and write the stream, that produce its messages and that wait for
+answers. It cancels all of them when the reader, the writer or the producer ends.
 """
 
 from __future__ import annotations
@@ -28,36 +29,37 @@
 
 Context = grpc.aio.ServicerContext
 
-MAX_OPEN_OFFERS = 4_096  # of one placer whose answers are not written; more are refused
-MAX_UNWRITTEN_MESSAGES = 1_000  # to one placer; beyond, nothing of it is read until there is room
-WRITE_TIMEOUT_S = 20.0  # for a placer that does not read
+MAX_OPEN_OFFERS = 4_096  # offers of one placer without a written answer; further offers are refused
+MAX_UNWRITTEN_MESSAGES = 1_000  # to one placer; while the queue is full, nothing is read from the placer
+WRITE_TIMEOUT_S = 20.0  # bounds the wait for a placer that does not read
 
 
 class PlacerLink:
-    """One stream, from its first message to its end."""
+    """Serves one placer's stream, from the `Open` message to the end of the stream."""
 
     def __init__(self, server: MachineServer, opened: pb.Open, context: Context[Any, Any]) -> None:
         self._server = server
         self._open = opened
         self._context = context
-        self._peer = Peer()  # of the stream as a whole
+        self._peer = Peer()  # marked closed when the stream ends; each offer has a peer of its own
         self._offer_peers: dict[OfferKey, Peer] = {}
         self._unwritten: asyncio.Queue[pb.NodeMessage] = asyncio.Queue(MAX_UNWRITTEN_MESSAGES)
         self._tasks: set[asyncio.Task[None]] = set()
         self._failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
     async def run(self, requests: AsyncIterator[pb.PlacerMessage]) -> None:
-        """Serve the stream until the placer disconnects, a newer stream replaces it, or the machine ends.
+        """Serve the stream until the placer disconnects, a newer stream replaces it, or the server closes.
 
-        Raises what a task of the stream failed with; Abort where the connection is to break.
+        Raises the exception of an asyncio task of the stream that failed; Abort if the connection must be
+        broken.
         """
-        parts = [
+        stream_tasks = [
             self._spawn(self._read(requests)),
             self._spawn(self._stream()),
             self._spawn(self._write()),
         ]
         try:
-            await asyncio.wait([*parts, self._failed], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait([*stream_tasks, self._failed], return_when=asyncio.FIRST_COMPLETED)
             if self._failed.done():
                 self._failed.result()
         finally:
@@ -78,7 +80,7 @@
             self._failed.set_exception(error)
 
     async def _end(self) -> None:
-        """End all tasks of the stream, and abandon its open offers before anything else can happen."""
+        """Cancel all asyncio tasks of the stream, and abandon its open offers before control is yielded."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -93,7 +95,7 @@
     async def _read(self, requests: AsyncIterator[pb.PlacerMessage]) -> None:
         async for request in requests:
             if self._server.closed.is_set():
-                raise Abort  # the machine is dead, and accepts nothing any more
+                raise Abort  # a closed server must not accept further messages
             match request.WhichOneof("message"):
                 case "offer":
                     await self._accept_offer(request.offer)
@@ -144,7 +146,7 @@
         except asyncio.CancelledError:
             if not peer.closed:
                 raise
-            return  # abandoned: nobody waits for the answer
+            return  # the offer was abandoned: no one waits for its answer
         finally:
             if self._offer_peers.get(key) is peer:
                 del self._offer_peers[key]
--- a/kelpfront/machine/grpc_server.py
+++ b/kelpfront/machine/grpc_server.py
@@ -1,7 +1,7 @@
-"""A machine's side of node.proto: the same server as over HTTP, reached by one stream for each placer.
+"""The gRPC server of a machine, which implements node.proto with one stream for each placer.
 
-It listens and hands each placer's stream to a `PlacerLink`. Decisions are the node's, and the messages are
-converted by `grpc_conversion`.
+It shares its `MachineServer` with HTTP and serves each placer's stream by a `PlacerLink`. The node makes the
+decisions and `grpc_conversion` converts the messages.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 Context = grpc.aio.ServicerContext
 
-MAX_CONNECTIONS = 2_000  # a placer holds one; room for placers that connect again
+MAX_CONNECTIONS = 2_000  # a placer holds one; the rest is for placers that reconnect
 MAX_STREAMS_PER_CONNECTION = 100
-MAX_MESSAGE_BYTES = 1 << 20  # of what placers send: one offer with its command and labels
+MAX_MESSAGE_BYTES = 1 << 20  # of a placer's message; the largest is an offer with its command and labels
 MIN_PING_INTERVAL_MS = 5_000  # placers ping more often than gRPC's default allows
 LOG_FRAGMENT_BYTES = 256 << 10
 
@@ -31,8 +31,8 @@
 class GrpcNode(rpc.NodeServicer):
     """Serves a machine over gRPC.
 
-    `read_log` gives the last bytes of a task's output by task, attempt and number of bytes; it is None where
-    the machine keeps no output.
+    `read_log` returns the last bytes of a task's output, given the task, the attempt and the number of bytes;
+    it is None if the machine keeps no output.
     """
 
     def __init__(self, server: MachineServer, read_log: LogReader | None = None) -> None:
@@ -42,7 +42,7 @@
         self.port = 0
 
     async def start(self, address: str, *, reuse_port: bool = False) -> None:
-        """Listen on an address; raises OSError where it cannot be had."""
+        """Listen on an address; raises OSError if that fails."""
         server = grpc.aio.server(
             options=[
                 ("grpc.so_reuseport", int(reuse_port)),
@@ -57,14 +57,14 @@
             self.port = server.add_insecure_port(address)
         except RuntimeError as error:
             self.port = 0
-            raise OSError(f"{address}: cannot be listened on") from error
+            raise OSError(f"cannot listen on {address}") from error
         if not self.port:
-            raise OSError(f"{address}: cannot be listened on")
+            raise OSError(f"cannot listen on {address}")
         self._grpc = server
         await server.start()
 
     async def close(self) -> None:
-        """End all streams and stop serving."""
+        """Close all streams and stop serving."""
         if self._grpc is not None:
             server = self._grpc
             self._grpc = None
