--- a/kelpfront/machine/load_meter.py
+++ b/kelpfront/machine/load_meter.py
@@ -1,6 +1,7 @@
-"""A machine's load as placers see it: what is requested, what is in use and what waits.
+"""The load report of a machine: its requested and used resources, and the number of waiting tasks.
 
-It owns the usage of programs that are not tasks; all else is read from the parts that own it.
+The meter stores the usage of programs that are not tasks; it reads everything else from the task table and
+the queues.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from kelpfront.machine.start_queue import StartQueue
 from kelpfront.machine.task_table import TaskTable
 
-_DIGITS = 3  # of what is reported, so that sums of floats do not fill the messages
+_REPORTED_DECIMALS = 3  # rounding errors of sums would make the reported numbers long
 
 
 class LoadMeter:
-    """Measures one node."""
+    """Computes the load of one node."""
 
     def __init__(
         self, capacity: Capacity, tasks: TaskTable, admission_queue: AdmissionQueue, start_queue: StartQueue
@@ -29,16 +30,16 @@
 
     @property
     def task_count(self) -> int:
-        """How many tasks are here, in any phase."""
+        """The number of tasks on the machine, in any phase."""
         return len(self._tasks.by_uid)
 
     @property
     def pending_offers(self) -> int:
-        """How many offers wait for their evaluation."""
+        """The number of offers that wait for evaluation."""
         return len(self._admission_queue)
 
     def report(self) -> LoadReport:
-        """Return the load as it is sent to placers."""
+        """Return the load report that is sent to placers."""
         capacity = self._capacity
         requested_cores = requested_memory = used_cores = used_memory = 0.0
         for task in self._tasks.by_uid.values():
@@ -50,10 +51,10 @@
         used_cores += self.other_programs.cores
         used_memory += self.other_programs.memory
         return LoadReport(
-            free_cores=round(capacity.cores - requested_cores, _DIGITS),
-            free_memory=round(capacity.memory - requested_memory, _DIGITS),
-            unused_cores=round(capacity.cores - used_cores, _DIGITS),
-            unused_memory=round(capacity.memory - used_memory, _DIGITS),
+            free_cores=round(capacity.cores - requested_cores, _REPORTED_DECIMALS),
+            free_memory=round(capacity.memory - requested_memory, _REPORTED_DECIMALS),
+            unused_cores=round(capacity.cores - used_cores, _REPORTED_DECIMALS),
+            unused_memory=round(capacity.memory - used_memory, _REPORTED_DECIMALS),
             waiting=self.pending_offers + self._start_queue.waiting_count,
-            busy=round(min(1.0, used_cores / capacity.cores), _DIGITS),
+            busy=round(min(1.0, used_cores / capacity.cores), _REPORTED_DECIMALS),
         )
--- a/kelpfront/machine/message_stream.py
+++ b/kelpfront/machine/message_stream.py
@@ -1,7 +1,7 @@
-"""What a placer's stream carries: a greeting, a snapshot where it cannot resume, then messages as they come.
+"""The messages of a placer's stream: `Hello`, a `Snapshot` if the stream cannot resume, then new messages.
 
-`StreamReader` decides which messages come next, without any I/O. Waiting for them, and for the end of the
-connection, is left to the server.
+`StreamReader` selects the messages to send next and does no I/O. The server waits for new messages and for
+the end of the connection.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class PlacerStream:
-    """One stream of a placer. `wake` is set when there may be something to send, or an end to notice.
+    """One stream of a placer. `wake` is set when a message may be ready, or the stream may have ended.
 
-    `first_seq` is the first message that the placer has not received; None where it asks for all.
-    `stop_watching` ends the watch over `peer`.
+    `first_seq` is the number of the first message that the placer has not received; None requests all state.
+    `stop_watching` removes the callback on changes of `peer`.
     """
 
     placer: str
@@ -32,14 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamHooks:
-    """Where the heartbeats come from, and what is called for each message that is about to be sent."""
+    """Callbacks of a stream: `heartbeat` creates one, `on_streamed` is called before a message is sent.
+
+    `on_streamed` is called for heartbeats and numbered messages only.
+    """
 
     heartbeat: Callable[[], Heartbeat]
     on_streamed: Callable[[str, Heartbeat | Sequenced], None]
 
 
 class StreamReader:
-    """Reads the messages to one placer, batch by batch. Times are seconds of the event loop's clock."""
+    """Reads the messages to one placer, in batches. Times in seconds are those of the event loop's clock."""
 
     def __init__(
         self, node: Node, stream: PlacerStream, hooks: StreamHooks, now_ms: float, loop_s: float
@@ -60,14 +63,14 @@
 
     @property
     def has_more(self) -> bool:
-        """Whether a numbered message waits to be read."""
+        """Whether the outbox has a numbered message that was not read yet."""
         return self._next_seq < self.outbox.next_seq
 
     def next_batch(self, loop_s: float) -> list[StreamMessage]:
-        """Return what is to be sent now, in order; it may be nothing."""
+        """Return the messages to send now, in order; the list may be empty."""
         if self.outbox.reaches(self._next_seq):
             self._add_numbered()
-        else:  # the placer read too slowly: what it missed is no longer retained
+        else:  # the placer reads too slowly: the next messages are no longer retained
             self._add_snapshot()
         self._batch += self.outbox.pop_status_reports()
         state_changed = self._node.draining != self._was_draining
--- a/kelpfront/machine/messages.py
+++ b/kelpfront/machine/messages.py
@@ -1,15 +1,16 @@
-"""Messages between placers and machines: JSON over HTTP/1.1.
+"""Messages between placers and machines, encoded as JSON over HTTP/1.1.
 
-A placer POSTs an `OfferRequest` to `/v1/offers` and gets the one `Answer` to it; it GETs `/v1/stream`, which
-goes on for as long as both live: one JSON message a line. It POSTs `StopRequest` to `/v1/stops` and GETs
-`/v1/probe`. Times are milliseconds of the common clock, or durations; cores and memory are in the units of
-the deployment.
+A placer POSTs an `OfferRequest` to `/v1/offers` and receives one `Answer`. It GETs `/v1/stream`, a response
+with one JSON message a line, which lasts until either side ends it. It POSTs a `StopRequest` to `/v1/stops`
+and GETs `/v1/probe`. Times are milliseconds of the common clock, or durations in milliseconds; cores and
+memory are in the units of the deployment.
 
-On the stream, `Taken` and `Gone` carry sequence numbers of one placer at one machine. A placer that comes
-back names the first one that it has not received; the machine sends what was missed, or, where it no longer
-can or the placer is new, a `Snapshot` of all tasks of that placer, which replaces all before it.
+On the stream, `Taken` and `Gone` carry sequence numbers, counted for each pair of a placer and a machine. A
+placer that reconnects requests the first message that it has not received, and the machine sends the missed
+messages. If they are no longer retained, or the placer is new, the machine sends a `Snapshot` of all tasks of
+that placer, which replaces all earlier messages.
 
-The names of the classes and fields are those of the wire.
+Class and field names are those of the wire protocol.
 """
 
 from __future__ import annotations
@@ -22,21 +23,21 @@
 TaskPhase = Literal["waiting", "starting", "running", "ended"]
 GoneCause = Literal["ended", "stopped", "failed", "evicted", "pushed-out", "sent-away", "lost"]
 
-# Why a machine refuses, or cannot answer otherwise, word for word as clients read it.
+# Reasons of refusals and errors. Clients see these values.
 NO_CORES = "NO_CORES"
 NO_MEMORY = "NO_MEMORY"
 QUEUE_FULL = "QUEUE_FULL"
 NOT_HERE = "NOT_HERE"
-START_FAILED = "START_FAILED"  # the task's process could not be made: it never ran
-RAN_HERE = "RAN_HERE"  # a non-idempotent task is offered again that ran here: an error, not a refusal
+START_FAILED = "START_FAILED"  # the task's process could not be created: the task never ran
+RAN_HERE = "RAN_HERE"  # a non-idempotent task already ran on this machine: an error, not a refusal
 
 
 class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=False, omit_defaults=True):
-    """The base of all messages: unknown fields of later versions are ignored."""
+    """The base class of all messages; unknown fields, as of later versions, are ignored."""
 
 
 class JobRef(Message, frozen=True):
-    """The job of a task: enough for a placer that restarts without a store to show it again."""
+    """The job of a task, with all that a placer needs to list the job after a restart without a store."""
 
     namespace: str
     name: str
@@ -48,10 +49,10 @@
 
 
 class Command(Message, frozen=True):
-    """The process of a task. `argv` is not given to a shell; `env` is added to a plain environment.
+    """The process of a task. `argv` is run without a shell; `env` is added to a minimal environment.
 
-    `workdir` is absolute, or empty for a folder of the task's own. From SIGTERM to SIGKILL it has
-    `grace_ms` to stop.
+    `workdir` is an absolute path, or empty for a folder that is created for the task. `grace_ms` is the time
+    between SIGTERM and SIGKILL when the process is stopped.
     """
 
     argv: tuple[str, ...]
@@ -63,10 +64,10 @@
 class Offer(Message, frozen=True):
     """One attempt to place one task.
 
-    `task` is the task's uid, the same in all attempts; `attempt` counts them. `not_after` is when the placer
-    will have given up: a machine starts nothing for it later. `key` is the idempotency key of a task whose
-    `effect` is `keyed`: one task of a key runs in its scope, the `group` of machines. `run` is set where the
-    job says what its tasks run.
+    `task` is the task's uid, the same in all attempts; `attempt` is the number of the attempt. `not_after` is
+    the time at which the placer gives up the attempt; a machine does not start the task later. `key` is the
+    idempotency key of a task whose `effect` is `keyed`: at most one task per key runs in its scope, the
+    `group` of machines. `run` is set if the job specifies a command.
     """
 
     task: str
@@ -86,7 +87,7 @@
 
 
 class OfferRequest(Message, frozen=True):
-    """An offer with the placer that sends it; `incarnation` is of the placer's process."""
+    """An offer with its sender; `incarnation` identifies the placer's process."""
 
     placer: str
     incarnation: str
@@ -94,9 +95,10 @@
 
 
 class LoadReport(Message, frozen=True):
-    """A machine's load: cores and memory that no task requests (`free`), and that are not in use (`unused`).
+    """A machine's load: cores and memory that tasks do not request (`free`) or do not use (`unused`).
 
-    `waiting` counts tasks before and in their start; `busy` is the share of the cores in use.
+    `waiting` is the number of tasks that wait for evaluation or start, or are starting; `busy` is the share of
+    the cores in use.
     """
 
     free_cores: float
@@ -108,7 +110,10 @@
 
 
 class Answer(Message, frozen=True):
-    """The one answer to an offer. `refused` proves that the task did not run; `error` proves nothing."""
+    """The only answer to an offer.
+
+    `refused` guarantees that the task did not run; after `error` it may or may not have run.
+    """
 
     answer: AnswerKind
     reason: str = ""
@@ -117,7 +122,7 @@
 
 
 class StopRequest(Message, frozen=True):
-    """The placer no longer wants a task, because its client said so or because it moves."""
+    """A placer's request to stop a task, because its client cancelled it or because it migrates."""
 
     placer: str
     task: str
@@ -126,13 +131,16 @@
 
 
 class StopReply(Message, frozen=True):
-    """What the machine found: `unknown` where it has no such attempt, which never came or is over."""
+    """The reply to a stop request.
+
+    `unknown`: the machine has no such attempt, because its offer never arrived or it has ended.
+    """
 
     found: Literal["stopped", "stopping", "unknown"]
 
 
 class TaskReport(Message, frozen=True):
-    """A task on a machine; of an ended one, whether it ran and the CPU seconds that it used."""
+    """The state of a task on a machine; `ran` and `cpu_s`, the CPU seconds used, apply to ended tasks."""
 
     offer: Offer
     incarnation: str
@@ -145,7 +153,7 @@
 
 
 class Hello(Message, frozen=True, tag_field="t", tag="hello"):
-    """The first message of each stream. `boot` names the machine's incarnation, `age_ms` its age."""
+    """The first message of each stream. `boot` identifies the machine's incarnation; `age_ms` is its age."""
 
     boot: str
     age_ms: float
@@ -156,7 +164,10 @@
 
 
 class Snapshot(Message, frozen=True, tag_field="t", tag="snapshot"):
-    """All tasks of this placer on the machine, and those ended recently. Replaces all up to `seq`."""
+    """All tasks of this placer on the machine, and its recently ended tasks that it has not acknowledged.
+
+    Replaces all messages up to number `seq`.
+    """
 
     seq: int
     tasks: tuple[TaskReport, ...]
@@ -170,7 +181,7 @@
 
 
 class Taken(Message, frozen=True, tag_field="t", tag="taken"):
-    """An attempt was accepted, or runs. Sent whatever became of the answer to the offer."""
+    """An attempt was accepted, or is running. Sent even if the answer to the offer was lost."""
 
     seq: int
     task: str
@@ -179,7 +190,7 @@
 
 
 class Gone(Message, frozen=True, tag_field="t", tag="gone"):
-    """A task that was accepted or ran is over."""
+    """A task that was accepted, or whose start had begun, has ended."""
 
     seq: int
     task: str
@@ -192,7 +203,7 @@
 
 
 class Note(Message, frozen=True, tag_field="t", tag="note"):
-    """A status report of a running task: cores or memory in use, or the share of full service it gets."""
+    """A status report of a running task, such as cores or memory in use, or its share of full service."""
 
     task: str
     attempt: int
--- a/kelpfront/machine/model.py
+++ b/kelpfront/machine/model.py
@@ -1,6 +1,6 @@
-"""The records that a node works on: its settings, its incarnation, and its tasks, active and ended.
+"""Data types of a node: its settings, its incarnation, and its active and ended tasks.
 
-They carry no decisions; `task_table` owns the tasks and the modules around it change them.
+They contain no decisions: `task_table` stores the active tasks and the other modules of the node change them.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 from kelpfront.machine.messages import GoneCause, Offer, TaskPhase, TaskReport
 from kelpfront.machine.slow_start import SlowStart
 
-AnswerMode = Literal["running", "accepted"]  # an offer is answered once its task runs, or once it is admitted
+AnswerMode = Literal["running", "accepted"]  # answer an offer once its task runs, or once it is admitted
 DrainMode = Literal["none", "paced", "at_once"]  # how a draining machine evicts its tasks
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """What a machine is and how it accepts tasks."""
+    """A machine's identity, capacity and limits, and its policies for accepting and evicting tasks."""
 
     name: str
     kind: str
     rack: str
     zone: str
     capacity: Capacity
-    max_pending_offers: int  # offers that may wait for their evaluation
+    max_pending_offers: int  # offers that may wait for evaluation
     max_parallel_starts: int
     answer_mode: AnswerMode
-    preempts: bool  # tasks of lower priority are stopped to make room for others
+    preempts: bool  # whether tasks of lower priority are stopped to free capacity for others
     drain_mode: DrainMode
-    drain_interval_ms: float  # between evictions of a paced drain
-    max_cached_programs: int  # services whose program is kept for a while after their last task
+    drain_interval_ms: float  # between the evictions of a paced drain
+    max_cached_programs: int  # idle programs that are kept after the last task of their service
     heartbeat_ms: float
     slow_start: SlowStart
-    max_tasks: int | None = None  # at a time, however little they request
-    starts_per_ms: float | None = None  # the highest rate of starts, after the slow start
+    max_tasks: int | None = None  # tasks on the machine at the same time, regardless of their requests
+    starts_per_ms: float | None = None  # the maximum rate of starts, after the slow start
 
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One run of a machine, from its boot to its end. Times are milliseconds of the common clock.
+    """One run of a machine, from its boot to its shutdown. Times are milliseconds of the common clock.
 
-    `first_seq` is above all message numbers that an earlier process gave out in this incarnation.
+    `first_seq` is greater than all message numbers that an earlier process used in this incarnation.
     """
 
     boot: str
@@ -67,17 +67,17 @@
 
 
 class Phase(StrEnum):
-    """Where a task is between its offer and its end. The values are shown by the agent's list of tasks."""
+    """The phases of an active task. The agent's task list shows their values."""
 
-    PENDING = "line"  # its offer waits for its evaluation
-    QUEUED = "queued"  # admitted, and waits for its start
+    PENDING = "line"  # the offer waits for evaluation
+    QUEUED = "queued"  # admitted; waits for its start
     STARTING = "starting"
     RUNNING = "running"
     STOPPING = "stopping"
 
 
-ADMITTED_PHASES = frozenset({Phase.QUEUED, Phase.STARTING, Phase.RUNNING})  # that hold capacity
-LIVE_PHASES = frozenset({Phase.STARTING, Phase.RUNNING})  # with a process that nobody has stopped
+ADMITTED_PHASES = frozenset({Phase.QUEUED, Phase.STARTING, Phase.RUNNING})  # the phases that hold capacity
+LIVE_PHASES = frozenset({Phase.STARTING, Phase.RUNNING})  # the task has a process that is not being stopped
 
 _REPORTED_PHASES: dict[Phase, TaskPhase] = {
     Phase.PENDING: "waiting",
@@ -90,17 +90,17 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveTask:
-    """A task of which an offer came in and which is not over."""
+    """A task that was offered to this machine and has not ended."""
 
     offer: Offer
     placer: str
-    incarnation: str  # of the placer, when it sent the offer
+    incarnation: str  # of the placer's process that sent the offer
     phase: Phase
-    since: float  # when its offer came, and from its admission on when that was
+    since: float  # the time of its admission; before that, of its offer
     answered: bool = False
-    cause: GoneCause = "ended"  # reported when it has ended
+    cause: GoneCause = "ended"  # reported when the task has ended
     usage: ResourceUsage = field(default_factory=ResourceUsage)
-    blocked_by: set[str] = field(default_factory=set)  # tasks preempted for it that have not ended yet
+    blocked_by: set[str] = field(default_factory=set)  # tasks preempted for this one that have not ended yet
 
     @property
     def uid(self) -> str:
@@ -109,22 +109,22 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether its start has begun: from then on it may run."""
+        """Whether the start of the task has begun: from then on it may be running."""
         return self.phase not in (Phase.PENDING, Phase.QUEUED)
 
     def claim(self) -> Claim:
-        """Return what it requests and uses, for decisions on admission."""
+        """Return the task's requested and used resources, for admission and eviction."""
         offer = self.offer
         return Claim(offer.task, offer.priority, offer.cores, offer.memory, self.since, self.usage.memory)
 
     def report(self) -> TaskReport:
-        """Return the task as a snapshot shows it."""
+        """Return the task's report in a snapshot."""
         return TaskReport(self.offer, self.incarnation, _REPORTED_PHASES[self.phase])
 
 
 @dataclass(slots=True, eq=False)
 class EndedTask:
-    """A task that is over and may still be reported; `seq` is the number of the message that reported it."""
+    """An ended task that may still be reported; `seq` is the number of the message that reports its end."""
 
     placer: str
     report: TaskReport
