--- a/kelpfront/machine/messages.py
+++ b/kelpfront/machine/messages.py
@@ -95,10 +95,10 @@
 
 
 class LoadReport(Message, frozen=True):
-    """A machine's load: cores and memory that tasks do not request (`free`) or do not use (`unused`).
+    """A machine's load: cores and memory not requested by tasks (`free`) and not in use (`unused`).
 
-    `waiting` is the number of tasks that wait for evaluation or start, or are starting; `busy` is the share of
-    the cores in use.
+    `waiting` is the number of tasks that wait for evaluation or for their start, or are starting. `busy` is
+    the share of the cores in use.
     """
 
     free_cores: float
--- a/kelpfront/machine/node.py
+++ b/kelpfront/machine/node.py
@@ -1,7 +1,8 @@
-"""The decisions of one machine, without any I/O: each event goes to the part that is in charge of it.
+"""The decisions of one machine, without I/O: a node passes each event to the component that handles it.
 
-Whoever holds a `Node` feeds it what happens (an offer, a process that has started, a timer) with the time,
-then pops its effects and carries them out in order. The parts own the state; the node only connects them.
+The owner of a `Node` calls it for each event (an offer, a started process, a timer) with the current time,
+then pops the node's effects and carries them out in order. The components hold the state; the node connects
+them.
 """
 
 from __future__ import annotations
@@ -52,14 +53,14 @@
 
 
 def _no_delay_ms() -> float:
-    """Stand for the time that an evaluation takes where it takes none."""
+    """Return the duration of an evaluation that takes no time."""
     return 0.0
 
 
 class Node:
     """One incarnation of a machine. Times are milliseconds of the common clock.
 
-    `evaluation_ms` gives the time that the evaluation of an offer takes.
+    `evaluation_ms` returns how long the evaluation of an offer takes.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
     # ---- Offers and stops of placers ----------------------------------------------------------------------
 
     def offer(self, now: float, request: OfferRequest) -> None:
-        """Accept an offer for evaluation, or answer it; its AnswerOffer follows now or later."""
+        """Queue an offer for evaluation, or answer it at once; the AnswerOffer effect may follow later."""
         offer = request.offer
         if self._answers.repeat(offer):
             return
@@ -113,7 +114,7 @@
         self.advance(now)
 
     def abandon(self, now: float, task: str, attempt: int) -> None:
-        """Drop an attempt whose answer nobody waits for any more, if it is open and has not begun."""
+        """Drop an attempt whose answer no one waits for, if it is unanswered and its start has not begun."""
         active = self._tasks.get(task)
         if active is None or active.offer.attempt != attempt:
             return
@@ -122,7 +123,7 @@
             self.advance(now)
 
     def stop(self, now: float, request: StopRequest) -> StopReply:
-        """Stop an attempt that its placer no longer wants, or any earlier one of the task."""
+        """Stop the requested attempt of a task, or an earlier attempt that is active."""
         active = self._tasks.get(request.task)
         if active is None:
             self._screening.remember_stop(request.task, request.attempt)
@@ -136,7 +137,7 @@
         return StopReply("stopped")
 
     def stop_tasks_of(self, now: float, placer: str, cause: GoneCause) -> int:
-        """Stop all tasks of a placer that is not coming back; returns how many there were."""
+        """Stop all tasks of a placer that has failed; returns the number of tasks."""
         tasks = [task for task in self._tasks.of_placer(placer) if task.phase is not Phase.STOPPING]
         for task in tasks:
             self._stops.end(task, cause, "its placer is away")
@@ -144,7 +145,7 @@
         return len(tasks)
 
     def set_draining(self, now: float, *, draining: bool) -> None:
-        """Accept nothing new from now on, or accept tasks again."""
+        """Start or cancel a drain; a draining machine refuses new offers."""
         if self._drain.is_draining == draining:
             return
         if draining:
@@ -153,10 +154,10 @@
             self._drain.cancel()
         self.advance(now)
 
-    # ---- What becomes of tasks ----------------------------------------------------------------------------
+    # ---- Events of tasks ----------------------------------------------------------------------------------
 
     def started(self, now: float, task: str) -> None:
-        """Note that a task runs."""
+        """Handle the successful start of a task."""
         active = self._tasks.get(task)
         if active is None or active.phase is not Phase.STARTING:
             return
@@ -164,7 +165,7 @@
         self.advance(now)
 
     def attempt_superseded(self, now: float, task: str, attempt: int) -> None:
-        """Note that it is on record that a task is a later attempt's: that attempt can be answered."""
+        """Answer a later attempt, once it is recorded that the task belongs to it."""
         active = self._tasks.get(task)
         if active is None or active.offer.attempt != attempt or active.answered:
             return
@@ -172,7 +173,7 @@
         self.advance(now)
 
     def start_failed(self, now: float, task: str, message: str) -> None:
-        """Note that a task's process could not be made: it never ran."""
+        """Handle a start in which the task's process could not be created: the task never ran."""
         active = self._tasks.get(task)
         if active is None or active.phase not in (Phase.STARTING, Phase.STOPPING):
             return
@@ -180,7 +181,7 @@
         self.advance(now)
 
     def start_unconfirmed(self, now: float, task: str, message: str) -> None:
-        """Note that a start failed in a way that does not tell whether the task ran: answered as an error."""
+        """Handle a failed start after which it is unknown whether the task ran: its answer is an error."""
         active = self._tasks.get(task)
         if active is None or not active.has_begun:
             return
@@ -195,7 +196,7 @@
         cpu_s: float | None = None,
         message: str = "",
     ) -> None:
-        """Note that a task's process has ended; `cpu_s` is what it used, with its children."""
+        """Handle the exit of a task's process; `cpu_s` is the CPU time of the process and its children."""
         active = self._tasks.get(task)
         if active is None or not active.has_begun:
             return
@@ -203,7 +204,7 @@
         self.advance(now)
 
     def record_usage(self, now: float, usage_by_task: Mapping[str, ResourceUsage]) -> None:
-        """Note the usage of tasks, and evict tasks where memory has run out."""
+        """Record the resource usage of tasks, and evict tasks if memory has run out."""
         for task, usage in usage_by_task.items():
             active = self._tasks.get(task)
             if active is not None:
@@ -214,7 +215,7 @@
         self.advance(now)
 
     def report_status(self, status_report: Note) -> None:
-        """Report to a task's placer how the task is doing."""
+        """Send a status report of a running task to its placer."""
         active = self._tasks.get(status_report.task)
         if active is not None and active.phase is Phase.RUNNING:
             self.outbox(active.placer).add_status_report(status_report)
@@ -222,38 +223,38 @@
     # ---- Time and effects ---------------------------------------------------------------------------------
 
     def advance(self, now: float) -> None:
-        """Do what is due by now: evaluate offers, begin starts, evict tasks."""
+        """Perform the actions that are due: evaluate offers, begin starts, evict tasks."""
         while (evaluated := self._admission_queue.pop_evaluated(now)) is not None:
             self._evaluation.evaluate(now, evaluated)
         self._starter.start_due(now)
         self._drain.evict_due(now)
 
     def next_timer(self) -> float:
-        """Return when `advance` is next due; infinity where nothing is."""
+        """Return the time at which `advance` is next due; infinity if nothing is due."""
         return min(self._admission_queue.next_due, self._start_queue.next_due, self._drain.next_due)
 
     def pop_effects(self) -> list[Effect]:
-        """Return what is to be carried out, in order, and forget it."""
+        """Remove and return the effects to carry out, in order."""
         return self._effects.pop_all()
 
-    # ---- What an earlier process left ---------------------------------------------------------------------
+    # ---- Recovery after a restart -------------------------------------------------------------------------
 
     def restore(self, now: float, restored: RestoredTask) -> None:
-        """Add a task that an earlier process started."""
+        """Add a task that an earlier process of the machine started."""
         self._restoration.restore(now, restored)
 
     def restore_ended(self, placer: str, report: TaskReport, seq: int) -> None:
-        """Add a task that is over, which message `seq` reported or is to report."""
+        """Add an ended task; `seq` is the number of the message that reports its end."""
         self._restoration.restore_ended(placer, report, seq)
 
-    # ---- What placers are sent ----------------------------------------------------------------------------
+    # ---- Messages to placers ------------------------------------------------------------------------------
 
     def outbox(self, placer: str) -> Outbox:
-        """Return the outbox to a placer, made at its first offer or stream."""
+        """Return the outbox to a placer; it is created on first use."""
         return self._report_log.outbox(placer)
 
     def hello(self, now: float, placer: str, next_seq: int | None) -> Hello:
-        """Return the first message of a placer's stream, which asks for messages from `next_seq` on."""
+        """Return the first message of a placer's stream; the placer requests messages from `next_seq` on."""
         outbox = self.outbox(placer)
         resumed = next_seq is not None and outbox.reaches(next_seq)
         return Hello(
@@ -266,16 +267,19 @@
         )
 
     def snapshot(self, placer: str) -> Snapshot:
-        """Return all tasks of a placer, and its ended tasks that it has not acknowledged."""
+        """Return a snapshot of a placer's active tasks and its ended tasks that it has not acknowledged."""
         active = [task.report() for task in self._tasks.of_placer(placer)]
         return self._report_log.snapshot(placer, active)
 
     def acknowledge(self, placer: str, next_seq: int) -> list[str]:
-        """Note that a placer has all messages before a number; returns the ended tasks now acknowledged."""
+        """Record that a placer has received all messages before `next_seq`.
+
+        Returns the ended tasks that this acknowledges for the first time.
+        """
         return self._report_log.acknowledge(placer, next_seq)
 
     def acknowledge_task(self, task: str) -> None:
-        """Note that an ended task is acknowledged, by what an earlier process knew."""
+        """Mark an ended task as acknowledged, according to the records of an earlier process."""
         self._report_log.acknowledge_task(task)
 
     def heartbeat(self) -> Heartbeat:
@@ -286,38 +290,38 @@
         """Return the machine's load."""
         return self._load.report()
 
-    # ---- What can be read ---------------------------------------------------------------------------------
+    # ---- State --------------------------------------------------------------------------------------------
 
     @property
     def boot(self) -> str:
-        """The name of this incarnation."""
+        """The identifier of this incarnation."""
         return self.incarnation.boot
 
     @property
     def started_at(self) -> float:
-        """When this incarnation began."""
+        """The time at which this incarnation began."""
         return self.incarnation.started_at
 
     @property
     def draining(self) -> bool:
-        """Whether the machine accepts nothing new."""
+        """Whether the machine is draining and refuses new offers."""
         return self._drain.is_draining
 
     @property
     def other_programs(self) -> OtherPrograms:
-        """What programs of the host use that are not tasks; its fields may be set."""
+        """The resource usage of the host's programs that are not tasks; callers may set its fields."""
         return self._load.other_programs
 
     @property
     def tasks(self) -> dict[str, ActiveTask]:
-        """The tasks by uid; not to be changed."""
+        """The active tasks by uid; callers must not modify the dict."""
         return self._tasks.by_uid
 
     @property
     def cached_programs(self) -> set[str]:
-        """Services whose program is here: the start of a task of another takes longer."""
+        """The services whose program is on the machine; the first start of any other service takes longer."""
         return self._start_queue.programs.services()
 
     def ended(self, task: str) -> EndedTask | None:
-        """Return what is still known of a task that is over."""
+        """Return the record of an ended task, or None if it is unknown or no longer kept."""
         return self._report_log.ended.get(task)
--- a/kelpfront/machine/offer_answers.py
+++ b/kelpfront/machine/offer_answers.py
@@ -1,6 +1,6 @@
-"""Answers to offers: given once, and repeated when the same offer comes again.
+"""Answers to offers: each offer is answered once, and the answer is repeated if the offer arrives again.
 
-It owns the answers given and hands each out as an effect. What the answer is, is decided by its callers.
+This module remembers the answers and adds each one to the node's effects. Its callers choose the answers.
 """
 
 from __future__ import annotations
@@ -12,11 +12,13 @@
 from kelpfront.machine.model import ActiveTask, NodeSettings
 from kelpfront.machine.report_log import ReportLog
 
-MAX_ANSWERS = 10_000  # answers given; an offer is repeated within seconds, of which this is many
+MAX_ANSWERS = (
+    10_000  # answers remembered; more than a machine gives in the seconds until an offer is repeated
+)
 
 
 class OfferAnswers:
-    """The answers of a node. An offer is known by its task and attempt."""
+    """The answers of a node. An offer is identified by its task and attempt."""
 
     def __init__(
         self, settings: NodeSettings, report_log: ReportLog, load: LoadMeter, effects: EffectBuffer
@@ -28,7 +30,7 @@
         self._given: BoundedCache[tuple[str, int], Answer] = BoundedCache(MAX_ANSWERS)
 
     def repeat(self, offer: Offer) -> bool:
-        """Answer an offer as it was answered before; returns False where it has no answer yet."""
+        """Repeat the answer to an offer; returns False if the offer has no answer yet."""
         answer = self._given.get((offer.task, offer.attempt))
         if answer is None:
             return False
@@ -36,7 +38,7 @@
         return True
 
     def remember(self, offer: Offer, answer: Answer) -> None:
-        """Remember an answer that an earlier process gave, or would give."""
+        """Remember the answer to an offer, which is repeated if the offer arrives again."""
         self._given.put((offer.task, offer.attempt), answer)
 
     def give(self, offer: Offer, answer: Answer) -> None:
@@ -50,22 +52,22 @@
         self.give(task.offer, answer)
 
     def give_if_open(self, task: ActiveTask, answer: Answer) -> None:
-        """Answer the offer of a task unless it is answered."""
+        """Answer the offer of a task unless it has an answer."""
         if not task.answered:
             self.give_for(task, answer)
 
     def with_load(self, kind: AnswerKind, reason: str = "", message: str = "") -> Answer:
-        """Return an answer that shows the machine's load."""
+        """Return an answer that includes the machine's load."""
         return Answer(kind, reason, message, self._load.report())
 
     def confirm_accepted(self, task: ActiveTask) -> None:
-        """Report that a task was accepted, and answer its offer with that."""
+        """Report that a task was accepted, and answer its offer with `accepted`."""
         outbox = self._report_log.outbox(task.placer)
         outbox.append_accepted(task.uid, task.offer.attempt, running=False)
         self.give_for(task, self.with_load("accepted"))
 
     def confirm_running(self, task: ActiveTask) -> None:
-        """Report that a task runs, and answer its offer with that unless it is answered."""
+        """Report that a task is running, and answer its offer with `running` unless it has an answer."""
         outbox = self._report_log.outbox(task.placer)
         outbox.append_accepted(task.uid, task.offer.attempt, running=True)
         if not task.answered:
--- a/kelpfront/machine/offer_screening.py
+++ b/kelpfront/machine/offer_screening.py
@@ -1,6 +1,8 @@
-"""Refuses offers at once that need no evaluation: stopped before they came, drained, too many.
+"""The checks that answer an offer immediately, before it is queued for evaluation.
 
-It owns the stops that came before their offer. Offers that pass wait for their evaluation.
+They cover tasks stopped before their offer arrived, tasks that already ran on this machine, draining, the
+machine's kind, and the limits on tasks and pending offers. This module remembers the stops that arrived
+before their offer.
 """
 
 from __future__ import annotations
@@ -12,12 +14,12 @@
 from kelpfront.machine.model import NodeSettings
 from kelpfront.machine.report_log import ReportLog
 
-NO_ATTEMPT = -1  # below all attempts, which count from 0
-MAX_EARLY_STOPS = 2_000  # stops that came before their offer, as they may on another connection
+NO_ATTEMPT = -1  # less than any attempt number; attempts are counted from 0
+MAX_EARLY_STOPS = 2_000  # a stop on another connection may arrive before its offer
 
 
 class OfferScreening:
-    """The first check of each offer to a node."""
+    """The checks of each offer to a node before its evaluation."""
 
     def __init__(self, settings: NodeSettings, load: LoadMeter, report_log: ReportLog, drain: Drain) -> None:
         self._settings = settings
@@ -27,13 +29,13 @@
         self._early_stops: BoundedCache[str, int] = BoundedCache(MAX_EARLY_STOPS)  # task to attempt
 
     def remember_stop(self, task: str, attempt: int) -> None:
-        """Note a stop of a task that is not here, unless it ran here and is over."""
+        """Remember a stop of a task that is not on this machine, unless the task has ended here."""
         if task not in self._report_log.ended:
             self._early_stops.put(task, attempt)
 
     def refusal(self, offer: Offer) -> Answer | None:
-        """Return the answer to an offer that needs no evaluation, or None for one that does."""
-        checks = (self._check_stopped, self._check_ran_here, self._check_machine, self._check_full)
+        """Return the answer to an offer that fails a check, or None if it is to be evaluated."""
+        checks = (self._check_stopped, self._check_ran_here, self._check_drain_and_kind, self._check_limits)
         for check in checks:
             refusal = check(offer)
             if refusal is not None:
@@ -47,7 +49,11 @@
         return None
 
     def _check_ran_here(self, offer: Offer) -> Answer | None:
-        """Only a placer that has lost its state offers so. A refusal would let it try elsewhere."""
+        """Reject a non-idempotent task that already ran on this machine.
+
+        Only a placer that has lost its state offers such a task again. The answer is an error because the
+        placer would try another machine after a refusal, and the task would run twice.
+        """
         if offer.effect != "unsafe":
             return None
         ended = self._report_log.ended.get(offer.task)
@@ -55,7 +61,7 @@
             return None
         return Answer("error", RAN_HERE, f"attempt {ended.report.offer.attempt} of it ran here")
 
-    def _check_machine(self, offer: Offer) -> Answer | None:
+    def _check_drain_and_kind(self, offer: Offer) -> Answer | None:
         if self._drain.is_draining:
             return Answer("refused", NOT_HERE, "draining", self._load.report())
         kind = self._settings.kind
@@ -63,7 +69,7 @@
             return Answer("refused", NOT_HERE, f"kind {kind}, {offer.needs_kind} needed")
         return None
 
-    def _check_full(self, _: Offer) -> Answer | None:
+    def _check_limits(self, _: Offer) -> Answer | None:
         task_count, max_tasks = self._load.task_count, self._settings.max_tasks
         if max_tasks is not None and task_count >= max_tasks:
             message = f"{task_count} tasks are here, which is the most"
--- a/kelpfront/machine/offer_waiters.py
+++ b/kelpfront/machine/offer_waiters.py
@@ -1,7 +1,7 @@
-"""Connections that wait for the answer to an offer.
+"""Requests that wait for the answer to an offer.
 
-Several may wait for one answer: a placer that lost its connection sends the same offer again. Giving up an
-offer for which nobody waits any more is left to the server.
+Several requests may wait for one answer, since a placer that lost its connection sends the same offer again.
+The server abandons an offer when no request waits for it any more.
 """
 
 from __future__ import annotations
@@ -13,32 +13,32 @@
 
 
 class OfferKey(NamedTuple):
-    """What identifies an offer on one machine."""
+    """The identity of an offer on one machine."""
 
     task: str
     attempt: int
 
 
 class OfferWaiters:
-    """Futures of answers, by offer. All calls are from the event loop's thread."""
+    """Futures of answers, by offer. All methods must be called from the event loop's thread."""
 
     def __init__(self) -> None:
         self._futures: dict[OfferKey, list[asyncio.Future[Answer]]] = {}
 
     def add(self, key: OfferKey) -> asyncio.Future[Answer]:
-        """Return a future of the answer to an offer."""
+        """Create a future for the answer to an offer."""
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._futures.setdefault(key, []).append(future)
         return future
 
     def resolve(self, key: OfferKey, answer: Answer) -> None:
-        """Hand the answer to all that wait for it."""
+        """Set the answer on all futures of an offer."""
         for future in self._futures.pop(key, ()):
             if not future.done():
                 future.set_result(answer)
 
     def cancel(self, key: OfferKey, future: asyncio.Future[Answer]) -> bool:
-        """Cancel a future that waits; returns whether it was the last one of its offer."""
+        """Cancel a pending future; returns whether it was the last one of its offer."""
         waiting = self._futures.get(key, [])
         if future not in waiting:
             return False
--- a/kelpfront/machine/program_cache.py
+++ b/kelpfront/machine/program_cache.py
@@ -1,7 +1,8 @@
-"""Which services have their program on the machine.
+"""The services whose program is on the machine.
 
-A program is there while a task of its service starts, runs or stops, and for the services used last also for
-a while after. The first start of another service takes longer, since its program has to be fetched.
+A program is present while a task of its service is starting, running or stopping. The programs of the most
+recently used services stay cached after their last task. The first start of any other service takes longer,
+since its program has to be fetched.
 """
 
 from __future__ import annotations
@@ -12,27 +13,27 @@
 
 
 class ProgramCache:
-    """Programs in use, and up to `max_idle` programs that no task uses."""
+    """The programs in use, and up to `max_idle` cached programs that no task uses."""
 
     def __init__(self, max_idle: int) -> None:
         self._task_counts: Counter[str] = Counter()
         self._idle: BoundedCache[str, None] = BoundedCache(max_idle)
 
     def services(self) -> set[str]:
-        """Return the services whose program is there."""
+        """Return the services whose program is present."""
         return {service for service, count in self._task_counts.items() if count} | set(self._idle)
 
     def has(self, service: str) -> bool:
-        """Return whether the program of a service is there."""
+        """Return whether the program of a service is present."""
         return bool(self._task_counts[service]) or service in self._idle
 
     def acquire(self, service: str) -> None:
-        """Count a task of a service that begins."""
+        """Count a task of a service as active."""
         self._task_counts[service] += 1
         self._idle.discard(service)
 
     def release(self, service: str, *, cache_idle: bool) -> None:
-        """Count a task of a service that is over; after the last one the program may be kept."""
+        """Count a task of a service as ended; `cache_idle` caches the program after the last task."""
         self._task_counts[service] -= 1
         if self._task_counts[service]:
             return
--- a/kelpfront/machine/report_log.py
+++ b/kelpfront/machine/report_log.py
@@ -1,6 +1,7 @@
-"""What a machine reports to its placers: one outbox for each, and the ended tasks they may not know of yet.
+"""The reports of a machine to its placers: an outbox for each placer, and the recently ended tasks.
 
-It numbers and retains; what is worth reporting is decided by the node, and `message_stream` sends it.
+This module numbers and retains the messages. The node decides what to report, and `message_stream` sends the
+messages.
 """
 
 from __future__ import annotations
@@ -12,19 +13,19 @@
 from kelpfront.machine.model import EndedTask
 from kelpfront.machine.outbox import Outbox
 
-MAX_ENDED_TASKS = 2_000  # that a snapshot still reports; a placer reads its stream long before
-MAX_PLACERS = 1_000  # outboxes that are kept, which bounds their memory
+MAX_ENDED_TASKS = 2_000  # retained for snapshots; placers read of an end long before so many others follow
+MAX_PLACERS = 1_000  # outboxes that are kept; bounds their memory
 
 
 class TooManyPlacersError(OverflowError):
-    """Another placer asks for an outbox, and every placer that has one has tasks here."""
+    """A new outbox would exceed `MAX_PLACERS`, and every placer that has one has tasks on this machine."""
 
 
 class ReportLog:
     """All outboxes of a machine. Message numbers of this process start at `first_seq`.
 
-    `placers_with_tasks` names the placers that have tasks here: their outboxes are never dropped, since their
-    numbers must go on.
+    `placers_with_tasks` returns the placers that have tasks on this machine. Their outboxes are never
+    dropped, since their message numbers must continue.
     """
 
     def __init__(self, first_seq: int, placers_with_tasks: Callable[[], set[str]]) -> None:
@@ -34,9 +35,9 @@
         self._outboxes: dict[str, Outbox] = {}
 
     def outbox(self, placer: str) -> Outbox:
-        """Return the outbox to a placer, made at its first use.
+        """Return the outbox to a placer; it is created on first use.
 
-        Raises TooManyPlacersError where it would be one too many and every placer has tasks here.
+        Raises TooManyPlacersError if that exceeds `MAX_PLACERS` and every placer has tasks on this machine.
         """
         outbox = self._outboxes.get(placer)
         if outbox is None:
@@ -54,7 +55,7 @@
         del self._outboxes[idle]
 
     def append_ended(self, placer: str, report: TaskReport) -> None:
-        """Number and retain the message that a task is over."""
+        """Number and retain the message that a task has ended."""
         offer = report.offer
 
         def message(seq: int) -> Gone:
@@ -77,14 +78,14 @@
         self.ended.put(ended.report.offer.task, ended)
 
     def snapshot(self, placer: str, active: list[TaskReport]) -> Snapshot:
-        """Return the snapshot for a placer: its unacknowledged ended tasks, and those that are active."""
+        """Return the snapshot for a placer: its unacknowledged ended tasks and its active ones."""
         ended_reports = [
             ended.report for ended in self.ended.values() if ended.placer == placer and not ended.acknowledged
         ]
         return Snapshot(self.outbox(placer).next_seq - 1, (*ended_reports, *active))
 
     def acknowledge(self, placer: str, next_seq: int) -> list[str]:
-        """Mark the ended tasks that a placer knows of which asks for messages from `next_seq` on.
+        """Mark the ended tasks whose message a placer has received: it requests messages from `next_seq` on.
 
         Returns those that were not marked before.
         """
@@ -97,7 +98,7 @@
         return newly_acknowledged
 
     def acknowledge_task(self, task: str) -> None:
-        """Mark one ended task, by what an earlier process knew."""
+        """Mark one ended task as acknowledged, according to the records of an earlier process."""
         ended = self.ended.get(task)
         if ended is not None:
             ended.acknowledged = True
--- a/kelpfront/machine/restoration.py
+++ b/kelpfront/machine/restoration.py
@@ -1,6 +1,6 @@
-"""Takes back into a node what an earlier process of the machine left: tasks that are here, and ended ones.
+"""Restoration of the active and ended tasks of an earlier process of the machine after a restart.
 
-Where that is recorded and how it was found is the agent's business.
+The agent keeps the records of these tasks and reads them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestoredTask:
-    """A task that an earlier process started; `since` is when, `cause` why it is being stopped."""
+    """A task that an earlier process started at `since`; `cause` is the reason if it is being stopped."""
 
     request: OfferRequest
     phase: Phase
@@ -26,7 +26,7 @@
 
 
 class Restoration:
-    """Restores the tasks of a node, before it serves."""
+    """Restores the tasks of a node before the node serves placers."""
 
     def __init__(
         self, tasks: TaskTable, start_queue: StartQueue, answers: OfferAnswers, report_log: ReportLog
@@ -37,9 +37,10 @@
         self._report_log = report_log
 
     def restore(self, now: float, restored: RestoredTask) -> None:
-        """Add a task that is on the machine already; it is never started here.
+        """Add a task that is already on the machine; it is not started again.
 
-        What it requests counts from now on, and whoever offers the same attempt is answered that it runs.
+        The resources that it requests count from now on. An offer of the same attempt is answered as running
+        or accepted and does not start the task.
         """
         request = restored.request
         offer = request.offer
@@ -56,7 +57,7 @@
             self._answers.remember(offer, Answer("running" if is_running else "accepted"))
 
     def restore_ended(self, placer: str, report: TaskReport, seq: int) -> None:
-        """Add a task that is over: in the next snapshot unless the placer has received message `seq`."""
+        """Add an ended task, which snapshots report until the placer has received message `seq`."""
         self._report_log.add_ended(EndedTask(placer, report, seq))
         if report.ran:
             answer = Answer("error", RAN_HERE, "it ran here and is over")
--- a/kelpfront/machine/running_tasks.py
+++ b/kelpfront/machine/running_tasks.py
@@ -1,7 +1,7 @@
-"""What happens to a task from its start on: it runs, it is stopped, it ends.
+"""State changes of a task from the beginning of its start: it runs, it is stopped, it ends.
 
-Each change is reported to the task's placer, and its offer is answered where it was not. Tasks whose start
-has not begun are `withdrawals`' to handle.
+Running and ended tasks are reported to their placer, and their offer is answered if it has no answer yet.
+`withdrawals` handles tasks whose start has not begun.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
         self._effects = effects
 
     def mark_running(self, task: ActiveTask) -> None:
-        """Note that a start has succeeded."""
+        """Record that a task's start has succeeded."""
         task.phase = Phase.RUNNING
         self._start_queue.finish_start()
         self._answers.confirm_running(task)
 
     def stop(self, task: ActiveTask, cause: GoneCause) -> None:
-        """Stop a task, unless that is under way."""
+        """Stop a task unless it is being stopped already."""
         if task.phase is Phase.STOPPING:
             return
         if task.phase is Phase.STARTING:
@@ -49,7 +49,7 @@
         self._effects.add(StopTask(task.uid, cause))
 
     def end_exited(self, task: ActiveTask, exit_code: int | None, cpu_s: float | None, message: str) -> None:
-        """Note that a task's process has ended, by itself or stopped."""
+        """Record that a task's process has exited, on its own or because it was stopped."""
         report = TaskReport(
             task.offer,
             task.incarnation,
@@ -64,13 +64,13 @@
         self._answers.give_if_open(task, Answer("error", "", "the task ended before its start was answered"))
 
     def end_never_ran(self, task: ActiveTask, message: str) -> None:
-        """Note that a task's process could not be made."""
+        """Record that a task's process could not be created."""
         self._end(task, self._failure(task, message, ran=False))
         if not task.answered:
             self._answers.give_for(task, self._answers.with_load("refused", START_FAILED, message))
 
     def end_start_unconfirmed(self, task: ActiveTask, message: str) -> None:
-        """Note that a start failed in a way that does not tell whether the task ran."""
+        """Record a failed start after which it is unknown whether the task ran."""
         self._end(task, self._failure(task, message, ran=True))
         if not task.answered:
             self._answers.give_for(task, self._answers.with_load("error", "", message))
--- a/kelpfront/machine/server.py
+++ b/kelpfront/machine/server.py
@@ -1,7 +1,7 @@
-"""A machine on a socket: the protocol of `messages` over HTTP, around a `Node`.
+"""The HTTP server of a machine: it serves the protocol of `messages` for a `Node`.
 
-It carries out the node's effects, keeps its timer and serves the placers' offers, stops and streams. Running
-tasks is left to a `TaskRuntime`: it reports to the node what becomes of them and then calls `changed`.
+The server carries out the node's effects, runs its timer and serves the placers' offers, stops and streams. A
+`TaskRuntime` runs the tasks; it reports their starts and ends to the node and then calls `changed`.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class TaskRuntime(Protocol):
-    """Runs tasks. All calls return at once; what comes of them is reported to the node later."""
+    """Runs tasks. All methods return at once; their outcome is reported to the node later."""
 
     def start_task(self, start: StartTask) -> None:
         """Begin to start a task."""
@@ -49,11 +49,11 @@
         """Begin to stop a task."""
 
     def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
-        """Record that a task is a later attempt's, then call `Node.attempt_superseded`, perhaps at once."""
+        """Record that a task belongs to a later attempt; call `Node.attempt_superseded`, now or later."""
 
 
 class MachineServer:
-    """Serves one node. All calls are from the event loop's thread."""
+    """Serves one node. All methods must be called from the event loop's thread."""
 
     def __init__(
         self, node: Node, runtime: TaskRuntime, now: Callable[[], float], limits: HttpLimits | None = None
@@ -63,14 +63,14 @@
         self._now = now
         self.http = HttpServer(self.handle, limits)
         self._waiters = OfferWaiters()
-        self._streams: dict[str, PlacerStream] = {}  # of each placer the latest; a new one ends the old
+        self._streams: dict[str, PlacerStream] = {}  # by placer; a new stream replaces the older one
         self._was_draining = node.draining
         self._timer: asyncio.TimerHandle | None = None
         self.closed = asyncio.Event()
 
     @property
     def connected(self) -> frozenset[str]:
-        """Placers whose stream is open."""
+        """The placers whose stream is open."""
         return frozenset(self._streams)
 
     async def start(self, host: str, port: int, *, reuse_port: bool = False) -> None:
@@ -78,14 +78,14 @@
         await self.http.start(host, port, reuse_port=reuse_port)
 
     def abort(self) -> None:
-        """Vanish as a machine that loses its power does."""
+        """Close all connections without notice, as a machine that loses power does."""
         self.closed.set()
         self._cancel_timer()
         self._waiters.cancel_all()
         self.http.abort()
 
     async def close(self) -> None:
-        """End the streams and stop serving; tasks go on."""
+        """End the streams and stop serving; tasks keep running."""
         self.closed.set()
         self._cancel_timer()
         self._wake_streams()
@@ -94,13 +94,13 @@
     # ---- The node's effects and timer ---------------------------------------------------------------------
 
     def changed(self) -> None:
-        """Carry out the node's effects; to be called after anything was reported to the node."""
-        while effects := self.node.pop_effects():  # a runtime may report something to the node at once
+        """Carry out the node's effects and reset its timer; call this after each report to the node."""
+        while effects := self.node.pop_effects():  # an effect may lead to a report at once, and so to more
             for effect in effects:
                 self._carry_out(effect)
         if self.node.draining != self._was_draining:
             self._was_draining = self.node.draining
-            self._wake_streams()  # placers must not learn of a drain a heartbeat late
+            self._wake_streams()  # placers are notified of a drain at once, not at the next heartbeat
         self._set_timer()
 
     def _carry_out(self, effect: Effect) -> None:
@@ -155,20 +155,20 @@
         return Response(404, encode({"error": f"{request.method} {request.path}: no such call"}))
 
     def stop(self, request: StopRequest) -> StopReply:
-        """Stop a task for its placer."""
+        """Handle a placer's request to stop a task."""
         reply = self.node.stop(self._now(), request)
         self.changed()
         return reply
 
     async def answer_offer(self, offered: OfferRequest, request: Request) -> Answer:
-        """Return the answer to an offer as it goes out; a hook around `decide_offer`.
+        """Return the answer to send for an offer; a hook around `decide_offer` for subclasses.
 
-        Raises Abort where the answer is lost with its connection.
+        Raises Abort if the connection must be broken without an answer.
         """
         return await self.decide_offer(offered, request)
 
     async def decide_offer(self, offered: OfferRequest, request: Request) -> Answer:
-        """Return the node's answer; an offer whose placer disconnects meanwhile is abandoned."""
+        """Return the node's answer to an offer; the offer is abandoned if its placer disconnects before."""
         key = OfferKey(offered.offer.task, offered.offer.attempt)
         future = self._waiters.add(key)
         self.node.offer(self._now(), offered)
@@ -203,12 +203,12 @@
     def open_stream(
         self, placer: str, boot: str, first_seq: int | None, peer: Peer
     ) -> AsyncGenerator[list[StreamMessage], None]:
-        """Return the messages to a placer, from `first_seq` of `boot` on, for as long as `peer` is there.
+        """Return the messages to a placer, from `first_seq` of incarnation `boot` on, until `peer` closes.
 
         A new stream of a placer ends its older one.
         """
         if boot and boot != self.node.boot:
-            first_seq = None  # numbers of an earlier incarnation mean nothing now
+            first_seq = None  # message numbers of another incarnation are not valid here
         elif first_seq is not None:
             self.on_acknowledged(placer, self.node.acknowledge(placer, first_seq))
         wake = asyncio.Event()
@@ -221,7 +221,7 @@
         return self.message_batches(stream)
 
     async def message_batches(self, stream: PlacerStream) -> AsyncGenerator[list[StreamMessage], None]:
-        """Yield the messages of a stream, in batches, until it ends."""
+        """Yield the messages of a stream in batches until it ends."""
         loop = asyncio.get_running_loop()
         hooks = StreamHooks(self.heartbeat, self.on_streamed)
         reader = StreamReader(self.node, stream, hooks, self._now(), loop.time())
@@ -248,21 +248,21 @@
     # ---- Hooks --------------------------------------------------------------------------------------------
 
     async def before_health_check_answer(self) -> None:
-        """Do nothing; a hook: a health check came in over gRPC, and its answer waits for this."""
+        """Run before the answer to a health check over gRPC is sent; does nothing by default."""
 
     def heartbeat(self) -> Heartbeat:
-        """Return the heartbeat to placers; a hook for those that alter it."""
+        """Return the heartbeat to placers; subclasses may alter it."""
         return self.node.heartbeat()
 
     def on_acknowledged(self, placer: str, tasks: list[str]) -> None:
-        """Do nothing; a hook: the placer knows that these tasks are over."""
+        """Run when a placer has acknowledged the end of tasks; does nothing by default."""
 
     def on_streamed(self, placer: str, message: Heartbeat | Sequenced) -> None:
-        """Do nothing; a hook: the placer's stream carries this message now."""
+        """Run before a message is sent on the placer's stream; does nothing by default."""
 
 
 async def _wait_until(event: asyncio.Event, deadline_s: float) -> None:
-    """Wait for an event, at most until a time of the event loop's clock."""
+    """Wait for an event until a deadline on the event loop's clock."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout_at(deadline_s):
             await event.wait()
--- a/kelpfront/machine/start_queue.py
+++ b/kelpfront/machine/start_queue.py
@@ -1,7 +1,8 @@
-"""Admitted tasks that wait for their start, and how many starts are in progress.
+"""The queue of admitted tasks that wait for their start, and the number of starts in progress.
 
-A machine starts a few tasks at a time, and paced where a rate is set; fewer and slower during its slow start.
-It owns the queue, the count of starts, the pace and the cached programs; `task_starter` begins the starts.
+A machine bounds the number of parallel starts and, if a rate is set, the rate of starts. Both limits are
+lower during its slow start. This module tracks the queue, the starts in progress, the time of the next start
+and the cached programs; `task_starter` begins the starts.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from kelpfront.machine.model import ActiveTask, Incarnation, NodeSettings, Phase
 from kelpfront.machine.program_cache import ProgramCache
 
-_ROUNDING_SLACK = 1e-9  # a share such as 0.1 * 30 must count for three starts
+_ROUNDING_SLACK = 1e-9  # a product such as 0.1 * 30 must allow three starts despite rounding errors
 
 
 class StartQueue:
-    """The queue of starts of a node."""
+    """The start queue of a node."""
 
     def __init__(self, settings: NodeSettings, incarnation: Incarnation) -> None:
         self._settings = settings
@@ -28,12 +29,12 @@
 
     @property
     def waiting_count(self) -> int:
-        """How many tasks wait for their start or are in it."""
+        """The number of tasks that wait for their start or are starting."""
         return len(self._tasks) + self._starts_in_progress
 
     @property
     def next_due(self) -> float:
-        """When the pace allows the next start; infinite where none waits or no rate is set."""
+        """The time at which the rate allows the next start; infinite if no task waits or no rate is set."""
         if not self._tasks or not self._settings.starts_per_ms:
             return math.inf
         return self._next_start_at
@@ -47,7 +48,7 @@
         self._tasks.append(task)
 
     def remove(self, task: ActiveTask) -> None:
-        """Remove a task that is withdrawn, or whose start begins."""
+        """Remove a task that is withdrawn, too late to start, or about to start."""
         self._tasks.remove(task)
 
     def may_start(self, now: float) -> bool:
@@ -56,7 +57,7 @@
         return self._starts_in_progress < self._max_starts(now) and not is_too_early
 
     def begin_start(self, now: float, task: ActiveTask) -> bool:
-        """Count a start that begins; returns whether the task's program has to be fetched for it."""
+        """Count a start that begins; returns whether the task's program has to be fetched first."""
         service = task.offer.service
         needs_program = not self.programs.has(service)
         task.phase = Phase.STARTING
@@ -69,7 +70,7 @@
         return needs_program
 
     def finish_start(self) -> None:
-        """Count a start that is over: the task runs, or is being stopped."""
+        """Count a start as finished: the task is running or being stopped."""
         self._starts_in_progress -= 1
 
     def restore(self, task: ActiveTask) -> None:
@@ -79,7 +80,7 @@
             self._starts_in_progress += 1
 
     def release(self, task: ActiveTask, *, ran: bool) -> None:
-        """Count a task that began and is over, and unblock those that wait for its end."""
+        """Count a task that had begun as ended, and unblock the tasks that wait for its end."""
         if task.phase is Phase.STARTING:
             self._starts_in_progress -= 1
         self.programs.release(task.offer.service, cache_idle=ran)
--- a/kelpfront/machine/stream_offset.py
+++ b/kelpfront/machine/stream_offset.py
@@ -1,8 +1,8 @@
-"""How far a placer has read a machine's stream, whatever carries it. No I/O.
+"""A placer's position in a machine's stream, independent of the transport and without I/O.
 
-Messages that change what the placer knows are numbered. After a break the placer asks for the first that it
-has not received, of the incarnation that the numbers belong to; a machine that no longer has it begins with a
-snapshot. Connecting again is left to the placer's links.
+The messages `Taken` and `Gone` are numbered within an incarnation of the machine. After a disconnect the
+placer requests the first message that it has not received; a machine that no longer retains it sends a
+snapshot first. The placer's links reconnect.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 
 
 class StreamGapError(ValueError):
-    """A numbered message came while one before it is missing."""
+    """A numbered message was received although an earlier one is missing."""
 
 
 class ResumePoint(NamedTuple):
-    """The incarnation and the first message number to ask for."""
+    """The machine's incarnation and the first message number to request."""
 
     boot: str
     next_seq: int
 
 
 class StreamOffset:
-    """The offset in one machine's stream, over all breaks of the connection."""
+    """The offset in one machine's stream, kept across reconnections."""
 
     def __init__(self) -> None:
         self._resumable_boot = ""  # empty while the stream cannot be resumed
@@ -33,19 +33,19 @@
 
     @property
     def resume(self) -> ResumePoint | None:
-        """Where to resume; None where the stream is to begin anew.
+        """The point to resume from, or None if the stream has to start with a snapshot.
 
-        Between a hello that does not resume and its snapshot nothing is known of an incarnation: a stream
-        that breaks there must not be resumed behind what the snapshot would have reported.
+        A stream that breaks between a `Hello` that does not resume and its snapshot must not be resumed: the
+        placer would miss what the snapshot would have reported.
         """
         if not self._resumable_boot:
             return None
         return ResumePoint(self._resumable_boot, self._next_seq)
 
     def accept(self, message: StreamMessage) -> bool:
-        """Advance over a message and return whether it is new.
+        """Advance past a message; returns False for a message that was received before.
 
-        Raises StreamGapError where one before it is missing.
+        Raises StreamGapError if an earlier numbered message is missing.
         """
         match message:
             case Hello(boot, _, _, _, resumed, next_seq):
@@ -61,7 +61,7 @@
 
     def _accept_numbered(self, seq: int) -> bool:
         if seq < self._next_seq:
-            return False  # received before the break
+            return False  # received before the disconnect
         if seq > self._next_seq:
             raise StreamGapError(f"message {seq} came where {self._next_seq} was expected")
         self._next_seq = seq + 1
--- a/kelpfront/machine/supersession.py
+++ b/kelpfront/machine/supersession.py
@@ -1,7 +1,7 @@
-"""What happens when another attempt of a task is offered that is here already.
+"""Handling of a repeated offer, or an offer of another attempt, for a task that is already on the machine.
 
-The task stays one: an attempt that starts or runs passes to the later one and is never started again. A later
-attempt is answered only when `Node.attempt_superseded` says that the change is on record.
+The task is not started twice: one that is starting or running is assigned to the later attempt. The later
+attempt is answered only when `Node.attempt_superseded` reports that the change is recorded.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Supersession:
-    """Decides between two attempts of one task."""
+    """Decides which of two attempts of a task remains."""
 
     def __init__(self, withdrawals: Withdrawals, answers: OfferAnswers, effects: EffectBuffer) -> None:
         self._withdrawals = withdrawals
@@ -22,11 +22,11 @@
         self._effects = effects
 
     def resolve(self, task: ActiveTask, request: OfferRequest) -> bool:
-        """Handle another offer of a task that is here; returns whether it is to be evaluated as a new one."""
+        """Handle another offer of an active task; returns whether to continue with it as a new offer."""
         new = request.offer
         current_attempt = task.offer.attempt
         if new.attempt == current_attempt:
-            return False  # the same offer again: answered when the first is
+            return False  # a repeated offer is answered together with the first
         if new.attempt < current_attempt:
             self._answers.give(new, Answer("refused", NOT_HERE, f"attempt {current_attempt} is here"))
             return False
@@ -40,7 +40,7 @@
         return False
 
     def confirm(self, task: ActiveTask) -> None:
-        """Answer a later attempt, now that it is on record that the task is its."""
+        """Answer a later attempt, now that it is recorded that the task belongs to it."""
         if task.phase is Phase.RUNNING:
             self._answers.confirm_running(task)
         elif task.phase is Phase.STARTING and self._answers.answers_on_admission:
--- a/kelpfront/machine/task_starter.py
+++ b/kelpfront/machine/task_starter.py
@@ -1,6 +1,7 @@
 """Begins the starts that are due, in the order of the start queue.
 
-A task that waits for the end of another is passed over; one whose placer has given up meanwhile is refused.
+A task that waits for a preempted task to end is skipped. A task whose placer has given up the attempt is
+refused.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
         self._effects = effects
 
     def start_due(self, now: float) -> None:
-        """Begin as many starts as the slots and the pace allow now."""
+        """Begin as many starts as the limits on parallel starts and on the start rate allow now."""
         for task in self._start_queue.all():
             if not self._start_queue.may_start(now):
                 return
--- a/kelpfront/machine/task_stops.py
+++ b/kelpfront/machine/task_stops.py
@@ -1,6 +1,6 @@
-"""Ends tasks that are no longer wanted here, whatever their phase: asked for, preempted, evicted or drained.
+"""Ends a task in any phase, because of a stop request, a preemption or the loss of its placer.
 
-It decides between stopping a task that has begun and withdrawing one that has not.
+A task whose start has begun is stopped; any other task is withdrawn.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
         self._withdrawals = withdrawals
 
     def end(self, task: ActiveTask, cause: GoneCause, message: str) -> bool:
-        """End a task; `message` refuses the offer of one that has not begun.
+        """Stop or withdraw a task; `message` is the refusal's message if its start has not begun.
 
-        Returns whether it has begun: then it is over only when its process has ended.
+        Returns whether the start has begun: such a task ends only when its process has ended.
         """
         if task.has_begun:
             self._running.stop(task, cause)
@@ -30,7 +30,7 @@
         return False
 
     def preempt(self, victim: ActiveTask, successor: ActiveTask) -> None:
-        """End a task to make room for another, which then waits for that end."""
+        """Preempt a task for another one, which waits until the preempted task has ended."""
         has_begun = self.end(victim, "pushed-out", "pushed out")
         if has_begun:
             successor.blocked_by.add(victim.uid)
--- a/kelpfront/machine/task_table.py
+++ b/kelpfront/machine/task_table.py
@@ -1,7 +1,7 @@
-"""The tasks on a machine by uid: the one place where they are kept.
+"""The table of active tasks on a machine, by uid.
 
-A task enters with its offer and leaves when it is over, which releases its idempotency key. What happens to a
-task in between is decided by the modules that are handed the table.
+A task is added when its offer is queued and removed when it has ended, which releases its idempotency key.
+The modules that share the table change the tasks in between.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
     @property
     def by_uid(self) -> dict[str, ActiveTask]:
-        """The tasks by uid, in the order of their offers; not to be changed."""
+        """The tasks by uid, in the order of their offers; callers must not modify the dict."""
         return self._by_uid
 
     def get(self, uid: str) -> ActiveTask | None:
-        """Return a task, or None where it is not here."""
+        """Return a task, or None if it is not in the table."""
         return self._by_uid.get(uid)
 
     def all(self) -> list[ActiveTask]:
-        """Return all tasks, in a list that does not change with the table."""
+        """Return a copy of the list of all tasks, which stays valid while the table changes."""
         return list(self._by_uid.values())
 
     def of_placer(self, placer: str) -> list[ActiveTask]:
@@ -35,7 +35,7 @@
         return [task for task in self._by_uid.values() if task.placer == placer]
 
     def placers(self) -> set[str]:
-        """Return the placers that have tasks here."""
+        """Return the placers that have tasks on this machine."""
         return {task.placer for task in self._by_uid.values()}
 
     def add(self, task: ActiveTask) -> None:
@@ -43,7 +43,7 @@
         self._by_uid[task.uid] = task
 
     def discard(self, task: ActiveTask) -> None:
-        """Remove a task that was refused: it has claimed no idempotency key."""
+        """Remove a refused task, which has not claimed an idempotency key."""
         self._by_uid.pop(task.uid, None)
 
     def remove(self, task: ActiveTask) -> None:
--- a/kelpfront/machine/usage_reporting.py
+++ b/kelpfront/machine/usage_reporting.py
@@ -1,17 +1,17 @@
-"""When a change of a task's resource usage is worth a status report.
+"""The rule for when a change of a task's resource usage leads to a status report.
 
-A pure function, shared by agents and stand-ins; how usage is measured is left to them.
+Agents and simulated machines share this function; each measures or models the usage itself.
 """
 
 from __future__ import annotations
 
 from kelpfront.machine.model import ResourceUsage
 
-MIN_RELATIVE_CHANGE = 0.1  # of the last report: smaller changes do not pay for a message
+MIN_RELATIVE_CHANGE = 0.1  # relative to the last report; smaller changes are not worth a message
 
 
 def is_significant_change(usage: ResourceUsage, last_reported: ResourceUsage | None) -> bool:
-    """Return whether usage differs enough from what was reported of it."""
+    """Return whether usage differs enough from the last reported usage."""
     if last_reported is None:
         return True
     return any(
--- a/kelpfront/machine/withdrawals.py
+++ b/kelpfront/machine/withdrawals.py
@@ -1,7 +1,7 @@
-"""Takes back tasks whose start has not begun: their offer waits for its evaluation or they wait for a start.
+"""Withdrawal of tasks whose start has not begun: they wait for evaluation or for their start.
 
-Such a task has not run, so an open offer is refused; one that was accepted is reported as over. Tasks whose
-start has begun are `running_tasks`' to stop.
+Such a task has not run, so an unanswered offer is refused and an accepted task is reported as ended.
+`running_tasks` stops the tasks whose start has begun.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Withdrawals:
-    """Takes tasks of a node out of its two queues."""
+    """Removes tasks of a node from its admission queue and its start queue."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self._report_log = report_log
 
     def drop(self, task: ActiveTask) -> None:
-        """Remove a task without a word to its placer, which no longer waits for the answer."""
+        """Remove a task without an answer or a report to its placer."""
         if task.phase is Phase.PENDING:
             self._admission_queue.remove(task)
         else:
@@ -41,7 +41,7 @@
         self._tasks.remove(task)
 
     def withdraw(self, task: ActiveTask, cause: GoneCause, message: str) -> None:
-        """Remove a task and refuse its offer; where the offer was accepted, report that it is over."""
+        """Remove a task and refuse its offer; if the offer was accepted, report the task as ended."""
         self.drop(task)
         if not task.answered:
             self._answers.give_for(task, Answer("refused", NOT_HERE, message))
