--- a/tests/machine/test_admission.py
+++ b/tests/machine/test_admission.py
@@ -1,4 +1,4 @@
-"""Which offers fit on a machine, what is preempted for them, and what is evicted when memory runs out."""
+"""Admission of offers on a machine, preemption for them, and eviction when memory runs out."""
 
 from __future__ import annotations
 
--- a/tests/machine/test_bounded_cache.py
+++ b/tests/machine/test_bounded_cache.py
@@ -18,7 +18,7 @@
     assert cache.get("a") is None
 
 
-def test_a_cache_without_entries_keeps_nothing() -> None:
+def test_a_cache_of_size_zero_keeps_nothing() -> None:
     cache: BoundedCache[str, None] = BoundedCache(0)
     cache.put("a", None)
     assert list(cache) == []
--- a/tests/machine/test_grpc_conversion.py
+++ b/tests/machine/test_grpc_conversion.py
@@ -1,4 +1,4 @@
-"""Messages between placers and machines over gRPC mean what they mean over HTTP."""
+"""Machine protocol messages are the same after conversion to gRPC messages and back."""
 
 from __future__ import annotations
 
@@ -70,11 +70,11 @@
     assert read_answer(answer_message("t", 1, answer).answer) == answer
 
 
-def test_values_of_a_later_version_are_not_guessed() -> None:
+def test_unknown_values_are_rejected_ignored_or_read_as_errors() -> None:
     later = pb.OfferTask.FromString(offer_message(offer("t")).SerializeToString() + b"\x40\x63")  # effect 99
     with pytest.raises(UnknownValueError, match="effect"):
         read_offer(later)
-    unknown = pb.OfferAnswer.FromString(b"\x18\x63")  # an answer of kind 99 proves nothing
+    unknown = pb.OfferAnswer.FromString(b"\x18\x63")  # kind 99 does not prove whether the task ran
     assert read_answer(unknown).answer == "error"
     assert read_stream_message(pb.NodeMessage.FromString(b"\xfa\x07\x00")) is None
     with pytest.raises(UnknownValueError, match="cause"):
--- a/tests/machine/test_grpc_link.py
+++ b/tests/machine/test_grpc_link.py
@@ -1,4 +1,4 @@
-"""One placer's stream over gRPC, from its first message to its end."""
+"""One placer's gRPC stream, from its first message to its end."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from kelpfront.v1 import node_pb2 as pb
 
 
-class Context:
-    """The part of a gRPC call's context that a link uses."""
+class FakeContext:
+    """Implements the part of a gRPC call's context that a link uses."""
 
     def __init__(self) -> None:
         self.written: list[pb.NodeMessage] = []
@@ -30,7 +30,7 @@
 
 
 def deferring_server() -> MachineServer:
-    """A machine whose starts do not succeed, so that offers stay open; it has one slot for them."""
+    """Return a machine on which starts never finish, so offers stay open; it starts one task at a time."""
     runtime = InstantRuntime()
     runtime.defers_starts = True
     node = Node(node_settings(max_parallel_starts=1), Incarnation("boot-1", 0.0))
@@ -39,48 +39,48 @@
     return server
 
 
-async def offers(ended: asyncio.Event) -> AsyncIterator[pb.PlacerMessage]:
+async def two_offers(requests_ended: asyncio.Event) -> AsyncIterator[pb.PlacerMessage]:
     for task in ("starts", "queued"):
         yield pb.PlacerMessage(offer=offer_message(offer(task)))
-    await ended.wait()
+    await requests_ended.wait()
 
 
 async def test_a_link_that_ends_leaves_no_task_and_abandons_its_open_offers() -> None:
     server = deferring_server()
-    context: Any = Context()
-    ended = asyncio.Event()
-    others = asyncio.all_tasks()
+    context: Any = FakeContext()
+    requests_ended = asyncio.Event()
+    tasks_before = asyncio.all_tasks()
     link = PlacerLink(server, pb.Open(placer="p0"), context)
-    running = asyncio.create_task(link.run(offers(ended)))
+    link_task = asyncio.create_task(link.run(two_offers(requests_ended)))
     await until(lambda: set(server.node.tasks) == {"starts", "queued"})
     assert server.connected == {"p0"}
-    ended.set()
-    await running
-    assert asyncio.all_tasks() == others
-    assert set(server.node.tasks) == {"starts"}, "what has begun stays: its placer is told and decides"
+    requests_ended.set()
+    await link_task
+    assert asyncio.all_tasks() == tasks_before
+    assert set(server.node.tasks) == {"starts"}, "a start that has begun goes on: its placer decides"
     assert server.connected == frozenset()
 
 
 async def test_a_link_that_is_cancelled_leaves_no_task() -> None:
     server = deferring_server()
-    context: Any = Context()
-    others = asyncio.all_tasks()
+    context: Any = FakeContext()
+    tasks_before = asyncio.all_tasks()
     link = PlacerLink(server, pb.Open(placer="p0"), context)
-    running = asyncio.create_task(link.run(offers(asyncio.Event())))
+    link_task = asyncio.create_task(link.run(two_offers(asyncio.Event())))
     await until(lambda: set(server.node.tasks) == {"starts", "queued"})
-    running.cancel()
+    link_task.cancel()
     with pytest.raises(asyncio.CancelledError):
-        await running
-    assert asyncio.all_tasks() == others
+        await link_task
+    assert asyncio.all_tasks() == tasks_before
     assert server.connected == frozenset()
 
 
-async def test_a_link_of_a_machine_that_died_breaks_off() -> None:
+async def test_a_link_to_a_closed_server_aborts() -> None:
     server = deferring_server()
     server.closed.set()
-    context: Any = Context()
-    others = asyncio.all_tasks()
+    context: Any = FakeContext()
+    tasks_before = asyncio.all_tasks()
     with pytest.raises(Abort):
-        await PlacerLink(server, pb.Open(placer="p0"), context).run(offers(asyncio.Event()))
-    assert asyncio.all_tasks() == others
+        await PlacerLink(server, pb.Open(placer="p0"), context).run(two_offers(asyncio.Event()))
+    assert asyncio.all_tasks() == tasks_before
     assert not server.node.tasks
--- a/tests/machine/test_reports.py
+++ b/tests/machine/test_reports.py
@@ -1,4 +1,4 @@
-"""What a machine reports to its placers, over all breaks of their streams."""
+"""A machine's reports to its placers, also when their streams are disconnected."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from kelpfront.machine.report_log import ReportLog, TooManyPlacersError
 
 
-def test_an_outbox_resumes_within_what_it_retains() -> None:
+def test_an_outbox_resumes_within_its_retained_messages() -> None:
     outbox = Outbox(max_messages=3, max_status_reports=2)
-    for n in range(5):
-        outbox.append_accepted(f"t{n}", 0, running=True)
+    for number in range(5):
+        outbox.append_accepted(f"t{number}", 0, running=True)
     assert [message.seq for message in outbox.messages_from(4)] == [4, 5]
     assert [outbox.reaches(seq) for seq in (2, 3, 5, 6, 7)] == [False, True, True, True, False]
     for value in (1.0, 2.0, 3.0):
@@ -72,7 +72,7 @@
     log.outbox("p1").append_accepted("b", 0, running=True)
     log.outbox("p2")
     assert log.outbox("p0") is first_outbox
-    assert log.outbox("p1").next_seq == 1, "it was dropped for p2 and is new"
+    assert log.outbox("p1").next_seq == 1, "the outbox of p1 was dropped for p2 and created anew"
     with_tasks |= {"p1"}
     with pytest.raises(TooManyPlacersError, match="2 placers have tasks here"):
         log.outbox("p3")
--- a/tests/machine/test_server.py
+++ b/tests/machine/test_server.py
@@ -1,4 +1,4 @@
-"""A machine on a socket: offers, stops and streams over HTTP."""
+"""The HTTP server of a machine: offers, stops and streams."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
         self.task.cancel()
         self.connection.abort()
 
-    def of(self, kind: type[Any]) -> list[Any]:
-        return [message for message in self.messages if isinstance(message, kind)]
+    def of_type(self, message_type: type[Any]) -> list[Any]:
+        return [message for message in self.messages if isinstance(message, message_type)]
 
 
-async def machine() -> tuple[MachineServer, InstantRuntime]:
+async def start_machine() -> tuple[MachineServer, InstantRuntime]:
     runtime = InstantRuntime()
     server = MachineServer(Node(node_settings(), Incarnation("boot-1", 0.0)), runtime, lambda: 1.0)
     runtime.server = server
@@ -69,47 +69,47 @@
     return reply.status, reply.body
 
 
-async def test_offers_stops_and_the_stream_over_a_socket() -> None:
-    server, _ = await machine()
+async def test_offers_stops_and_the_stream_over_http() -> None:
+    server, _ = await start_machine()
     listener = StreamListener(server)
     await listener.open()
     status, body = await post(server, "/v1/offers", request("a"))
     assert (status, decode_answer(body).answer) == (200, "running")
     assert (await post(server, "/v1/offers", request("b", cores=99.0)))[0] == 409
     await post(server, "/v1/stops", StopRequest("p0", "a", 0))
-    await until(lambda: listener.of(Gone))
+    await until(lambda: listener.of_type(Gone))
     assert [type(m).__name__ for m in listener.messages if not isinstance(m, Note)][:3] == [
         "Hello",
         "Snapshot",
         "Heartbeat",
     ]
-    assert [(m.seq, m.task) for m in listener.of(Taken) + listener.of(Gone)] == [(1, "a"), (2, "a")]
+    assert [(m.seq, m.task) for m in listener.of_type(Taken) + listener.of_type(Gone)] == [(1, "a"), (2, "a")]
     assert (await post(server, "/v1/offers", {"placer": 3}))[0] == 400
     assert (await post(server, "/v1/nothing", {}))[0] == 404
     listener.disconnect()
     await server.close()
 
 
-async def test_a_stream_that_breaks_resumes_and_one_of_another_incarnation_starts_anew() -> None:
-    server, _ = await machine()
+async def test_a_broken_stream_resumes_unless_it_asks_for_another_incarnation() -> None:
+    server, _ = await start_machine()
     listener = StreamListener(server)
     await listener.open()
     await post(server, "/v1/offers", request("a"))
-    await until(lambda: listener.of(Taken))
+    await until(lambda: listener.of_type(Taken))
     listener.disconnect()
     await post(server, "/v1/offers", request("b"))
-    again = StreamListener(server)
-    await again.open("&from=2&boot=boot-1")
-    await until(lambda: again.of(Taken))
-    assert [m.resumed for m in again.of(Hello)] == [True]
-    assert [m.task for m in again.of(Taken)] == ["b"]
-    other = StreamListener(server)
-    await other.open("&from=2&boot=boot-0")
-    await until(lambda: other.of(Snapshot))
-    assert {report.offer.task for report in other.of(Snapshot)[0].tasks} == {"a", "b"}
-    await until(lambda: again.task.done())
-    assert not again.task.cancelled(), "one stream a placer: the newer ends the older"
-    other.disconnect()
+    resumed_listener = StreamListener(server)
+    await resumed_listener.open("&from=2&boot=boot-1")
+    await until(lambda: resumed_listener.of_type(Taken))
+    assert [m.resumed for m in resumed_listener.of_type(Hello)] == [True]
+    assert [m.task for m in resumed_listener.of_type(Taken)] == ["b"]
+    fresh_listener = StreamListener(server)
+    await fresh_listener.open("&from=2&boot=boot-0")
+    await until(lambda: fresh_listener.of_type(Snapshot))
+    assert {report.offer.task for report in fresh_listener.of_type(Snapshot)[0].tasks} == {"a", "b"}
+    await until(lambda: resumed_listener.task.done())
+    assert not resumed_listener.task.cancelled(), "a placer has one stream: a newer one ends the older"
+    fresh_listener.disconnect()
     await server.close()
 
 
@@ -128,9 +128,9 @@
 
 
 async def test_an_offer_whose_placer_disconnects_is_abandoned() -> None:
-    server, runtime = await machine()
+    server, runtime = await start_machine()
     runtime.defers_starts = True
-    for task in ("a", "b", "c"):  # two starts at a time: c waits
+    for task in ("a", "b", "c"):  # the machine starts two tasks at a time: c waits for its start
         connection = await HttpConnection.open("127.0.0.1", server.http.port)
         call = asyncio.create_task(connection.request("POST", "/v1/offers", encode(request(task))))
         await until(lambda task=task: task in server.node.tasks)  # type: ignore[misc]
--- a/tests/machine/test_slow_start.py
+++ b/tests/machine/test_slow_start.py
@@ -1,4 +1,4 @@
-"""How many tasks a machine that has just booted can start."""
+"""The number of tasks that a machine can start during its slow start."""
 
 from __future__ import annotations
 
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -1,4 +1,4 @@
-"""Builders of nodes and offers, and a driver that runs a node in virtual time."""
+"""Builders of node settings and offers, a driver of a node in virtual time, and a fake task runtime."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def node_settings(**changes: Any) -> NodeSettings:
-    plain: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "name": "n1",
         "kind": "small",
         "rack": "r1",
@@ -32,11 +32,11 @@
         "heartbeat_ms": 200.0,
         "slow_start": SlowStart(1.0, 0.0),
     }
-    return NodeSettings(**{**plain, **changes})
+    return NodeSettings(**{**defaults, **changes})
 
 
 def offer(task: str, attempt: int = 0, **changes: Any) -> Offer:
-    plain: dict[str, Any] = {
+    defaults: dict[str, Any] = {
         "job": JobRef("climate", f"job-{task}", f"uid-{task}", 0),
         "cls": "web",
         "service": "climate/front",
@@ -45,7 +45,7 @@
         "effect": "safe",
         "not_after": 1e15,
     }
-    return Offer(task=task, attempt=attempt, **{**plain, **changes})
+    return Offer(task=task, attempt=attempt, **{**defaults, **changes})
 
 
 def request(task: str, attempt: int = 0, placer: str = "p0", **changes: Any) -> OfferRequest:
@@ -53,7 +53,10 @@
 
 
 class NodeDriver:
-    """A node with its clock. Starts succeed at once, or when `started` is called; stops succeed at once."""
+    """A node with a virtual clock, whose stops succeed at once.
+
+    Starts succeed at once or, without `starts_at_once`, when `started` is called.
+    """
 
     def __init__(self, *, starts_at_once: bool = True, evaluation_ms: float = 0.0, **changes: Any) -> None:
         records = changes.pop("records", SharedIdempotencyRecords())
@@ -66,7 +69,7 @@
         self.stops: list[StopTask] = []
 
     def run(self) -> None:
-        """Carry out the node's effects until there are none."""
+        """Carry out the node's effects until none are left."""
         while effects := self.node.pop_effects():
             for effect in effects:
                 self._carry_out(effect)
@@ -75,7 +78,7 @@
         match effect:
             case AnswerOffer(task, attempt, answer):
                 first = self.answers.setdefault((task, attempt), answer)
-                assert first == answer, "one answer"
+                assert first == answer, "an offer has one answer, which may only be repeated"
             case StartTask():
                 self.starts.append(effect)
                 if self.starts_at_once:
@@ -102,19 +105,19 @@
         self.run()
 
     def advance(self, ms: float) -> None:
-        """Advance the clock in steps of the node's own timers."""
-        until = self.now + ms
-        while (at := self.node.next_timer()) <= until:
-            self.now = max(self.now, at)
+        """Advance the clock by `ms`, and stop at each time at which the node's timer is due."""
+        end = self.now + ms
+        while (due := self.node.next_timer()) <= end:
+            self.now = max(self.now, due)
             self.node.advance(self.now)
             self.run()
-        self.now = until
+        self.now = end
         self.node.advance(self.now)
         self.run()
 
 
 class InstantRuntime:
-    """Starts tasks at once, unless it defers their starts; stops them at once."""
+    """Starts tasks at once unless `defers_starts` is set; stops them at once."""
 
     def __init__(self) -> None:
         self.server: MachineServer | None = None
@@ -142,10 +145,10 @@
         self.server.node.attempt_superseded(1.0, offer.task, offer.attempt)
 
 
-def kind(answer: Answer | None) -> tuple[str, str]:
+def answer_and_reason(answer: Answer | None) -> tuple[str, str]:
     assert answer is not None
     return answer.answer, answer.reason
 
 
-def reported(driver: NodeDriver, placer: str = "p0") -> list[Any]:
+def reported_messages(driver: NodeDriver, placer: str = "p0") -> list[Any]:
     return list(driver.node.outbox(placer).messages_from(1))
