--- a/kelpfront/machine/messages.py
+++ b/kelpfront/machine/messages.py
@@ -29,7 +29,7 @@
 QUEUE_FULL = "QUEUE_FULL"
 NOT_HERE = "NOT_HERE"
 START_FAILED = "START_FAILED"  # the task's process could not be created: the task never ran
-RAN_HERE = "RAN_HERE"  # a non-idempotent task already ran on this machine: an error, not a refusal
+RAN_HERE = "RAN_HERE"  # a non-idempotent task that already ran here is offered again; always an error
 
 
 class Message(msgspec.Struct, frozen=True, forbid_unknown_fields=False, omit_defaults=True):
@@ -95,7 +95,7 @@
 
 
 class LoadReport(Message, frozen=True):
-    """A machine's load: cores and memory not requested by tasks (`free`) and not in use (`unused`).
+    """A machine's load: cores and memory not requested by tasks (`free`), and those not in use (`unused`).
 
     `waiting` is the number of tasks that wait for evaluation or for their start, or are starting. `busy` is
     the share of the cores in use.
--- a/kelpfront/machine/offer_answers.py
+++ b/kelpfront/machine/offer_answers.py
@@ -12,9 +12,7 @@
 from kelpfront.machine.model import ActiveTask, NodeSettings
 from kelpfront.machine.report_log import ReportLog
 
-MAX_ANSWERS = (
-    10_000  # answers remembered; more than a machine gives in the seconds until an offer is repeated
-)
+MAX_ANSWERS = 10_000  # answers remembered; offers are repeated within seconds, before so many answers
 
 
 class OfferAnswers:
--- a/kelpfront/machine/report_log.py
+++ b/kelpfront/machine/report_log.py
@@ -13,7 +13,7 @@
 from kelpfront.machine.model import EndedTask
 from kelpfront.machine.outbox import Outbox
 
-MAX_ENDED_TASKS = 2_000  # retained for snapshots; placers read of an end long before so many others follow
+MAX_ENDED_TASKS = 2_000  # retained for snapshots; a placer reads its stream long before so many tasks end
 MAX_PLACERS = 1_000  # outboxes that are kept; bounds their memory
 
 
--- a/kelpfront/machine/server.py
+++ b/kelpfront/machine/server.py
@@ -95,7 +95,7 @@
 
     def changed(self) -> None:
         """Carry out the node's effects and reset its timer; call this after each report to the node."""
-        while effects := self.node.pop_effects():  # an effect may lead to a report at once, and so to more
+        while effects := self.node.pop_effects():  # a runtime may report at once, which adds effects
             for effect in effects:
                 self._carry_out(effect)
         if self.node.draining != self._was_draining:
