--- a/kelpfront/platform/__init__.py
+++ b/kelpfront/platform/__init__.py
@@ -1,5 +1,6 @@
-"""The placer in service on a platform: JSON lines from clients and to machines, endpoint lists by long polls.
+"""A placer on a hosting platform: JSON lines to clients and machines, endpoint lists by long polling.
 
-Started by `python -m kelpfront.platform` or `kelpfront platform`; see docs/design/platform.md for the parts
-and docs/operators/platform.md for running it. Every decision is made by `kelpfront.scheduling`.
+It is started by `python -m kelpfront.platform` or `kelpfront platform`; docs/design/platform.md describes its
+parts and docs/operators/platform.md how to run it. All scheduling decisions are made by
+`kelpfront.scheduling`.
 """
--- a/kelpfront/platform/__main__.py
+++ b/kelpfront/platform/__main__.py
@@ -1,11 +1,12 @@
-"""`python -m kelpfront.platform`: one placer in service, configured by the file that LB_CONFIG names."""
-# ruff: noqa: E402 - the time at which the process began is read before the imports, which take long
+"""`python -m kelpfront.platform`: runs one placer, configured by the file that LB_CONFIG names."""
+# ruff: noqa: E402 - the start time of the process is read before the imports, which take long
 
 from __future__ import annotations
 
 import time
 
-BEGAN_AT = time.monotonic() - time.process_time()  # of the process, at the latest
+# Latest possible start of the process: it cannot have used more CPU time than has passed.
+BEGAN_AT = time.monotonic() - time.process_time()
 
 import asyncio
 import os
@@ -24,7 +25,7 @@
 
 
 def main() -> int:
-    """Run the placer of this process's environment; return the exit code."""
+    """Run the placer that this process's environment configures; return the exit code."""
     name = os.environ.get("LB_CONFIG", "")
     if not name:
         print("kelpfront.platform: LB_CONFIG: the path of the configuration file is wanted", file=sys.stderr)
@@ -33,8 +34,8 @@
 
 
 def serve(path: Path) -> int:
-    """Run one placer until it is told to end; return the exit code."""
-    # A signal during start must not end the process: the service sets its own handler once it runs.
+    """Run one placer until shutdown is requested; return the exit code."""
+    # A SIGHUP during start must not terminate the process; the service installs its own handler once it runs.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         config = read_config(path)
--- a/kelpfront/platform/background_tasks.py
+++ b/kelpfront/platform/background_tasks.py
@@ -1,6 +1,6 @@
-"""Owns asyncio tasks that run beside their creator: cancels those that are left, and awaits them.
+"""Keeps track of the asyncio tasks that an object has started, to cancel and await those still running.
 
-A task that ends by itself is forgotten; its exception goes to the loop's exception handler.
+A task that finishes is dropped; an exception that it raised goes to the event loop's exception handler.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 
 
 class BackgroundTasks:
-    """The tasks that one object has started and that are not done."""
+    """The unfinished tasks that one object has started."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    def start(self, job: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def start(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         """Run a coroutine as a task of this owner."""
-        task = asyncio.get_running_loop().create_task(job)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.add(task)
         return task
 
     def add(self, task: asyncio.Task[Any]) -> None:
-        """Own a task that was created elsewhere."""
+        """Keep track of a task that was created elsewhere."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def cancel(self) -> None:
-        """Cancel all tasks; each ends at its next step."""
+        """Request cancellation of all tasks."""
         for task in list(self._tasks):
             task.cancel()
 
     async def wait(self) -> None:
-        """Wait until all tasks are done, whatever they end with."""
-        own = asyncio.current_task()
-        tasks = [task for task in self._tasks if task is not own]
+        """Wait until all tasks but the current one are done; ignore their exceptions."""
+        current = asyncio.current_task()
+        tasks = [task for task in self._tasks if task is not current]
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/kelpfront/platform/connection_pool.py
+++ b/kelpfront/platform/connection_pool.py
@@ -1,8 +1,9 @@
-"""Connections to one machine: offers and health checks out, answers and ends in. A pool decides nothing.
+"""Connection pool of one machine: sends offers and health checks, receives answers and task ends.
 
-An answer that is malformed, or never comes, makes its connection useless for all that is open on it. Each
-offer that waits therefore has a connection of its own while there is capacity, which is used again once it
-was answered in time. Descriptors are shared out by `descriptor_budget`.
+A pool makes no scheduling decisions. A malformed or missing answer makes its connection unusable for every
+request that is pending on it. While there is capacity, each pending offer therefore has a connection to
+itself, which is reused once the offer was answered in time. `descriptor_budget` divides the file descriptors
+among the pools.
 """
 
 from __future__ import annotations
@@ -29,39 +30,39 @@
 log = structlog.get_logger("kelpfront.platform.connection_pool")
 
 MAX_CONNECTIONS = 16
-"""To one machine, as far as all machines' share goes; beyond, offers share connections."""
+"""Maximum connections to one machine, within the descriptor budget; further offers share connections."""
 
-IDLE_SHARE = 0.5
-"""Of the time after which the machine closes idle connections."""
+MAX_IDLE_FRACTION = 0.5
+"""A connection is closed after this fraction of the time after which the machine would close it."""
 
 READ_BYTES = 4 * MAX_LINE_BYTES
-"""Of one read."""
+"""Maximum bytes per read."""
 
 SWEEP_S = 2.0
-"""Between checks for connections that have been idle for long."""
+"""Interval between checks for connections that have been idle for too long."""
 
 LINGER_S = 1.0
-"""For what is still to be sent on a connection that is being closed."""
+"""Time allowed for sending the remaining bytes of a connection that is being closed."""
 
 MAX_UNSENT_LINES = 256
-"""Lines on running tasks that wait for a connection."""
+"""Maximum lines about running tasks that wait for a connection."""
 
-MAX_LOGGED_ERROR = 200
-"""Characters of an error in the log: it may quote what a machine sent."""
+MAX_LOGGED_ERROR_CHARS = 200
+"""Maximum length of a logged error, which may quote what a machine sent."""
 
-ANSWERS = frozenset({"accept", "end", "tested"})
-"""Messages that answer an offer or a health check."""
+ANSWER_OPS = frozenset({"accept", "end", "tested"})
+"""Values of `op` of messages that answer an offer or a health check."""
 
 
 class PoolContext(msgspec.Struct, frozen=True):
     """What all pools of one placer share.
 
     Attributes:
-        access: takes messages to the core.
-        budget: descriptors of all pools.
-        tasks: owns the pools' tasks until they have ended.
-        connect_timeout_s: for a connection.
-        machine_idle_s: after which machines close idle connections.
+        access: gives access to the core, which receives the messages.
+        budget: file descriptors of all pools.
+        tasks: keeps track of the asyncio tasks of all pools.
+        connect_timeout_s: time allowed for opening a connection.
+        machine_idle_s: time after which machines close idle connections.
     """
 
     access: CoreAccess
@@ -75,7 +76,7 @@
     """The connections to one machine at one address.
 
     Attributes:
-        connections: those that are open, in the order in which they were.
+        connections: the open connections, in the order in which they were opened.
     """
 
     def __init__(self, machine: MachineId, address: Address, context: PoolContext) -> None:
@@ -88,8 +89,8 @@
         self._budget = context.budget
         self._all_tasks = context.tasks
         self._connect_timeout_s = context.connect_timeout_s
-        self._max_idle_s = context.machine_idle_s * IDLE_SHARE
-        # Each has a connection that is being opened, or shares one.
+        self._max_idle_s = context.machine_idle_s * MAX_IDLE_FRACTION
+        # Each waits for a connection that is being opened, possibly one shared with others.
         self._queue: deque[Offer | SendHealthCheck] = deque()
         self._opening_count = 0
         self._unsent_lines: list[bytes] = []
@@ -100,21 +101,21 @@
     # ---- Offers and health checks ---------------------------------------------------------------------
 
     def send(self, intent: Offer | SendHealthCheck) -> None:
-        """Send on an idle connection, or a new one, or one that is shared where no more may be opened."""
+        """Send on an idle connection, else on a new one, else on a shared one if no more may be opened."""
         idle = self._idle_connection(intent)
         if idle is not None:
             self._write(idle, intent)
             return
         if self._may_open(intent):
             self._queue.append(intent)
-            self._open_another()
+            self._start_connecting()
             return
         shared = self._shared_connection(intent)
         if shared is not None:
             self._core.limits.reached(Limit.CONNECTIONS_PER_MACHINE)
             self._write(shared, intent)
             return
-        # It is sent on the first that comes up, or is given up at its time.
+        # It is sent on the first connection that opens, or abandoned when it times out.
         if not self._opening_count and not self.connections:
             self._core.limits.reached(Limit.DESCRIPTORS)
             self._budget.wait(self, to_send=True)
@@ -138,17 +139,17 @@
         has_other = self._opening_count or any(connection.accepts(intent) for connection in self.connections)
         return not has_other and self._budget.may_open_to_send()
 
-    def _open_another(self) -> None:
-        self._begin_opening()
-        self._start(self._connect())
+    def _start_connecting(self) -> None:
+        self._reserve_opening()
+        self._start_task(self._connect())
 
-    def _begin_opening(self) -> None:
-        """Count a connection that is about to be opened: what is sent until then is to know of it."""
+    def _reserve_opening(self) -> None:
+        """Count a connection before its task runs, so that sends in the meantime take it into account."""
         self._budget.acquire(self)
         self._opening_count += 1
 
-    def _start(self, job: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = self._tasks.start(job)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = self._tasks.start(coroutine)
         self._all_tasks.add(task)
         return task
 
@@ -161,9 +162,9 @@
         self._budget.on_used(connection, self)
         connection.writer.write(data)
         if connection.unsent_bytes and isinstance(intent, Offer):
-            # The machine's end has not taken all of it. What it has is no message, and never becomes one.
+            # The kernel accepted only part of the offer; close the connection so that it is never completed.
             del connection.waiting[intent.key]
-            self._end(connection)
+            self._close_connection(connection)
             self._core.on_attempt_failed(self._now(), intent.key, AttemptOutcome.UNREACHABLE)
             self._flush()
 
@@ -171,18 +172,19 @@
         return self._core.encode_offer(self._now(), offer.key)
 
     def abandon(self, intent: AbandonAttempt) -> None:
-        """Give an attempt up; its machine is notified also where an answer has just crossed the decision.
+        """Abandon an attempt, and notify its machine even if its answer was received just after the decision.
 
-        An offer whose answer is no longer waited for still runs there: without notice it would run twice. One
-        that has not come completely to the machine must not come later, when its client has long left.
+        The machine may still run an offer whose answer nobody waits for; without the notification the task
+        would run twice. An offer that the machine has not received completely must not arrive later, when its
+        client has long left.
         """
         for connection in list(self.connections):
             if intent.key in connection.waiting:
                 self._abandon_on(connection, intent)
                 return
-        queued = len(self._queue)
-        self._queue = deque(waiting for waiting in self._queue if waiting.key != intent.key)
-        if len(self._queue) == queued and intent.data:
+        queue_length = len(self._queue)
+        self._queue = deque(queued for queued in self._queue if queued.key != intent.key)
+        if len(self._queue) == queue_length and intent.data:
             self.send_line(intent.data)
 
     def _abandon_on(self, connection: MachineConnection, intent: AbandonAttempt) -> None:
@@ -190,25 +192,25 @@
         is_last = not connection.waiting and not connection.is_closing
         if is_last and connection.has_unacknowledged_bytes:
             connection.discard_unacknowledged_bytes()
-            self._end(connection)
+            self._close_connection(connection)
             return
         if not connection.is_closing:
             connection.writer.write(intent.data)
-        connection.is_spent = connection.is_spent or intent.no_response
-        self._close_if_spent(connection)
+        connection.is_retired = connection.is_retired or intent.no_response
+        self._close_if_retired(connection)
 
-    def _close_if_spent(self, connection: MachineConnection) -> None:
-        """Close a connection of no more use, once nothing waits on it and what was written is sent."""
-        if connection.is_spent and not connection.waiting and not connection.is_closing:
+    def _close_if_retired(self, connection: MachineConnection) -> None:
+        """Close a retired connection once nothing waits on it and its remaining bytes are sent."""
+        if connection.is_retired and not connection.waiting and not connection.is_closing:
             connection.writer.close()
-            asyncio.get_running_loop().call_later(LINGER_S, self._end, connection)
+            asyncio.get_running_loop().call_later(LINGER_S, self._close_connection, connection)
 
     # ---- Running tasks --------------------------------------------------------------------------------
 
     def send_line(self, data: bytes) -> None:
-        """Send a line on a running task, on any connection: it is owed, however late."""
+        """Send a line about a running task on any connection; it has to be delivered, however late."""
         usable = [connection for connection in self.connections if connection.is_usable]
-        connection = min(usable, key=_unsent_and_waiting, default=None)
+        connection = min(usable, key=_load_order, default=None)
         if connection is not None:
             connection.writer.write(data)
             return
@@ -219,19 +221,19 @@
         self.keep_connected()
 
     def keep_connected(self) -> None:
-        """Keep a connection open while tasks run there."""
+        """Keep a connection open while tasks run on the machine."""
         if self.connections or self._reconnect_task is not None or self._closed:
             return
         if not self._budget.may_open_to_receive():
             self._core.limits.reached(Limit.DESCRIPTORS)
             self._budget.wait(self, to_send=False)
             return
-        self._reconnect_task = self._start(self._reconnect())
+        self._reconnect_task = self._start_task(self._reconnect())
 
     async def _reconnect(self) -> None:
         reachability = ReachabilityCheck()
         try:
-            while self._wants_connection():
+            while self._needs_connection():
                 async with self._budget.reconnecting:
                     if self.connections or self._closed:
                         return
@@ -245,14 +247,14 @@
         finally:
             self._reconnect_task = None
 
-    def _wants_connection(self) -> bool:
+    def _needs_connection(self) -> bool:
         if self.connections or self._closed:
             return False
         return self._core.has_running_tasks(self._machine) or bool(self._unsent_lines)
 
     async def _is_process_dead(self, reachability: ReachabilityCheck) -> bool:
         """Try to open a connection; return whether refusals prove that the machine's process is dead."""
-        self._begin_opening()
+        self._reserve_opening()
         try:
             await self._open()
         except ConnectionRefusedError:
@@ -269,19 +271,19 @@
     # ---- Descriptors ----------------------------------------------------------------------------------
 
     def try_again(self) -> None:
-        """Open a connection for what is queued, or for what the machine reports on tasks, if still wanted."""
-        is_wanted = self._queue or self._unsent_lines or self._core.has_running_tasks(self._machine)
-        if not is_wanted or self._closed or self.connections or self._opening_count:
+        """Open a connection to send what is queued or to receive reports on tasks, if it is still needed."""
+        is_needed = self._queue or self._unsent_lines or self._core.has_running_tasks(self._machine)
+        if not is_needed or self._closed or self.connections or self._opening_count:
             self._budget.stop_waiting(self)
         elif not self._queue:
-            self._budget.stop_waiting(self)  # what it had to send was given up meanwhile
+            self._budget.stop_waiting(self)  # what it had to send was abandoned in the meantime
             self.keep_connected()
         elif self._budget.may_open_to_send():
-            self._open_another()
+            self._start_connecting()
 
     def close_idle(self, connection: MachineConnection) -> None:
-        """Close a connection on which nothing waits; what its machine has to report comes on the next."""
-        self._end(connection, reconnect=False)
+        """Close a connection on which nothing waits; the machine sends its reports on the next one."""
+        self._close_connection(connection, reconnect=False)
 
     # ---- Connections ----------------------------------------------------------------------------------
 
@@ -289,16 +291,16 @@
         try:
             await self._open()
         except (OSError, TimeoutError):
-            self._on_not_opened()
+            self._on_open_failed()
 
     async def _open(self) -> None:
-        """Open one connection and write what waits for it.
+        """Open one connection and send what waits for it.
 
-        Cancelled, it leaves the count of connections being opened to `close`, which takes all of them back.
+        If the task is cancelled, `close` resets the count of connections that are being opened.
 
         Raises:
-            OSError: it does not come up.
-            TimeoutError: it does not come up in time.
+            OSError: the connection cannot be opened.
+            TimeoutError: the connection is not opened in time.
         """
         try:
             async with asyncio.timeout(self._connect_timeout_s):
@@ -310,38 +312,38 @@
                 self._opening_count -= 1
                 self._budget.release()
             raise
-        if self._closed:  # which has taken back what was begun
+        if self._closed:  # `close` has reset the count and released the descriptor
             writer.transport.abort()
             return
         self._opening_count -= 1
-        self._use(MachineConnection(reader, writer, asyncio.get_running_loop().time()))
+        self._on_opened(MachineConnection(reader, writer, asyncio.get_running_loop().time()))
 
-    def _use(self, connection: MachineConnection) -> None:
+    def _on_opened(self, connection: MachineConnection) -> None:
         self.connections[connection] = None
         self._budget.on_used(connection, self)
         for data in self._unsent_lines:
             connection.writer.write(data)
         self._unsent_lines.clear()
-        self._start(self._read(connection))
-        self._send_queued_on_free(connection)
+        self._start_task(self._read(connection))
+        self._send_queued_on_idle(connection)
         self._send_queued_on_shared()
         self._flush()
 
-    def _send_queued_on_free(self, connection: MachineConnection) -> None:
-        """Send what waits longest on a connection that has become free, not only on its own."""
+    def _send_queued_on_idle(self, connection: MachineConnection) -> None:
+        """Send queued requests on an idle connection, even if a new one is being opened for them."""
         while self._queue and not connection.waiting and connection.accepts(self._queue[0]):
             self._write(connection, self._queue.popleft())
 
     def _send_queued_on_shared(self) -> None:
-        """Send what is queued and has no connection of its own under way on one that is there."""
+        """Send the queued requests in excess of the connections being opened on open connections."""
         while len(self._queue) > self._opening_count:
             shared = self._shared_connection(self._queue[0])
             if shared is None:
                 return
             self._write(shared, self._queue.popleft())
 
-    def _on_not_opened(self) -> None:
-        """Report the offer that has waited longest as failed; and all, where no connection is under way."""
+    def _on_open_failed(self) -> None:
+        """Report queued offers as unreachable, oldest first, in excess of the connections being opened."""
         self._send_queued_on_shared()
         while self._queue and len(self._queue) > self._opening_count:
             self._report_unreachable(self._queue.popleft())
@@ -357,32 +359,33 @@
             while data := await connection.reader.read(READ_BYTES):
                 for line in splitter.feed(data):
                     self._on_message(connection, decode(line))
-                self._send_queued_on_free(connection)
+                self._send_queued_on_idle(connection)
                 self._flush()
         except InvalidMessageError as error:
-            text = str(error)[:MAX_LOGGED_ERROR]
+            text = str(error)[:MAX_LOGGED_ERROR_CHARS]
             log.info("invalid machine message", machine=f"{self._machine:x}", error=text)
         except OSError:
-            pass  # reset by the machine
-        finally:  # also where the task is cancelled: what waits here must not wait on
-            self._end(connection)
+            pass  # the machine reset the connection
+        finally:  # also on cancellation: nothing may go on waiting on this connection
+            self._close_connection(connection)
 
     def _on_message(self, connection: MachineConnection, message: Message) -> None:
-        """Hand a message to the core first: what it cannot use leaves its offer waiting.
+        """Pass a message to the core, then mark the offer or health check that it answers as answered.
 
-        That is reported with the connection's end. A machine answers an offer where it came, so an answer
-        speaks of the attempt that was sent there.
+        A message that the core rejects leaves its offer waiting; the offer is reported as failed when the
+        connection is closed. A machine answers an offer on the connection on which it received it, so an
+        answer belongs to the attempt that was sent there.
         """
         attempt_number = connection.sent.get(message.call)
         self._core.on_machine_message(self._now(), self._machine, message, attempt_number)
-        if attempt_number is not None and message.op in ANSWERS:
+        if attempt_number is not None and message.op in ANSWER_OPS:
             connection.waiting.pop(AttemptKey(message.call, attempt_number), None)
-            self._close_if_spent(connection)
+            self._close_if_retired(connection)
             if not connection.waiting:
                 self._budget.on_idle()
 
-    def _end(self, connection: MachineConnection, *, reconnect: bool = True) -> None:
-        """End a connection; what waits on it is reported as reset."""
+    def _close_connection(self, connection: MachineConnection, *, reconnect: bool = True) -> None:
+        """Close a connection; report what waits on it as reset."""
         if connection.is_closed:
             return
         connection.is_closed = True
@@ -398,31 +401,31 @@
         self._core.on_machine_disconnected(self._machine)
         if reconnect and self._core.has_running_tasks(self._machine):
             self.keep_connected()
-        self._on_not_opened()  # it may have ended before anything was sent on it
+        self._on_open_failed()  # it may have been closed before anything was sent on it
 
     def sweep(self) -> None:
-        """Close what has been idle for long, but the last connection while tasks run."""
+        """Close connections that have been idle for too long, except the last one while tasks run."""
         now = asyncio.get_running_loop().time()
         for connection in list(self.connections):
             is_last = len(self.connections) == 1 and self._core.has_running_tasks(self._machine)
             is_idle = not connection.waiting and now - connection.used_at > self._max_idle_s
             if is_idle and not is_last:
-                self._end(connection)
+                self._close_connection(connection)
 
     def close(self) -> None:
-        """Break all connections; what waits is reported, so that nothing is held for its time-out."""
+        """Abort all connections; report what waits as failed immediately, not only at its time-out."""
         self._closed = True
         self._budget.stop_waiting(self)
         for connection in list(self.connections):
-            self._end(connection)
+            self._close_connection(connection)
         for intent in self._queue:
             self._report_unreachable(intent)
         self._queue.clear()
         self._tasks.cancel()
-        for _ in range(self._opening_count):  # of those that are cancelled, maybe before they ran
+        for _ in range(self._opening_count):  # of the cancelled tasks, which may not have run yet
             self._budget.release()
         self._opening_count = 0
 
 
-def _unsent_and_waiting(connection: MachineConnection) -> tuple[int, int]:
+def _load_order(connection: MachineConnection) -> tuple[int, int]:
     return connection.unsent_bytes, len(connection.waiting)
--- a/kelpfront/platform/discovery_client.py
+++ b/kelpfront/platform/discovery_client.py
@@ -1,6 +1,6 @@
-"""Follows the coordinator's endpoint list by long polls, through breaks and silence.
+"""Follows the coordinator's endpoint list by long polling, and reconnects after failures and silence.
 
-How often it polls is decided by `poll_pacing`; what an answer means is its caller's affair.
+`poll_pacing` decides how often to poll; the caller interprets the answers.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 log = structlog.get_logger("kelpfront.platform.discovery_client")
 
 MAX_BODY_BYTES = 4 << 20
-"""Of an answer: the complete list of some ten thousand machines."""
+"""Maximum size of an answer; enough for the complete list of some ten thousand machines."""
 
 HTTP_OK = 200
 OVERLOADED_STATUSES = frozenset({429, 503})
 
 
 class StatusError(Exception):
-    """An answer with another status than 200.
+    """An HTTP response with a status other than 200.
 
     Attributes:
-        is_overloaded: whether the service says that it is overloaded.
-        retry_after_s: seconds after which to come back, where it says so; else 0.
+        is_overloaded: whether the status reports that the service is overloaded.
+        retry_after_s: seconds given in the Retry-After header; 0 without one.
     """
 
     def __init__(self, status: int, retry_after: str) -> None:
@@ -52,27 +52,27 @@
 
 @dataclass(slots=True, eq=False)
 class _Poll:
-    """One request in flight, and the idle connection that it was given."""
+    """One request in flight, and the idle connection that it reuses, if any."""
 
     task: asyncio.Task[_Answer]
     started_at: float
-    given: HttpConnection | None
+    reused: HttpConnection | None
 
     def drop(self) -> None:
-        """Give it up, also where its answer is there already; no connection stays behind."""
+        """Cancel the poll and close its connection, even if the answer has arrived already."""
         self.task.cancel()
         self.task.add_done_callback(self._on_dropped)
 
     def _on_dropped(self, task: asyncio.Task[_Answer]) -> None:
-        if self.given is not None:  # the task may have been cancelled before it began
-            self.given.abort()
+        if self.reused is not None:  # the task may have been cancelled before its first step
+            self.reused.abort()
         if not task.cancelled() and task.exception() is None:
             task.result().connection.abort()
 
 
 @dataclass(slots=True)
 class _PollState:
-    """The polls in flight, the idle connection for the next one, and when that is due."""
+    """The polls in flight, the idle connection for the next poll, and the time at which that is due."""
 
     next_at: float
     in_flight: list[_Poll] = field(default_factory=list)
@@ -91,11 +91,11 @@
 
 
 class DiscoveryClient:
-    """Polls for events that are later than `poll_index()`.
+    """Polls for events with an index above `poll_index()`.
 
     Attributes:
-        address: the coordinator's.
-        is_failing: whether the last poll failed, or is silent for longer than it should be.
+        address: the coordinator's address.
+        is_failing: whether the last poll failed or has not been answered in time.
     """
 
     def __init__(
@@ -106,14 +106,14 @@
         rng: random.Random,
         connect_timeout_ms: float,
     ) -> None:
-        """Make a client, which polls once it is started.
+        """Create a client; it polls after `start`.
 
         Args:
-            address: the coordinator's.
-            poll_index: returns the index after which events are wanted.
+            address: the coordinator's address.
+            poll_index: returns the index after which events are requested.
             on_answer: called with the body of each answer; raises ValueError for an invalid one.
-            rng: chance for backoffs.
-            connect_timeout_ms: for a connection to the coordinator.
+            rng: random source of the backoffs.
+            connect_timeout_ms: time allowed for opening a connection to the coordinator.
         """
         self.address = address
         self.is_failing = False
@@ -131,18 +131,18 @@
         return self._first_answer.is_set()
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start polling."""
         self._run_task = self._tasks.start(self._run())
 
     async def wait_for_first_answer(self, timeout_ms: float) -> bool:
-        """Wait until a poll has been answered, no longer than that; return whether one was."""
+        """Wait at most `timeout_ms` for the first answered poll; return whether there was one."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_ms / 1000.0):
                 await self._first_answer.wait()
         return self.has_answer
 
-    def move(self, address: Address) -> None:
-        """Poll another address from now on; the index goes on."""
+    def change_address(self, address: Address) -> None:
+        """Poll another address from now on, from the same index."""
         if address == self.address:
             return
         log.info("coordinator moved", host=address.host, port=address.port)
@@ -152,19 +152,19 @@
         self.start()
 
     def stop(self) -> None:
-        """Cancel what polls; `close` also waits for it."""
+        """Cancel polling, without waiting for it to end."""
         if self._run_task is not None:
             self._run_task.cancel()
 
     async def close(self) -> None:
-        """Stop, and wait until no poll and no connection is left."""
+        """Stop polling, and wait until all polls and connections are closed."""
         self.stop()
         await self._tasks.wait()
 
     # ---- Polls ----------------------------------------------------------------------------------------
 
     async def _run(self) -> None:
-        """Keep one poll in flight, and one beside it where that one is silent for longer than its delay."""
+        """Keep one poll in flight, and send another if it is not answered within the hedge delay."""
         loop = asyncio.get_running_loop()
         state = _PollState(next_at=loop.time())
         try:
@@ -186,8 +186,8 @@
 
     def _start_poll(self, state: _PollState, now: float) -> None:
         if state.in_flight:
-            self._on_failure(TimeoutError())  # it may still be answered, but an operator is to know
-        if len(state.in_flight) >= MAX_POLLS_IN_FLIGHT:  # not the first: it is the nearest to its answer
+            self._on_failure(TimeoutError())  # it may still be answered, but the operator has to know
+        if len(state.in_flight) >= MAX_POLLS_IN_FLIGHT:  # not the first, which is the closest to its answer
             state.in_flight.pop().drop()
         task = asyncio.get_running_loop().create_task(self._poll(state.idle))
         self._tasks.add(task)
@@ -196,7 +196,7 @@
         state.next_at = now + self._hedge_delay_ms(len(state.in_flight)) / 1000.0
 
     def _process_answers(self, state: _PollState) -> None:
-        """Take what the polls that are done brought; the first good answer ends all others."""
+        """Process the results of finished polls; the first valid answer cancels all other polls."""
         loop = asyncio.get_running_loop()
         for poll in [poll for poll in state.in_flight if poll.task.done()]:
             state.in_flight.remove(poll)
@@ -211,10 +211,10 @@
             return
 
     def _process_answer(self, poll: _Poll) -> HttpConnection | None:
-        """Return the connection of a poll that was answered, for the next one; None where it failed."""
+        """Process a finished poll; return its connection for reuse, or None if the poll failed."""
         try:
             answer = poll.task.result()
-        except Exception as error:  # of whatever kind: without this task the list would stay for good
+        except Exception as error:  # any error: if this task ended, the list would never be updated again
             self._on_failure(error)
             return None
         try:
@@ -243,13 +243,14 @@
         return self._pacing.on_failure()
 
     def _wait_ms(self) -> float:
-        """Return how long the service may wait for events; not at all while only the file's are known."""
+        """Return how long the service may wait for events: 0 until the first answer."""
         return POLL_WAIT_MS if self.has_answer else 0.0
 
     def _hedge_delay_ms(self, in_flight: int) -> float:
-        """Return the delay of the next poll beside so many.
+        """Return the delay before the next poll is sent beside those in flight.
 
-        The first poll is to be answered at once; but placers that start together poll one service.
+        The first poll after the start asks for an immediate answer, so the second one follows after the slack
+        alone. Later ones have the usual delay, since all placers that start together poll one service.
         """
         return self._pacing.hedge_delay_ms if self.has_answer or in_flight > 1 else POLL_SLACK_MS
 
@@ -260,7 +261,7 @@
             reply = await connection.request("GET", target)
             _check_status(reply)
             return _Answer(json.loads(reply.body), connection)
-        except BaseException:  # also cancellation: half of an answer may be left on it
+        except BaseException:  # also cancellation: part of an answer may be unread
             connection.abort()
             raise
 
--- a/kelpfront/platform/discovery_freshness.py
+++ b/kelpfront/platform/discovery_freshness.py
@@ -1,7 +1,8 @@
-"""Whether the endpoint list is up to date. Pure.
+"""Detects a stale endpoint list. Performs no I/O.
 
-The coordinator answers at least once in the wait of a poll, with events or without. What one that breaks off
-or falls silent would have notified counts as notified 7 s after that began, which was after its last answer.
+The coordinator answers each poll within its wait time, with or without events. If it fails or falls silent,
+the protocol treats what it would have reported as reported 7 s after the failure began. The failure began
+no earlier than the last answer, so the list counts as stale from 7 s after that answer.
 """
 
 from __future__ import annotations
@@ -14,36 +15,36 @@
 
 
 class DiscoveryFreshness:
-    """Submits an event when discovery has been silent for DISCOVERY_STALE_MS, and one when that ends.
+    """Submits an event when no answer has come for DISCOVERY_STALE_MS, and another when answers resume.
 
     Attributes:
-        last_answer_at: time of the last answer, in Unix milliseconds; 0 before the first one, from which on
-            silence counts.
-        is_stale: whether discovery is silent now.
+        last_answer_at: time of the last answer, in Unix milliseconds; 0 before the first answer. The list
+            cannot become stale before the first answer.
+        is_stale: whether the endpoint list is stale.
     """
 
     def __init__(self, timers: Timers, submit: Callable[[float, SchedulerEvent], None]) -> None:
         self._timers = timers
         self._submit = submit
-        self._timer_set = False
+        self._has_timer = False
         self.is_stale = False
         self.last_answer_at = 0.0
 
     def on_answer(self, now: float) -> None:
-        """Take note of an answer of the coordinator, with events or without."""
+        """Record an answer of the coordinator, with or without events."""
         self.last_answer_at = now
         if self.is_stale:
             self.is_stale = False
             self._submit(now, EndpointList(EndpointListKind.CHANGES, 0, ()))
-        if not self._timer_set:
+        if not self._has_timer:
             self._set_timer()
 
     def _set_timer(self) -> None:
-        self._timer_set = True
+        self._has_timer = True
         self._timers.set(self.last_answer_at + DISCOVERY_STALE_MS, self._check)
 
     def _check(self, now: float) -> None:
-        self._timer_set = False
+        self._has_timer = False
         if now < self.last_answer_at + DISCOVERY_STALE_MS:
             self._set_timer()
         else:
--- a/kelpfront/platform/endpoint_table.py
+++ b/kelpfront/platform/endpoint_table.py
@@ -1,7 +1,7 @@
-"""The machines of the endpoint list as its events have them, and whether an event was missed. Pure.
+"""Table of the machines in the endpoint list; also detects missed events. Performs no I/O.
 
-What a change means for tasks that run on a machine is `endpoint_updates`' affair; the failure detector's
-program uses the table alone.
+`endpoint_updates` handles what a change means for the tasks on a machine; the failure detector program uses
+this table without it.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from kelpfront.scheduling.events import Endpoint, MachineId, MachineState
 
 MAX_REMEMBERED_REMOVALS = 1_024
-"""Removed machines that are remembered, so that an older list does not bring them back."""
+"""Maximum number of remembered removals, which keep an older list from restoring removed machines."""
 
-_NEVER = -1.0
+_NOT_REMOVED = -1.0
 
 
 @dataclass(slots=True, eq=False)
@@ -26,8 +26,8 @@
     """A machine of the endpoint list, and the tasks that run on it.
 
     Attributes:
-        running: requests whose tasks run there, by request id.
-        restarted_at: when this placer was notified of its present incarnation, where it knew of another.
+        running: requests whose tasks run on the machine, by request id.
+        restarted_at: when this placer was last notified of a new incarnation of a machine that it knew.
     """
 
     id: MachineId
@@ -42,10 +42,10 @@
 
 @dataclass(slots=True)
 class EndpointChange:
-    """What one event has changed.
+    """The changes that one event has caused.
 
     Attributes:
-        removed: machines that are still in the table; whoever applies the change forgets them.
+        removed: removed machines, which are still in the table; the caller of `apply` has to forget them.
     """
 
     event: EndpointEvent
@@ -55,12 +55,12 @@
 
 
 class EndpointTable:
-    """The machines by id.
+    """The listed machines, by id.
 
     Attributes:
-        index: the number of the last event that was applied.
-        generation: grows with each change of which machines there are.
-        has_gap: whether an event was missed, which would never be sent again.
+        index: the index of the last applied event.
+        generation: incremented whenever machines are added or removed.
+        has_gap: whether an event was missed; the coordinator would never send it again by itself.
     """
 
     def __init__(self) -> None:
@@ -68,25 +68,25 @@
         self.index = 0
         self.generation = 0
         self.has_gap = False
-        self._highest_index = 0  # of all that were applied, also before numbers went back
-        self._removed: dict[MachineId, float] = {}  # and when each had started
+        self._highest_index = 0  # of all applied events, also from before the index went back
+        self._removed: dict[MachineId, float] = {}  # start time of the removed incarnation
 
     @property
     def poll_index(self) -> int:
-        """The index after which events are wanted: 0, the complete list, where one was missed."""
+        """The index after which to request events; 0, for the complete list, if an event was missed."""
         return 0 if self.has_gap else self.index
 
     def apply(self, index: int, events: Sequence[EndpointEvent]) -> Iterator[EndpointChange]:
-        """Apply an answer and yield its changes one by one; events applied before are passed over.
+        """Apply an answer and yield its changes one by one; skip events that were applied before.
 
-        Numbers follow one another. Where some lack, or go back, what was received is applied, and the
-        complete list is wanted: a drain may have been among them. A service that is behind has an older list;
-        its events are applied from there on, but what it does not know yet of drains and removals is not
-        taken back.
+        Event indexes are consecutive. If some are missing, or if the index goes back, the received events are
+        applied and the complete list is requested, since a drain may have been missed. A service that is
+        behind sends an older list; its events are applied from that list on, but they do not undo drains and
+        removals of which the service does not know yet.
 
         Args:
-            index: the number that the answer says is the last.
-            events: its events.
+            index: the last index according to the answer.
+            events: the events of the answer.
         """
         if self.has_gap and events and events[0].complete:
             yield self._fill_gap(index, events)
@@ -118,8 +118,10 @@
             event = self._without_reversals(event)
         change = EndpointChange(event)
         if event.complete:
-            named = {entry.endpoint.id for entry in event.entries}
-            change.removed = [machine for ident, machine in self.machines.items() if ident not in named]
+            listed_ids = {entry.endpoint.id for entry in event.entries}
+            change.removed = [
+                machine for machine_id, machine in self.machines.items() if machine_id not in listed_ids
+            ]
         for entry in event.entries:
             self._apply_entry(entry, change)
         for machine in change.removed:
@@ -150,11 +152,11 @@
             del self._removed[next(iter(self._removed))]
 
     def _without_reversals(self, event: EndpointEvent) -> EndpointEvent:
-        """Return an older event without what later ones notified of the same incarnations."""
+        """Return an older event without what contradicts later events about the same incarnations."""
         entries = [
             self._without_reversed_drain(entry)
             for entry in event.entries
-            if self._removed.get(entry.endpoint.id, _NEVER) < entry.endpoint.started_at
+            if self._removed.get(entry.endpoint.id, _NOT_REMOVED) < entry.endpoint.started_at
         ]
         return replace(event, entries=tuple(entries))
 
@@ -167,16 +169,16 @@
         return replace(entry, endpoint=replace(endpoint, state=known.state)) if is_reversal else entry
 
     def forget(self, machine_id: MachineId) -> bool:
-        """Drop a machine; return whether it was there."""
+        """Delete a machine; return whether it was in the table."""
         return self.machines.pop(machine_id, None) is not None
 
     def machines_by_zone(self) -> dict[int, list[MachineId]]:
         """Return the machines that are not removed, by zone."""
-        found: dict[int, list[MachineId]] = {}
+        by_zone: dict[int, list[MachineId]] = {}
         for machine in self.machines.values():
             if machine.state is not MachineState.REMOVED:
-                found.setdefault(machine.zone, []).append(machine.id)
-        return found
+                by_zone.setdefault(machine.zone, []).append(machine.id)
+        return by_zone
 
 
 def _new_machine(entry: EndpointEntry) -> Machine:
@@ -185,7 +187,7 @@
 
 
 def merge_events(events: Sequence[EndpointEvent]) -> EndpointEvent:
-    """Return one complete list that equals a complete list and the changes after it."""
+    """Merge events into one complete list: the last complete one with all changes after it."""
     entries: dict[MachineId, EndpointEntry] = {}
     for event in events:
         if event.complete:
--- a/kelpfront/platform/endpoint_updates.py
+++ b/kelpfront/platform/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Applies endpoint-list events: to the table, to the tasks on the machines, to the scheduler. Pure."""
+"""Applies endpoint-list events to the table, the tasks on the machines and the scheduler. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndpointUpdates:
-    """Takes the events of the coordinator's answers and of the configuration."""
+    """Applies the events of the coordinator's answers and of the configuration."""
 
     def __init__(self, state: CoreState, driver: SchedulerDriver, running_tasks: RunningTasks) -> None:
         self._endpoints = state.endpoints
@@ -25,7 +25,7 @@
         self._running_tasks = running_tasks
 
     def apply(self, now: float, index: int, events: Sequence[EndpointEvent]) -> None:
-        """Apply an answer: the number that it says is the last, and its events."""
+        """Apply an answer: the last index that it names, and its events."""
         had_gap = self._endpoints.has_gap
         for change in self._endpoints.apply(index, events):
             self._apply_change(now, change)
--- a/kelpfront/platform/failure_detector_client.py
+++ b/kelpfront/platform/failure_detector_client.py
@@ -1,6 +1,7 @@
-"""A placer's port for failure detectors' digests. Loaded only where the configuration names detectors.
+"""UDP endpoint for failure detectors' digests. Imported only if the configuration names failure detectors.
 
-Which reports count is decided by `kelpfront.failure_detection.view`; what they mean, by the scheduler.
+`kelpfront.failure_detection.view` decides which reports are accepted, and the scheduler what follows from
+them.
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 
 
 class FailureDetectorClient(asyncio.DatagramProtocol):
-    """Between the detectors' datagrams and the core.
+    """Receives the detectors' datagrams and passes their reports to the core.
 
     Attributes:
-        view: what the detectors report, and how often.
+        view: the state of the machines as the detectors report it, and counters of their digests.
     """
 
     def __init__(
@@ -38,13 +39,13 @@
         *,
         nonce: int,
     ) -> None:
-        """Make a client, which receives once it is started.
+        """Create a client; it receives after `start`.
 
         Args:
-            host: where it listens, at a port of the system's choice.
-            detectors: the failure detectors; datagrams of others are ignored.
-            access: takes the reports to the core.
-            nonce: must not come again in another incarnation.
+            host: the address to listen at; the system chooses the port.
+            detectors: the failure detectors; datagrams from other addresses are ignored.
+            access: gives access to the core, which receives the reports.
+            nonce: identifies this incarnation; must not be reused by another one.
         """
         self.view = LivenessView(nonce, len(detectors))
         self._host = host
@@ -53,15 +54,15 @@
         self._flush = access.flush
         self._addresses = [(address.host, address.port) for address in detectors]
         self._index_by_address = {address: index for index, address in enumerate(self._addresses)}
-        self._generation = -1  # of the endpoint table that the view was told of
+        self._generation = -1  # of the endpoint table that was last applied to the view
         self._transport: asyncio.DatagramTransport | None = None
         self._tasks = BackgroundTasks()
 
     async def start(self) -> None:
-        """Listen, and say hello to the detectors.
+        """Start listening, and send hello messages to the detectors.
 
         Raises:
-            OSError: no port can be had.
+            OSError: no port is available.
         """
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(lambda: self, local_addr=(self._host, 0))
@@ -70,7 +71,7 @@
         self._tasks.start(self._check_periodically())
 
     async def close(self) -> None:
-        """Stop, and wait until nothing runs any more."""
+        """Stop, and wait until all background tasks have ended."""
         self._core.health_checks.observer = None
         self._tasks.cancel()
         if self._transport is not None:
@@ -78,7 +79,7 @@
         await self._tasks.wait()
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Take a datagram of a detector."""
+        """Handle a datagram; ignore it if the sender is not a detector."""
         index = self._index_by_address.get((addr[0], addr[1]))
         if index is None:
             return
@@ -88,7 +89,7 @@
         self._flush()
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore it: nobody listens there, so no digests come, and that is what counts."""
+        """Ignore the error: a detector that does not listen is recognized by its missing digests."""
 
     def _report(self, now: float, observed: Iterable[LivenessObserved]) -> None:
         for event in observed:
--- a/kelpfront/platform/health_checks.py
+++ b/kelpfront/platform/health_checks.py
@@ -1,6 +1,6 @@
-"""Health checks in flight: which machine each asks, and what it came to. Pure.
+"""Tracks the health checks in flight, their machines and their results. Performs no I/O.
 
-The scheduler decides which machine is checked and when, and receives every result.
+The scheduler decides which machine to check and when, and receives every result.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class HealthCheckResult(msgspec.Struct, frozen=True):
-    """A machine's answer to a health check, or that there was none."""
+    """A machine's answer to a health check, or the absence of an answer."""
 
     ok: bool
     load: LoadReport | None = None
@@ -44,10 +44,10 @@
 
 
 class HealthChecks:
-    """Health checks of one placer, at most one in flight for a machine.
+    """Health checks of one placer, at most one in flight per machine.
 
     Attributes:
-        observer: called with each result, where failure detectors report on machines too.
+        observer: called with each result; set only if failure detectors report on machines too.
     """
 
     def __init__(
@@ -60,18 +60,18 @@
         self.observer: HealthCheckObserver | None = None
 
     def __len__(self) -> int:
-        """Health checks in flight."""
+        """Return the number of health checks in flight."""
         return len(self._in_flight)
 
     def send(self, now: float, machine: MachineId, check_id: str, timeout_ms: float) -> None:
-        """Send a health check; without an answer within `timeout_ms` it has failed."""
+        """Send a health check; it fails if it is not answered within `timeout_ms`."""
         self._in_flight[check_id] = _InFlight(machine, now)
-        self._timers.set(now + timeout_ms, lambda then: self._on_timeout(then, check_id))
+        self._timers.set(now + timeout_ms, lambda expired_at: self._on_timeout(expired_at, check_id))
         data = messages.encode("test", check_id, {}, 0)
         self._outbox.put(SendHealthCheck(machine, check_id, data))
 
     def on_answer(self, now: float, check_id: str, result: HealthCheckResult) -> None:
-        """Take a machine's answer; one to a health check that is not in flight means nothing."""
+        """Handle a machine's answer; ignore it if the health check is not in flight."""
         check = self._in_flight.pop(check_id, None)
         if check is None:
             return
@@ -84,7 +84,7 @@
             self.observer(now, completed)
 
     def on_liveness_observed(self, now: float, observed: LivenessObserved) -> None:
-        """Submit what failure detectors report on machines, which may stand for health checks."""
+        """Submit a liveness report of failure detectors, which can replace health checks."""
         self._submit(now, observed)
 
     def _on_timeout(self, now: float, check_id: str) -> None:
--- a/kelpfront/platform/idle_connections.py
+++ b/kelpfront/platform/idle_connections.py
@@ -1,6 +1,6 @@
-"""Which clients' connections are closed: those that send nothing valid, and those that make way. Pure.
+"""Decides which client connections to close: those without valid input, and evicted ones. No I/O.
 
-How many there may be is decided by `descriptor_shares`. Times are seconds of the event loop's clock.
+`descriptor_shares` decides how many connections are allowed. Times are seconds of the event loop's clock.
 """
 
 from __future__ import annotations
@@ -14,27 +14,30 @@
 K = TypeVar("K")
 
 NO_VALID_MESSAGE_S = 2.0
-"""A connection that has sent nothing valid for so long, and is not in use, is closed."""
+"""Time limit for the first valid message on a connection that is not in use."""
 
 FRAGMENT_S = 4.0
-"""A line that was begun goes on within it: as long as clients keep a connection without a task."""
+"""Maximum pause within a line; as long as clients keep a connection without a task open."""
 
 LINE_S = 10.0
-"""And it ends within this time."""
+"""Maximum time from the first byte of a line to its end."""
 
 FIRST_LINE_S = 2.5
-"""Since it was opened: who has begun a line by then and never ended one may mean no request."""
+"""Time limit from opening for the first complete line, if its beginning has been received.
+
+A client that has not completed a line by then may not intend to send a request.
+"""
 
 RECENTLY_ACTIVE_S = 0.5
-"""One that was opened or active later than this ago may have a request unread, or be about to send one."""
+"""A connection opened or active within this time may have an unread request or be about to send one."""
 
 NEVER = -1.0
-"""In place of a time, for a connection that has sent nothing valid."""
+"""Used in place of a time for a connection without a valid message."""
 
 
 @dataclass(slots=True)
 class PartialLine:
-    """A line that was begun and has not ended; when that was, and when its last fragment came."""
+    """An incomplete line: when its first and its last fragment were received."""
 
     began_at: float
     grew_at: float
@@ -43,13 +46,13 @@
     def after_read(
         cls, line: PartialLine | None, now: float, *, has_ended: bool, has_partial: bool
     ) -> PartialLine | None:
-        """Return what a read leaves behind.
+        """Return the incomplete line after a read, or None if there is none.
 
         Args:
-            line: what the read before it left behind.
-            now: when it was read.
-            has_ended: whether the read brought the end of a line.
-            has_partial: whether it left a line that has not ended.
+            line: the incomplete line before the read.
+            now: time of the read.
+            has_ended: whether the read contained the end of a line.
+            has_partial: whether the read left an incomplete line.
         """
         if not has_partial:
             return None
@@ -58,43 +61,45 @@
 
 
 class EvictionOrder(Generic[K]):
-    """Connections in the order in which they may have to make way for a new one.
+    """Connections in the order in which they may be evicted for a new one.
 
-    Kept in order as they open and are active, since at the limit each new connection asks for one.
+    The order is updated when a connection is opened or active, since at the limit each new connection needs
+    an eviction.
     """
 
     def __init__(self) -> None:
-        self._unread: dict[K, float] = {}  # when it was opened; what it may have sent was not looked for yet
-        self._silent: dict[K, float] = {}  # when it was opened; it has sent nothing valid
-        self._active: dict[K, float] = {}  # when it last sent a valid message, the longest ago first
+        self._unread: dict[K, float] = {}  # time of opening; not read from yet
+        self._silent: dict[K, float] = {}  # time of opening; read, but without a valid message
+        self._active: dict[K, float] = {}  # time of the last valid message, oldest first
 
     def on_opened(self, key: K, now: float) -> None:
-        """Enter a new connection."""
+        """Add a new connection."""
         self._unread[key] = now
 
     def on_first_read(self, key: K) -> None:
-        """Take note that what it had sent when it was opened has been read."""
+        """Record that what the connection had sent when it was opened has been read."""
         if key in self._unread:
             self._silent[key] = self._unread.pop(key)
 
     def on_active(self, key: K, now: float) -> None:
-        """Take note of a valid message."""
+        """Record a valid message."""
         self.remove(key)
         self._active[key] = now
 
     def remove(self, key: K) -> None:
-        """Drop a connection."""
+        """Remove a connection."""
         self._unread.pop(key, None)
         self._silent.pop(key, None)
         self._active.pop(key, None)
 
     def next_evicted(self, now: float, is_in_use: Callable[[K], bool]) -> K | None:
-        """Return whose connection makes way; None where all are in use, or opened or active just now.
+        """Return the connection to evict; None if all are in use, or were opened or active just now.
 
-        First the one that has been silent longest, then the one that was active longest ago and is not in
-        use: some clients ask once and hold on for good, and would shut out all who come later. Then who came
-        recently and sent nothing. Not who was opened a moment ago, when hundreds come at once: what it has
-        sent may be unread.
+        The first choice is the connection that has been silent longest. The second is the least recently
+        active one that is not in use: some clients send one request and stay connected forever, which would
+        shut out all later clients. The third is one that was opened recently and has sent nothing valid. A
+        connection that has not been read from is never evicted: when hundreds of clients connect at once, its
+        request may be unread.
         """
         oldest = next(iter(self._silent.items()), None)
         if oldest is not None and oldest[1] <= now - RECENTLY_ACTIVE_S:
@@ -108,7 +113,7 @@
 
 
 class ConnectionActivity(msgspec.Struct, frozen=True):
-    """What a client's connection has sent; `last_valid_at` is NEVER before its first valid message."""
+    """Activity of a client connection; `last_valid_at` is NEVER before its first valid message."""
 
     opened_at: float
     last_valid_at: float
@@ -116,15 +121,15 @@
     line: PartialLine | None
 
     def is_closed_at(self, now: float) -> bool:
-        """Return whether the connection is closed: it sent nothing valid, or stopped within a line.
+        """Return whether to close the connection: it sent nothing valid, or stopped within a line.
 
-        Clients may send a request in fragments, also a while after the last one: a line's time is its own.
-        Who has sent nothing complete yet is closed, or answered, within 3 s: half a request alone must not
-        hold on longer.
+        Clients may send a request in fragments, also long after their previous request, so the limits for a
+        line count from its own fragments. A connection without any complete line is closed or answered
+        within 3 s, since an incomplete request alone must not keep it open for longer.
         """
         if self.is_in_use:
             return False
-        if self.last_valid_at < self.opened_at:  # nothing valid so far
+        if self.last_valid_at < self.opened_at:  # no valid message so far
             limit_s = NO_VALID_MESSAGE_S if self.line is None else FIRST_LINE_S
             return now - self.opened_at >= limit_s
         if self.line is None:
--- a/kelpfront/platform/machine_messages.py
+++ b/kelpfront/platform/machine_messages.py
@@ -1,7 +1,7 @@
-"""Machines' messages: answers to offers, ends and status of running tasks, answers to health checks. Pure.
+"""Dispatches machines' messages: answers to offers, task ends and status, health check answers. No I/O.
 
-It finds the attempt that a message speaks of; what follows is the affair of `running_tasks`, `health_checks`
-and the scheduler.
+This module finds the attempt to which a message belongs; `running_tasks`, `health_checks` and the scheduler
+handle it.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from kelpfront.scheduling.events import MachineId, TaskStatusReported
 
 HEALTHY = 1
-"""Cause by which a machine answers a health check where it is well."""
+"""Value of `why` in the health check answer of a healthy machine."""
 
 
 class MachineMessages:
-    """Takes machines' messages."""
+    """Matches machines' messages to attempts and health checks."""
 
     def __init__(
         self,
@@ -41,19 +41,19 @@
     def on_message(
         self, now: float, machine: MachineId, message: Message, attempt_number: int | None
     ) -> None:
-        """Take a machine's message.
+        """Handle a machine's message.
 
-        All attempts of a request bear one id: a second answer to one, some milliseconds late, must not count
-        for the next one.
+        All attempts of a request have the same id; a late duplicate answer to one attempt, some milliseconds
+        after the first, must not count for the next attempt.
 
         Args:
             now: the time, in Unix milliseconds.
-            machine: the machine that sent it.
+            machine: the machine that sent the message.
             message: the message.
-            attempt_number: the attempt of its request that was sent on the connection on which it came.
+            attempt_number: the attempt of the request that was sent on the connection of the message.
 
         Raises:
-            InvalidMessageError: its connection is of no more use.
+            InvalidMessageError: the message is invalid, and its connection no longer usable.
         """
         if message.op == "tested":
             result = HealthCheckResult(message.why == HEALTHY, messages.parse_load(message))
@@ -61,7 +61,7 @@
             return
         request = self._requests.get(message.call)
         attempt = self._attempts.in_flight_on(machine, request)
-        # No connection owns a running task: its machine may report on any of them.
+        # A running task belongs to no connection: its machine may report on any of them.
         is_expected = attempt is not None and (attempt.accepted or attempt_number == attempt.number)
         if attempt is None or not is_expected:
             self._on_unexpected(machine, request, message)
--- a/kelpfront/platform/machine_pools.py
+++ b/kelpfront/platform/machine_pools.py
@@ -1,6 +1,6 @@
-"""The connection pools of all machines: made when a machine is first sent something, closed with it.
+"""The connection pools of all machines: created at the first send to a machine, closed when it is forgotten.
 
-What goes over a connection is the affair of `connection_pool`.
+`connection_pool` handles the traffic on the connections.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 class MachinePools:
-    """One pool a machine, by machine id: an address may get a new machine.
+    """One pool per machine, keyed by machine id, since an address may be reused by another machine.
 
     Attributes:
-        pools: those that are open.
+        pools: the open pools.
     """
 
     def __init__(self, context: PoolContext) -> None:
@@ -32,7 +32,7 @@
         self._access = context.access
 
     def carry_out(self, intent: MachineIntent) -> None:
-        """Hand an intent to the pool of its machine."""
+        """Pass an intent to the pool of its machine."""
         if isinstance(intent, ForgetMachine):
             self._forget(intent.machine)
             return
@@ -51,7 +51,10 @@
                 pool.keep_connected()
 
     def _on_unlisted(self, intent: MachineIntent) -> None:
-        """Close an attempt whose machine left the list before its turn came: nobody else would."""
+        """Report an offer as not sent whose machine was removed from the list in the meantime.
+
+        Otherwise nothing would end the attempt.
+        """
         if isinstance(intent, Offer):
             now = self._access.now()
             self._access.core.on_attempt_failed(now, intent.key, AttemptOutcome.NOT_SENT)
@@ -62,7 +65,7 @@
             pool.close()
 
     def _pool(self, machine_id: MachineId) -> ConnectionPool | None:
-        """Return the machine's pool, which is made where there is none for its address yet."""
+        """Return the pool for the machine's present address, created on demand; None if it is unlisted."""
         machine = self._access.core.endpoints.machines.get(machine_id)
         if machine is None:
             return None
@@ -76,13 +79,13 @@
         return pool
 
     def sweep(self) -> None:
-        """Close connections that have been idle for long; serve pools that wait for a descriptor."""
+        """Close connections that have been idle for too long; serve pools that wait for a descriptor."""
         for pool in list(self.pools.values()):
             pool.sweep()
-        self._context.budget.serve_waiting()  # a client may have left
+        self._context.budget.serve_waiting()  # a disconnected client may have released one
 
     async def close(self) -> None:
-        """Break all connections, and wait until no task of a pool runs any more."""
+        """Abort all connections, and wait until all tasks of the pools have ended."""
         for pool in list(self.pools.values()):
             pool.close()
         await self._context.tasks.wait()
--- a/kelpfront/platform/machine_tasks.py
+++ b/kelpfront/platform/machine_tasks.py
@@ -1,7 +1,7 @@
-"""Which tasks run on which machine, and when a removed machine is forgotten. Pure.
+"""Tracks which tasks run on which machine, and forgets removed machines without tasks. No I/O.
 
-It keeps the `running` entries of the endpoint table's machines; what becomes of a task is decided by
-`running_tasks` and `attempts`.
+This module maintains the `running` entries of the endpoint table's machines; `running_tasks` and `attempts`
+decide about the tasks.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
         self._outbox = outbox
 
     def any_on(self, machine_id: MachineId) -> bool:
-        """Return whether tasks run there."""
+        """Return whether tasks run on the machine."""
         machine = self._endpoints.machines.get(machine_id)
         return machine is not None and bool(machine.running)
 
     def on(self, machine_id: MachineId) -> list[PendingRequest]:
-        """Return the requests whose tasks run there."""
+        """Return the requests whose tasks run on the machine."""
         machine = self._endpoints.machines.get(machine_id)
         return [] if machine is None else list(machine.running.values())
 
     def remove(self, machine_id: MachineId, request: PendingRequest) -> None:
-        """Drop a task that is over; a removed machine is forgotten with its last one."""
+        """Remove a task that has ended; forget a removed machine when its last task is removed."""
         machine = self._endpoints.machines.get(machine_id)
         if machine is None:
             return
@@ -39,6 +39,6 @@
             self.forget_machine(machine)
 
     def forget_machine(self, machine: Machine) -> None:
-        """Drop a removed machine and close its connections."""
+        """Delete a removed machine from the table and close its connections."""
         if self._endpoints.forget(machine.id):
             self._outbox.put(ForgetMachine(machine.id))
--- a/kelpfront/platform/process_figures.py
+++ b/kelpfront/platform/process_figures.py
@@ -1,4 +1,4 @@
-"""What this process uses of the system, and what the system allows it."""
+"""Resource usage and resource limits of this process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 UNKNOWN = -1
-"""In place of a figure that the system does not give."""
+"""Returned in place of a value that the system does not report."""
 
 
 def memory_mb() -> float:
@@ -20,14 +20,14 @@
     return round(pages * os.sysconf("SC_PAGE_SIZE") / 1e6, 1)
 
 
-def allowed_descriptors(wanted: int) -> int:
-    """Return how many of so many descriptors the system allows this process."""
+def allowed_descriptors(requested: int) -> int:
+    """Return the requested number of descriptors, limited to what the system allows this process."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return wanted if limit == resource.RLIM_INFINITY else min(wanted, limit)
+    return requested if limit == resource.RLIM_INFINITY else min(requested, limit)
 
 
 def open_descriptors() -> int:
-    """Return how many are open, without the one that this call takes, or UNKNOWN."""
+    """Return the number of open descriptors, except the one that this call uses, or UNKNOWN."""
     try:
         return len(os.listdir("/proc/self/fd")) - 1
     except OSError:
--- a/kelpfront/platform/service.py
+++ b/kelpfront/platform/service.py
@@ -1,6 +1,6 @@
-"""The placer in service: core, clients, machines and endpoint list on one event loop; signals and shutdown.
+"""Runs a placer on one event loop: core, clients, machines, endpoint list, signals and shutdown.
 
-What happens between the core and the sockets is `core_runner`'s affair.
+`core_runner` connects the core to the sockets.
 """
 
 from __future__ import annotations
@@ -42,41 +42,42 @@
 
 log = structlog.get_logger("kelpfront.platform")
 
-FIGURES_S = 5.0
-"""Between two lines of counters in the log."""
+FIGURES_INTERVAL_S = 5.0
+"""Interval between log lines with counters."""
 
-ANSWERED_CHECK_S = 0.02
-"""Between checks, at the end, whether all requests are answered."""
+ANSWERED_CHECK_INTERVAL_S = 0.02
+"""Interval, during shutdown, between checks whether all requests are answered."""
 
-LATE_S = 0.2
-"""An iteration of the loop that is later than this is logged."""
+MAX_LOOP_DELAY_S = 0.2
+"""A delay of the event loop that exceeds this is logged."""
 
-_DISCOVERY_SEED = 1  # changes the configuration's seed: chance for polls is not the scheduler's
+# XORed with the configuration's seed, so that polling and scheduling use different random sequences.
+_DISCOVERY_SEED = 1
 
 
 class Service:
     """One placer.
 
     Attributes:
-        core: what this placer knows and decides.
+        core: state and decisions of this placer.
         clock: the time in Unix milliseconds.
         clients: the server for clients.
         machines: the connections to machines.
-        budget: the descriptors that those hold.
+        budget: the file descriptors of the connections to machines.
         discovery: polls the endpoint list.
-        port: where clients are accepted; 0 before they are.
+        port: the port at which clients are accepted; 0 before that.
     """
 
     def __init__(
         self, path: Path, config: Config, selector: TimedSelector | None = None, began_at: float = 0.0
     ) -> None:
-        """Make a placer, which serves once it is run.
+        """Create a placer; it serves while `run` is executed.
 
         Args:
-            path: of the configuration's file, which is read again at SIGHUP.
-            config: what it held.
-            selector: knows since when data that is read may have been unread.
-            began_at: when the process began, in seconds of the monotonic clock; 0 where it is not known.
+            path: the configuration file, which is read again at SIGHUP.
+            config: the configuration that was read from `path`.
+            selector: tracks since when received data may have been unread.
+            began_at: start time of the process, in seconds of the monotonic clock; 0 if unknown.
         """
         self._path = path
         self._config = config
@@ -123,9 +124,9 @@
         )
 
     def _failure_detector_client(self) -> FailureDetectorClient | None:
-        """Return None where the configuration names no detectors, as the platform's does not.
+        """Return None if the configuration names no failure detectors, as is the case on the platform.
 
-        Its modules are not loaded then.
+        The modules for failure detection are not imported then.
         """
         config = self._config
         if not config.watchers:
@@ -143,20 +144,20 @@
         return self.clients.presence(connection, request_id)
 
     def _may_exceed_machines_share(self) -> bool:
-        """Return whether one more connection to a machine has a descriptor; idle clients make way for it."""
+        """Return whether a descriptor is available for another machine connection; may evict idle clients."""
         shares = self._shares
         in_use = self.budget.in_use
         if in_use < shares.max_machines:
             self.clients.shrink(shares.total - in_use - 1)
         return shares.machine_may_open(in_use, len(self.clients))
 
-    # ---- From start to end ----------------------------------------------------------------------------
+    # ---- Start and shutdown ---------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Serve until told to end, and until what was accepted is answered.
+        """Serve until shutdown is requested and all accepted requests are answered.
 
         Raises:
-            OSError: the address cannot be had.
+            OSError: the listening address is not available.
         """
         try:
             has_served = await self._serve()
@@ -168,7 +169,7 @@
             log.info("ended before it served")
 
     async def _serve(self) -> bool:
-        """Serve until told to end; return whether clients were accepted before that."""
+        """Serve until shutdown is requested; return whether clients were accepted before that."""
         await self._start()
         starting = self._tasks.start(self._accept_clients())
         ending = self._tasks.start(self._wait_for_shutdown())
@@ -187,7 +188,7 @@
         return True
 
     async def _start(self) -> None:
-        """Listen for signals, take what the file knows, and begin to poll the endpoint list."""
+        """Install signal handlers, apply the configuration's events, and start polling the endpoint list."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload)
         loop.add_signal_handler(signal.SIGTERM, self._shutdown.set)
@@ -195,14 +196,14 @@
         self.discovery.start()
         if self._failure_detectors is not None:
             await self._failure_detectors.start()
-        if self._has_file_changed():  # the signal for it may have come before it was listened for
+        if self._has_file_changed():  # SIGHUP may have arrived before its handler was installed
             self._reload()
 
     async def _wait_for_shutdown(self) -> None:
         await self._shutdown.wait()
 
     async def _accept_clients(self) -> None:
-        """Accept clients, once the list has answered or too long did not."""
+        """Accept clients once the endpoint list was received, or the wait for it has timed out."""
         wait_ms = first_answer_wait_ms((time.monotonic() - self._began_at) * 1000.0)
         if not await self.discovery.wait_for_first_answer(wait_ms):
             log.warning("no answer of the coordinator at start", waited_ms=round(wait_ms))
@@ -226,10 +227,10 @@
         while not schedule.is_over(self.clock.now(), requests.unanswered_count, len(requests)):
             is_closing = schedule.rejects_requests(self.clock.now())
             self.core.client_messages.is_closing = is_closing
-            await asyncio.sleep(ANSWERED_CHECK_S)
+            await asyncio.sleep(ANSWERED_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """Break all connections, and wait until nothing that this placer started runs any more."""
+        """Abort all connections, and wait until everything that this placer started has ended."""
         self.discovery.stop()
         self._tasks.cancel()
         await self._tasks.wait()
@@ -243,7 +244,7 @@
     # ---- The endpoint list and the configuration ------------------------------------------------------
 
     def _on_discovery_answer(self, raw: Any) -> None:
-        """Take an answer of the coordinator, with events or without."""
+        """Handle an answer of the coordinator, with or without events."""
         self._apply_endpoint_answer(raw)
         self.core.freshness.on_answer(self.clock.now())
         self._runner.flush()
@@ -254,28 +255,28 @@
         self._runner.flush()
 
     def _reload(self) -> None:
-        """Read the file again: what it knows that is newer, and the coordinator's address, are taken."""
+        """Read the configuration file again; apply its newer events and the coordinator's address."""
         try:
             config = read_config(self._path)
             index, events = parse_events(config.known, config)
         except (ConfigError, InvalidEventError) as error:
-            # The message names the key and what is allowed; a traceback would add nothing.
+            # The message names the key and the allowed values; a traceback would add nothing.
             log.error("new configuration rejected", error=str(error))  # noqa: TRY400 - see above
             return
-        if index > self.core.endpoints.index:  # older than what was received since: nothing new
+        if index > self.core.endpoints.index:  # otherwise the file is older than what was received since
             self.core.apply_endpoint_events(self.clock.now(), index, events)
             self._runner.flush()
-        self.discovery.move(config.coordinator)
+        self.discovery.change_address(config.coordinator)
 
     def _has_file_changed(self) -> bool:
-        """Return whether the file names another coordinator than when it was read, or other events."""
+        """Return whether the file's coordinator or its events differ from those read at the start."""
         try:
             new = read_config(self._path)
         except ConfigError:
             return False
         return (new.coordinator, new.known) != (self._config.coordinator, self._config.known)
 
-    # ---- What is done periodically --------------------------------------------------------------------
+    # ---- Periodic tasks -------------------------------------------------------------------------------
 
     async def _sweep(self) -> None:
         loop = asyncio.get_running_loop()
@@ -284,7 +285,7 @@
             began_at = loop.time()
             await asyncio.sleep(client_connections.SWEEP_S)
             late_s = loop.time() - began_at - client_connections.SWEEP_S
-            if late_s > LATE_S:
+            if late_s > MAX_LOOP_DELAY_S:
                 log.warning("event loop late", late_ms=round(late_s * 1000))
             self.clients.sweep()
             if loop.time() - machines_swept_at > connection_pool.SWEEP_S:
@@ -293,7 +294,7 @@
 
     async def _log_figures(self) -> None:
         while True:
-            await asyncio.sleep(FIGURES_S)
+            await asyncio.sleep(FIGURES_INTERVAL_S)
             log.info(
                 "figures",
                 memory_mb=process_figures.memory_mb(),
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -116,7 +116,7 @@
     [
         ("", "not JSON"),
         ("[" * 200_000, "not JSON"),
-        ('"x"', "a JSON object is wanted"),
+        ('"x"', "expected a JSON object"),
         ("{}", "settings"),
         ('{"settings": []}', "settings"),
         ("\xff\xfe", "not JSON"),
