--- a/tests/platform/test_platform_config_and_events.py
+++ b/tests/platform/test_platform_config_and_events.py
@@ -1,4 +1,4 @@
-"""The configuration file and the coordinator's events, without sockets."""
+"""Tests of the configuration file and of the coordinator's events, without sockets."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize(
-    ("changes", "names"),
+    ("changes", "key"),
     [
         ({"listen": "nowhere"}, "listen"),
         ({"coordinator": 5}, "coordinator"),
@@ -28,18 +28,18 @@
         ({"settings": platforms.info(Zones=None)}, "Zones"),
     ],
 )
-def test_an_invalid_configuration_names_the_key(changes: dict[str, Any], names: str) -> None:
-    with pytest.raises(ConfigError, match=names):
+def test_an_invalid_configuration_names_the_key(changes: dict[str, Any], key: str) -> None:
+    with pytest.raises(ConfigError, match=key):
         config_of(platforms.raw_config() | changes)
 
 
-def test_events_become_lists_and_invalid_ones_are_rejected_completely() -> None:
-    its = config(member("m-1"))
-    index, (first,) = parse_events(its.known, its)
+def test_events_are_parsed_and_invalid_ones_are_rejected_completely() -> None:
+    valid = config(member("m-1"))
+    index, (first,) = parse_events(valid.known, valid)
     assert (index, first.complete, first.entries[0].name) == (1, True, "m-1")
-    view = first.entries[0].endpoint
-    assert (view.state, view.free_cores, view.free_memory) == (MachineState.READY, 20.0, 40.0)
-    for broken in (
+    endpoint = first.entries[0].endpoint
+    assert (endpoint.state, endpoint.free_cores, endpoint.free_memory) == (MachineState.READY, 20.0, 40.0)
+    for invalid_fields in (
         {"phase": "Lost"},
         {"spare": [1]},
         {"host_port": "x"},
@@ -47,16 +47,16 @@
         {"up_since_ms": "now"},
     ):
         with pytest.raises(InvalidEventError):
-            parse_events({"index": 2, "updates": [event(2, member("m-1", **broken))]}, its)
-    shapes: list[Any] = [[], {"updates": 1}, {"updates": [1]}, {"updates": [{"index": "a"}]}]
-    for bad in shapes:
+            parse_events({"index": 2, "updates": [event(2, member("m-1", **invalid_fields))]}, valid)
+    invalid_answers: list[Any] = [[], {"updates": 1}, {"updates": [1]}, {"updates": [{"index": "a"}]}]
+    for answer in invalid_answers:
         with pytest.raises(InvalidEventError):
-            parse_events(bad, its)
+            parse_events(answer, valid)
 
 
 def test_events_that_were_applied_are_not_applied_again() -> None:
     stage = Stage()
-    drained = event(2, member("m-1", phase="Terminating"))
-    stage.events({"index": 2, "updates": [drained]})
+    drain = event(2, member("m-1", phase="Terminating"))
+    stage.events({"index": 2, "updates": [drain]})
     stage.events({"index": 2, "updates": [event(1, member("m-1"), whole=True)]})
     assert stage.core.endpoints.machines[machine_id("m-1")].state is MachineState.DRAINING
--- a/tests/platform/test_platform_crossings_late.py
+++ b/tests/platform/test_platform_crossings_late.py
@@ -1,6 +1,6 @@
-"""What comes long after the start: whole lists, reloads with drains, silences, and days without work.
+"""Tests of events long after the start: complete lists, reloads with drains, silence, idle hours.
 
-docs/design/platform.md has the table of these crossings.
+The table in docs/design/platform.md lists these combinations of events.
 """
 
 from __future__ import annotations
@@ -36,39 +36,39 @@
 from kelpfront.scheduling.events import MachineState
 
 SECOND, THIRD = "00000000000000a2", "00000000000000a3"
-LATER_S = 0.5  # for what must not come
+QUIET_PERIOD_S = 0.5  # time in which nothing further may arrive
 HOUR_MS = 3_600_000.0
 M1, M2, M3 = (machine_id(f"m-{number}") for number in (1, 2, 3))
 
 
 @pytest.fixture
 async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    made = Stage(tmp_path)
-    yield made
-    await made.stop()
+    new_stage = Stage(tmp_path)
+    yield new_stage
+    await new_stage.stop()
 
 
-# ---- Whole lists in mid-life ------------------------------------------------------------------------------
+# ---- Complete lists while tasks run -----------------------------------------------------------------------
 
 
-async def tasks_on(stage: Stage, *machines: Machine) -> dict[str, tuple[Peer, str]]:
-    """A task on each of the machines, which are ready one after another: client and call by machine."""
+async def place_tasks_on(stage: Stage, *machines: Machine) -> dict[str, tuple[Peer, str]]:
+    """Place a task on each of the machines; return client and request id by machine name."""
     placer = await stage.start(*machines)
-    found: dict[str, tuple[Peer, str]] = {}
+    tasks: dict[str, tuple[Peer, str]] = {}
     for number in range(1, 100):
         client, call = await placer.client(), f"{number:016x}"
         client.say(offer(call, cls=("easy", "keyed", "once")[number % 3]))
         (accepted,) = await ops(client, "accept")
-        found.setdefault(accepted["desc"].removeprefix("at "), (client, call))
-        if len(found) == len(machines):
-            return found
-    raise AssertionError(f"only {', '.join(found)} were chosen")
+        tasks.setdefault(accepted["desc"].removeprefix("at "), (client, call))
+        if len(tasks) == len(machines):
+            return tasks
+    raise AssertionError(f"only {', '.join(tasks)} received a task")
 
 
 async def test_a_later_complete_list_ends_tasks_on_machines_that_it_lacks(stage: Stage) -> None:
-    """One is as it was, one has restarted, one drains, one is not named any more, one is new."""
+    """Of five machines, one is unchanged, one restarted, one drains, one is missing and one is new."""
     machines = [Machine(f"m-{number}") for number in range(1, 5)]
-    stands = await tasks_on(stage, *machines)
+    running = await place_tasks_on(stage, *machines)
     placer, addresses = stage.running, {m.name: m.address for m in machines}
     opened = machines[0].opened
     whole = event(
@@ -76,44 +76,44 @@
         member("m-1", addresses["m-1"]),
         member("m-2", addresses["m-2"], up_since_ms=placer.now()),
         member("m-3", addresses["m-3"], "Terminating"),
-        member("m-5", addresses["m-4"]),  # at the address of the one that is gone
+        member("m-5", addresses["m-4"]),  # at the address of the missing machine
         whole=True,
     )
     stage.coordinator.events.append(whole)
     for name in ("m-2", "m-4"):
-        client, call = stands[name]
+        client, call = running[name]
         while (message := await client.read()) is not None and message["call"] != call:
             pass
         assert message is not None
         assert (message["op"], message["why"]) == ("end", 41)
     assert placer.core.endpoints.index == 2
     assert set(placer.core.endpoints.machines) == {machine_id(name) for name in ("m-1", "m-2", "m-3", "m-5")}
-    for name in ("m-1", "m-3"):  # these run on, and their ends are told
-        client, call = stands[name]
+    for name in ("m-1", "m-3"):  # their tasks run on, and their ends are reported
+        client, call = running[name]
         next(m for m in machines if m.name == name).peers[0].say(line("end", call, why=16))
         (ended,) = await ops(client, "end")
         assert (ended["call"], ended["why"]) == (call, 16)
-    assert machines[0].opened == opened  # its connections were left alone
-    drained = len(machines[2].offers())
+    assert machines[0].opened == opened  # its connections were not touched
+    offers_before = len(machines[2].offers())
     for number in range(0xB1, 0xC1):
         client = await placer.client()
         client.say(offer(f"{number:016x}"))
         await ops(client, "accept")
-    assert len(machines[2].offers()) == drained
+    assert len(machines[2].offers()) == offers_before
 
 
 async def test_the_same_complete_list_again_changes_nothing(stage: Stage) -> None:
     machines = [Machine("m-1"), Machine("m-2")]
-    stands = await tasks_on(stage, *machines)
+    running = await place_tasks_on(stage, *machines)
     opened = [machine.opened for machine in machines]
     members = [member(m.name, m.address) for m in machines]
     stage.coordinator.events += [event(index, *members, whole=True) for index in (2, 3)]
     await until(lambda: stage.running.core.endpoints.index == 3)
-    await asyncio.sleep(LATER_S)
+    await asyncio.sleep(QUIET_PERIOD_S)
     assert [machine.opened for machine in machines] == opened
     assert stage.running.core.counters.tasks_lost == 0
     for machine in machines:
-        client, call = stands[machine.name]
+        client, call = running[machine.name]
         machine.peers[0].say(line("end", call, why=16))
         (ended,) = await ops(client, "end")
         assert ended["why"] == 16
@@ -123,14 +123,14 @@
 async def test_a_complete_list_without_the_machine_of_an_offer_in_flight(
     stage: Stage, cls: str, answer: str
 ) -> None:
-    """It may have run there: what may be repeated goes elsewhere, the rest fails, and both only once."""
+    """The offer may have been executed: a repeatable task is retried elsewhere, any other one fails."""
     held: list[Peer] = []
 
-    async def holds(_machine: Machine, peer: Peer, message: Json) -> None:
+    async def hold_offer(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             held.append(peer)
 
-    machine, other = Machine("m-1", holds), Machine("m-2")
+    machine, other = Machine("m-1", hold_offer), Machine("m-2")
     placer = await stage.start(machine)
     await other.start()
     stage.machines["m-2"] = other
@@ -138,32 +138,32 @@
     client.say(offer(cls=cls))
     await until(lambda: held)
     stage.coordinator.events.append(event(2, member("m-2", other.address), whole=True))
-    (told,) = await ops(client, answer)
-    assert told.get("why") == (None if cls == "easy" else 41)
+    (reply,) = await ops(client, answer)
+    assert reply.get("why") == (None if cls == "easy" else 41)
     held[0].say(line("accept", CALL, desc="late"))
     client.say(line("test", "00000000000000f0", why=0))
-    await ops(client, "tested")  # and nothing before it
+    await ops(client, "tested")  # no other message precedes it
     assert len(other.offers()) == (cls == "easy")
     assert len(machine.offers()) == 1
 
 
 def test_an_older_list_reverses_neither_drains_nor_removals() -> None:
-    """Guards against offers to a machine that drains, as a service that is behind tells of it as ready."""
+    """Guards against offers to a draining machine that a service with an older list reports as ready."""
     table = table_with_two_machines()
     apply_answer(
         table, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone"))
     )
     apply_answer(table, 1)
-    assert table.poll_index == 0  # numbers went back: the whole list is asked for
+    assert table.poll_index == 0  # the index went back: the complete list is requested
     apply_answer(table, 1, event(1, member("m-1"), member("m-2"), whole=True))
     assert {ident: m.state for ident, m in table.machines.items()} == {M1: MachineState.DRAINING}
-    assert table.poll_index == 1  # what comes later is asked for from there on
+    assert table.poll_index == 1  # later events are requested from this index on
     apply_answer(table, 2, event(2, member("m-1"), member("m-2"), member("m-3")))  # still behind
     assert {ident: m.state for ident, m in table.machines.items()} == {
         M1: MachineState.DRAINING,
         M3: MachineState.READY,
     }
-    apply_answer(table, 4, event(3), event(4, member("m-1"), member("m-2")))  # it has caught up
+    apply_answer(table, 4, event(3), event(4, member("m-1"), member("m-2")))  # the service has caught up
     assert {m.state for m in table.machines.values()} == {MachineState.READY}
     assert len(table.machines) == 3
 
@@ -174,8 +174,8 @@
         table, 3, event(2, member("m-1", phase="Terminating")), event(3, member("m-2", phase="Gone"))
     )
     apply_answer(table, 1)
-    young = [member("m-1", up_since_ms=5.0), member("m-2", up_since_ms=5.0)]
-    apply_answer(table, 1, event(1, *young, whole=True))
+    restarted = [member("m-1", up_since_ms=5.0), member("m-2", up_since_ms=5.0)]
+    apply_answer(table, 1, event(1, *restarted, whole=True))
     assert {ident: m.state for ident, m in table.machines.items()} == dict.fromkeys(
         (M1, M2), MachineState.READY
     )
@@ -184,8 +184,8 @@
 # ---- Reloads with drains ----------------------------------------------------------------------------------
 
 
-def reload_with(stage: Stage, coordinator: str, *updates: Json) -> None:
-    """SIGHUP with a file that knows of more."""
+def reload_with_updates(stage: Stage, coordinator: str, *updates: Json) -> None:
+    """Add updates to the configuration file, and send SIGHUP."""
     raw = json.loads((stage.path / "config.json").read_text())
     raw["coordinator"] = coordinator
     raw["known"]["updates"] += updates
@@ -195,11 +195,11 @@
 
 
 @pytest.mark.parametrize("moved", [True, False], ids=["moved", "the same address"])
-@pytest.mark.parametrize("told", ["nothing", "an older list", "more at once"])
+@pytest.mark.parametrize("reported", ["nothing", "an older list", "more at once"])
 async def test_a_drain_by_reload_is_kept_whatever_the_coordinator_sends(
-    stage: Stage, told: str, *, moved: bool
+    stage: Stage, reported: str, *, moved: bool
 ) -> None:
-    """`known` tells of a drain: who is asked then is behind, or has news at the same time."""
+    """`known` reports a drain; the coordinator has an older list or reports more events at the same time."""
     drained, other = Machine("m-1"), Machine("m-2")
     placer = await stage.start(drained, other)
     await until(lambda: len(stage.coordinator.asked) > 1)
@@ -207,17 +207,17 @@
     await new.start()
     whole = event(1, *(member(m.name, m.address) for m in (drained, other)), whole=True)
     drain = event(2, member("m-1", drained.address, "Terminating"))
-    speaks = new if moved else stage.coordinator
-    if told == "an older list":
-        speaks.events.append(whole)
-        if moved:  # it says how far it is, and not how far it was asked for
-            speaks.noise = [json.dumps({"index": 1, "updates": []}).encode()]
-    elif told == "more at once":
-        speaks.events += [whole, drain, event(3, member("m-3", phase="Terminating"))]
-    reload_with(stage, speaks.address, drain)
+    polled = new if moved else stage.coordinator
+    if reported == "an older list":
+        polled.events.append(whole)
+        if moved:  # it answers with its own last index, not with the requested one
+            polled.noise = [json.dumps({"index": 1, "updates": []}).encode()]
+    elif reported == "more at once":
+        polled.events += [whole, drain, event(3, member("m-3", phase="Terminating"))]
+    reload_with_updates(stage, polled.address, drain)
     await until(lambda: placer.core.endpoints.index >= 2)
-    asked = len(speaks.asked)
-    await until(lambda: len(speaks.asked) >= asked + 3)
+    asked = len(polled.asked)
+    await until(lambda: len(polled.asked) >= asked + 3)
     for number in range(0xB1, 0xC1):
         client = await placer.client()
         client.say(offer(f"{number:016x}", cls=("easy", "keyed", "once")[number % 3]))
@@ -228,7 +228,7 @@
 
 
 async def test_a_drain_in_a_file_that_came_during_the_start_is_applied(stage: Stage) -> None:
-    """Guards against a reload that was not listened for yet, at the same coordinator, which is silent."""
+    """Guards against a SIGHUP lost because its handler was not installed yet; the coordinator is silent."""
     await stage.coordinator.start()
     stage.coordinator.mute = True
     raw = platforms.raw_config(member("m-1"), coordinator=stage.coordinator.address)
@@ -242,7 +242,7 @@
 
 
 async def test_a_drain_by_reload_is_kept_under_load_while_the_coordinator_is_behind(tmp_path: Path) -> None:
-    """Three processes. The service still lists the drained machine as ready, until it has caught up."""
+    """With three processes. The service lists the draining machine as ready until it has caught up."""
     service = ListService()
     await service.start()
     loaded = PlacersUnderLoad(tmp_path, service)
@@ -264,11 +264,11 @@
         await service.stop()
 
 
-# ---- Late in a day ----------------------------------------------------------------------------------------
+# ---- After many hours -------------------------------------------------------------------------------------
 
 
 class VirtualTimeStage(CoreStage):
-    """A core in virtual time, whose machines answer tests unless they are in `silent`."""
+    """A core in virtual time; machines answer health checks unless they are in `silent`."""
 
     def __init__(self, *members: Json) -> None:
         super().__init__(*members)
@@ -276,13 +276,13 @@
         self._answered = 0
 
     def pass_time(self, ms: float, *, list_answers: bool = True, step: float = 100.0) -> None:
-        until = self.now + ms
-        while self.now < until:
-            self.advance(min(step, until - self.now))
-            for test in self.intents_of(SendHealthCheck)[self._answered :]:
+        end = self.now + ms
+        while self.now < end:
+            self.advance(min(step, end - self.now))
+            for health_check in self.intents_of(SendHealthCheck)[self._answered :]:
                 self._answered += 1
-                if test.machine not in self.silent:
-                    self.machine(test.machine, "tested", test.check_id, why=1)
+                if health_check.machine not in self.silent:
+                    self.machine(health_check.machine, "tested", health_check.check_id, why=1)
             if list_answers and int(self.now / step) % 10 == 0:
                 self.events({"index": self.core.endpoints.index, "updates": []})
 
@@ -298,12 +298,12 @@
     stage.pass_time(HOUR_MS)
     assert stage.ops == ["accept"]
     stage.silent.add(ident)
-    stage.pass_time(1_900.0)  # its last word may be 5 s old
+    stage.pass_time(1_900.0)  # its last message may be 5 s old
     assert stage.ops == ["accept"]
     stage.pass_time(6_000.0)
     assert stage.ops == ["accept", "end"]
     assert not stage.core.requests
-    stage.silent.clear()  # and what it says when it is back is no second end
+    stage.silent.clear()  # an end reported after its return is not forwarded again
     stage.machine(ident, "end", why=16)
     stage.pass_time(60_000.0)
     assert stage.ops == ["accept", "end"]
@@ -324,14 +324,14 @@
     stage.events({"index": 2, "updates": [event(2, member("m-1", phase="Terminating"))]})
     stage.pass_time(60_000.0)
     assert not [intent for intent in stage.intents_of(Offer) if intent.request_id == THIRD]
-    assert stage.ops == ["accept", "accept", "end"]  # the third was refused; what stands runs on
+    assert stage.ops == ["accept", "accept", "end"]  # the third was refused; the running tasks continue
     stage.machine(machine, "end", why=16)
     assert stage.ops[-1] == "end"
     assert stage.sent_to_clients[-1][1]["call"] == CALL
 
 
 def test_a_placer_idle_for_half_a_day_has_not_grown_and_serves() -> None:
-    """Idle: no request, no news but that there is none. Then one comes, and one whose machine is long up."""
+    """For half a day no requests and only empty list answers; then a request and a health check arrive."""
     stage = VirtualTimeStage(*(member(f"m-{number}") for number in range(40)))
     stage.pass_time(60_000.0, step=1_000.0)
     timers, logs = len(stage.core.timers._heap), len(stage.core.log)
@@ -353,52 +353,52 @@
 
 
 def count_entries(core: object) -> int:
-    """How many entries all containers have that the project's own objects below `core` hold."""
-    entries, seen, left = 0, {id(core)}, [core]
-    while left:
-        here = left.pop()
-        inside: list[object] = []
-        if isinstance(here, dict):
-            inside = [*here.keys(), *here.values()]
-        elif isinstance(here, list | tuple | set | deque):
-            inside = list(here)
-        elif type(here).__module__.startswith("kelpfront"):
-            names = {*getattr(here, "__dict__", {})}
-            names |= {name for kind in type(here).__mro__ for name in getattr(kind, "__slots__", ())}
-            inside = [getattr(here, name) for name in names if hasattr(here, name)]
-        entries += len(inside) if isinstance(here, dict | list | set | deque) else 0
-        for one in inside:
-            if id(one) not in seen:
-                seen.add(id(one))
-                left.append(one)
+    """Return the total number of entries of all containers that kelpfront objects below `core` hold."""
+    entries, seen, pending = 0, {id(core)}, [core]
+    while pending:
+        current = pending.pop()
+        children: list[object] = []
+        if isinstance(current, dict):
+            children = [*current.keys(), *current.values()]
+        elif isinstance(current, list | tuple | set | deque):
+            children = list(current)
+        elif type(current).__module__.startswith("kelpfront"):
+            names = {*getattr(current, "__dict__", {})}
+            names |= {name for base in type(current).__mro__ for name in getattr(base, "__slots__", ())}
+            children = [getattr(current, name) for name in names if hasattr(current, name)]
+        entries += len(children) if isinstance(current, dict | list | set | deque) else 0
+        for child in children:
+            if id(child) not in seen:
+                seen.add(id(child))
+                pending.append(child)
     return entries
 
 
 def test_an_idle_placer_does_not_grow_as_its_machines_are_replaced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Machines go and others come, each under a name of its own, thirty times over."""
+    """All 20 machines are replaced thirty times over, each by one with a new name."""
     monkeypatch.setattr(endpoint_table, "MAX_REMEMBERED_REMOVALS", 10)
     stage = VirtualTimeStage(*(member(f"m-{number}") for number in range(20)))
 
-    def replaced(times: int) -> int:
+    def replace_machines(times: int) -> int:
         for _ in range(times):
             index = stage.core.endpoints.index + 1
-            gone, fresh = f"m-{index - 2}", f"m-{index + 18}"
-            update = event(index, member(gone, phase="Gone"), member(fresh, up_since_ms=stage.now))
+            removed, added = f"m-{index - 2}", f"m-{index + 18}"
+            update = event(index, member(removed, phase="Gone"), member(added, up_since_ms=stage.now))
             stage.events({"index": index, "updates": [update]})
             stage.pass_time(1_000.0, step=1_000.0)
         return count_entries(stage.core)
 
-    before = replaced(100)
-    assert replaced(500) <= before * 1.05
+    before = replace_machines(100)
+    assert replace_machines(500) <= before * 1.05
     assert len(stage.core.endpoints.machines) == 20
     stage.place()
     assert stage.ops == ["accept"]
 
 
 async def test_idle_processes_do_not_grow_and_still_serve(tmp_path: Path) -> None:
-    """Two, with nothing to do but to hear of 300 changes. Descriptors and memory are what they were."""
+    """Two processes without requests receive 300 list changes; descriptors and memory do not grow."""
     machine = Machine("m-1")
     await machine.start()
     whole = event(1, member("m-1", machine.address), whole=True)
@@ -410,26 +410,26 @@
         config = config_json(number, 2, *addresses, {"index": 1, "updates": [whole]})
         placers.append(PlacerProcess(f"p{number}", config, tmp_path))
 
-    async def changes(first: int, last: int) -> None:
+    async def report_changes(first: int, last: int) -> None:
         for index in range(first, last):
-            gone = member(f"x-{index - 1}", phase="Gone")
-            service.tell(event(index, gone, member(f"x-{index}", f"127.0.0.1:{9 + index % 2}")))
+            removed = member(f"x-{index - 1}", phase="Gone")
+            service.tell(event(index, removed, member(f"x-{index}", f"127.0.0.1:{9 + index % 2}")))
             await asyncio.sleep(0.01)
-        asks = service.count("answer")
-        await until(lambda: service.count("answer") >= asks + 4)
+        answers = service.count("answer")
+        await until(lambda: service.count("answer") >= answers + 4)
 
     try:
         for placer in placers:
             await placer.start()
         for placer in placers:
             (await ready(placer)).cut()
-        await changes(2, 102)
-        looks = [psutil.Process(placer.pid) for placer in placers]
-        before = [(look.num_fds(), look.memory_info().rss) for look in looks]
-        await changes(102, 302)
-        for look, (files, memory) in zip(looks, before, strict=True):
-            assert look.num_fds() <= files + 2
-            assert look.memory_info().rss <= memory + (4 << 20)
+        await report_changes(2, 102)
+        processes = [psutil.Process(placer.pid) for placer in placers]
+        before = [(process.num_fds(), process.memory_info().rss) for process in processes]
+        await report_changes(102, 302)
+        for process, (descriptors, memory) in zip(processes, before, strict=True):
+            assert process.num_fds() <= descriptors + 2
+            assert process.memory_info().rss <= memory + (4 << 20)
         for placer in placers:
             client = await ready(placer)
             client.say(offer(f"{placer.port:016x}"))
--- a/tests/platform/test_platform_discovery.py
+++ b/tests/platform/test_platform_discovery.py
@@ -1,4 +1,4 @@
-"""The coordinator's list: gaps, restarts, silence, and what a placer does before it has heard of it."""
+"""Tests of the coordinator's endpoint list: gaps, restarts, silence, and a placer without a list."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 from kelpfront.scheduling.events import MachineState
 from kelpfront.timers import Timers
 
-LATER_S = 0.5  # for what must not come
+QUIET_PERIOD_S = 0.5  # time in which nothing may arrive
 CONFIG = platforms.config(member("m-1"))
 
 
 @pytest.fixture
 async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    made = Stage(tmp_path)
-    yield made
-    await made.stop()
+    new_stage = Stage(tmp_path)
+    yield new_stage
+    await new_stage.stop()
 
 
 def apply_answer(table: EndpointTable, index: int, *updates: Json) -> list[int]:
-    """An answer; the numbers of the events that changed something."""
-    changes = []
+    """Apply an answer; return the indexes of the events that changed something."""
+    changed_indexes = []
     for change in table.apply(*parse_events({"index": index, "updates": list(updates)}, CONFIG)):
-        changes.append(change.event.index)
+        changed_indexes.append(change.event.index)
         for machine in change.removed:
             table.machines.pop(machine.id, None)
-    return changes
+    return changed_indexes
 
 
 def table_with_two_machines() -> EndpointTable:
@@ -75,7 +75,7 @@
     ids=["in the middle", "in front", "behind", "all", "numbers go back"],
 )
 def test_a_gap_leads_to_a_request_for_the_complete_list(index: int, updates: list[Json]) -> None:
-    """Guards against a drain that was skipped and never asked for again, as the number had gone on."""
+    """Guards against a missed drain that is never requested again because the index has advanced past it."""
     table = table_with_two_machines()
     apply_answer(table, index, *updates)
     assert table.poll_index == 0
@@ -102,25 +102,25 @@
 def test_whatever_events_are_lost_the_endpoint_table_converges_to_the_services(
     changes: list[tuple[str, str]], data: st.DataObject
 ) -> None:
-    """Answers that leave events out or end early; each is followed by the ask that the table wants."""
+    """Answers omit events or end early; after each, the table is polled with its `poll_index`."""
     history = [event(1, member("m-0"), member("m-1"), whole=True)]
     history += [event(2 + n, member(name, phase=phase)) for n, (name, phase) in enumerate(changes)]
     table = EndpointTable()
     apply_answer(table, 1, history[0])
-    told = 1
-    while told < len(history):
-        told = data.draw(st.integers(told, len(history)))
-        later = history[table.poll_index : told]
+    answer_index = 1
+    while answer_index < len(history):
+        answer_index = data.draw(st.integers(answer_index, len(history)))
+        later = history[table.poll_index : answer_index]
         kept = [update for update in later if table.poll_index == 0 or data.draw(st.integers(0, 3))]
-        apply_answer(table, told, *kept)
-        assert table.poll_index == 0 or table.poll_index <= told
-        if told == len(history):
+        apply_answer(table, answer_index, *kept)
+        assert table.poll_index == 0 or table.poll_index <= answer_index
+        if answer_index == len(history):
             break
     while table.poll_index < len(history):
         apply_answer(table, len(history), *history[table.poll_index :])
-    truth = merge_events(parse_events({"index": len(history), "updates": history}, CONFIG)[1])
+    expected = merge_events(parse_events({"index": len(history), "updates": history}, CONFIG)[1])
     assert {m.id: m.state for m in table.machines.values()} == {
-        entry.endpoint.id: entry.endpoint.state for entry in truth.entries
+        entry.endpoint.id: entry.endpoint.state for entry in expected.entries
     }
 
 
@@ -131,10 +131,10 @@
         event(3, member("m-3"), member("m-4"), whole=True),
         event(4, member("m-3", phase="Gone"), member("m-5")),
     ]
-    found = merge_events(parse_events({"index": 4, "updates": raw}, CONFIG)[1])
-    assert isinstance(found, EndpointEvent)
-    assert (found.index, found.complete) == (4, True)
-    assert [entry.name for entry in found.entries] == ["m-4", "m-5"]
+    merged = merge_events(parse_events({"index": 4, "updates": raw}, CONFIG)[1])
+    assert isinstance(merged, EndpointEvent)
+    assert (merged.index, merged.complete) == (4, True)
+    assert [entry.name for entry in merged.entries] == ["m-4", "m-5"]
 
 
 async def test_a_drain_that_was_left_out_of_an_answer_is_received(stage: Stage) -> None:
@@ -152,11 +152,11 @@
     assert 0 in stage.coordinator.asked
 
 
-# ---- Before there is news ---------------------------------------------------------------------------------
+# ---- Before the first answer ------------------------------------------------------------------------------
 
 
 async def test_clients_are_accepted_when_the_list_has_answered_not_when_it_failed(stage: Stage) -> None:
-    """Guards against offers to machines that drain: one that starts in an outage knows its file alone."""
+    """Guards against offers to draining machines: a placer started in an outage knows only its file."""
     await stage.coordinator.start()
     port = int(stage.coordinator.address.rpartition(":")[2])
     await stage.coordinator.stop()
@@ -192,9 +192,9 @@
 
 
 async def test_a_start_that_finds_its_address_in_use_waits_for_it(stage: Stage) -> None:
-    """The former life looks after its tasks until the longest deadline; the new one may be there already."""
-    former = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-    port = former.sockets[0].getsockname()[1]
+    """A previous process keeps the address until the longest deadline; the new one may start before that."""
+    previous = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
+    port = previous.sockets[0].getsockname()[1]
     await stage.coordinator.start()
     raw = platforms.raw_config(
         member("m-1"), coordinator=stage.coordinator.address, listen=f"127.0.0.1:{port}"
@@ -205,8 +205,8 @@
     await asyncio.sleep(0.1)
     assert not placer.service.port
     assert not placer.task.done()
-    former.close()
-    await former.wait_closed()
+    previous.close()
+    await previous.wait_closed()
     await until(lambda: placer.service.port == port)
 
 
@@ -214,7 +214,7 @@
 
 
 async def test_a_configuration_that_came_during_the_start_is_taken(stage: Stage) -> None:
-    """Guards against a signal that came before it was listened for: the old address has nothing to tell."""
+    """Guards against a SIGHUP lost before its handler was installed; the old address has no events."""
     old, new = Coordinator(), stage.coordinator
     await old.start()
     await new.start()
@@ -242,7 +242,7 @@
     (stage.path / "config.json").write_text(json.dumps(raw))
     os.kill(os.getpid(), signal.SIGHUP)
     await until(lambda: placer.core.endpoints.machines[machine_id("m-1")].state is MachineState.DRAINING)
-    raw["known"] = {"index": 1, "updates": raw["known"]["updates"][:1]}  # an older one takes nothing back
+    raw["known"] = {"index": 1, "updates": raw["known"]["updates"][:1]}  # older: does not undo the drain
     (stage.path / "config.json").write_text(json.dumps(raw))
     os.kill(os.getpid(), signal.SIGHUP)
     await asyncio.sleep(0.1)
@@ -259,7 +259,7 @@
     await machine.start()
     stage.machines["m-1"] = machine
     await stage.coordinator.start()
-    raw = platforms.raw_config(member("m-1", machine.address))  # nobody listens where its coordinator is
+    raw = platforms.raw_config(member("m-1", machine.address))  # nothing listens at the coordinator's address
     placer = stage.placer = Placer(stage.path / "config.json", raw)
     await placer.start()
     client = await placer.client()
@@ -267,16 +267,16 @@
     await ops(client, "accept")
 
 
-# ---- Drains that cross a set-up ---------------------------------------------------------------------------
+# ---- Drains that coincide with a request ------------------------------------------------------------------
 
 
 def receive_drain(stage: Stage, *machines: Machine, phase: str = "Terminating") -> None:
-    """The list's word, heard in this turn of the loop."""
+    """Apply a drain event in the current iteration of the event loop."""
     placer = stage.running
-    number = placer.core.endpoints.index + 1
-    update = event(number, *(member(m.name, m.address, phase) for m in machines))
+    index = placer.core.endpoints.index + 1
+    update = event(index, *(member(m.name, m.address, phase) for m in machines))
     placer.core.apply_endpoint_events(
-        placer.now(), *parse_events({"index": number, "updates": [update]}, placer.service._config)
+        placer.now(), *parse_events({"index": index, "updates": [update]}, placer.service._config)
     )
     stage.coordinator.events.append(update)
 
@@ -307,7 +307,7 @@
 async def test_a_drain_received_while_the_connection_comes_up_stops_the_offer(
     stage: Stage, monkeypatch: pytest.MonkeyPatch, phase: str
 ) -> None:
-    """The connection comes up after it; the set-up goes to another machine, as it has not run."""
+    """The connection opens after the drain; the request goes to another machine, as it was not executed."""
     info = platforms.info()
     info["Permissions"]["ConnectTimeoutMs"] = 10_000.0
     machine, other = Machine("m-1"), Machine("m-2")
@@ -341,17 +341,17 @@
 
 
 async def test_events_of_both_addresses_around_a_move_are_applied(stage: Stage) -> None:
-    """The old one tells of a drain as the signal comes, the new one of the next; then the old one is mute."""
+    """The old address reports a drain as SIGHUP arrives, the new one the next; then the old one is silent."""
     first, second = Machine("m-1"), Machine("m-2")
     placer = await stage.start(first, second)
     new = Coordinator()
     await new.start()
     raw = json.loads((stage.path / "config.json").read_text())
     (stage.path / "config.json").write_text(json.dumps(raw | {"coordinator": new.address}))
-    told = [event(2, member("m-1", first.address, "Terminating"))]
-    stage.coordinator.events += told
+    drain = [event(2, member("m-1", first.address, "Terminating"))]
+    stage.coordinator.events += drain
     os.kill(os.getpid(), signal.SIGHUP)
-    new.events += [*told, event(3, member("m-2", second.address, "Terminating"))]
+    new.events += [*drain, event(3, member("m-2", second.address, "Terminating"))]
     await until(lambda: placer.core.endpoints.index == 3)
     stage.coordinator.mute = True
     new.events.append(event(4, member("m-2", second.address)))
@@ -364,13 +364,13 @@
     await new.stop()
 
 
-# ---- A list that is silent for long -----------------------------------------------------------------------
+# ---- Stale lists ------------------------------------------------------------------------------------------
 
 
 async def test_nothing_is_sent_while_a_stale_endpoint_list_may_hide_a_drain(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a drain that counts as told 7 s after an outage began, though none could hear of it."""
+    """Guards against offers after a drain that counts as reported 7 s after an outage began."""
     monkeypatch.setattr(discovery_freshness, "DISCOVERY_STALE_MS", 1_500.0)
     machine = Machine("m-1")
     placer = await stage.start(machine)
@@ -380,30 +380,30 @@
     client = await placer.client()
     client.say(offer(left="20000", cls="once"))
     await until(lambda: placer.core.requests.unanswered_count)
-    await asyncio.sleep(LATER_S)
+    await asyncio.sleep(QUIET_PERIOD_S)
     assert machine.offers() == []
-    stage.coordinator.mute = False  # nothing new: no machine drains
+    stage.coordinator.mute = False  # the list is unchanged: no machine drains
     await ops(client, "accept")
     assert not placer.core.freshness.is_stale
 
 
 @given(st.lists(st.floats(1.0, 30_000.0), max_size=30))
 def test_each_long_silence_of_discovery_is_reported_once_and_no_short_one(gaps: list[float]) -> None:
-    told: list[tuple[float, str]] = []
+    submitted: list[tuple[float, str]] = []
     timers = Timers()
-    watch = discovery_freshness.DiscoveryFreshness(
-        timers, lambda now, what: told.append((now, type(what).__name__))
+    freshness = discovery_freshness.DiscoveryFreshness(
+        timers, lambda now, submitted_event: submitted.append((now, type(submitted_event).__name__))
     )
     now = 0.0
-    wanted: list[tuple[float, str]] = []
+    expected: list[tuple[float, str]] = []
     for gap in [0.0, *gaps]:
         if gap >= DISCOVERY_STALE_MS:
-            wanted += [(now + DISCOVERY_STALE_MS, "EndpointListStale"), (now + gap, "EndpointList")]
+            expected += [(now + DISCOVERY_STALE_MS, "EndpointListStale"), (now + gap, "EndpointList")]
         end = now + gap
         while timers.next() <= end:
             now = timers.next()
             timers.run(now)
         now = end
-        watch.on_answer(now)
-    assert [what for _, what in told] == [what for _, what in wanted]
-    assert [at for at, _ in told] == pytest.approx([at for at, _ in wanted])
+        freshness.on_answer(now)
+    assert [name for _, name in submitted] == [name for _, name in expected]
+    assert [at for at, _ in submitted] == pytest.approx([at for at, _ in expected])
--- a/tests/platform/test_platform_fragments.py
+++ b/tests/platform/test_platform_fragments.py
@@ -1,4 +1,4 @@
-"""Requests that come in pieces, and requests that no machine answers: rows of docs/design/platform.md."""
+"""Tests of fragmented requests and of requests that no machine answers, as in docs/design/platform.md."""
 
 from __future__ import annotations
 
@@ -26,40 +26,40 @@
 from kelpfront.platform.messages import RETRYABLE_CAUSES
 
 SECOND = "00000000000000a2"
-LATER_S = 0.5  # for what must not come
+QUIET_PERIOD_S = 0.5  # time in which nothing further may arrive
 CLASSES = pytest.mark.parametrize("cls", ["easy", "keyed", "once"])
 DESC = "s=pi\u00e8ce \u2603 \U0001f980\r\n"
 
 
 @pytest.fixture
 async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    made = Stage(tmp_path)
-    yield made
-    await made.stop()
+    new_stage = Stage(tmp_path)
+    yield new_stage
+    await new_stage.stop()
 
 
 def raw_offer(call: str = CALL, **changes: str) -> bytes:
-    """A set-up whose description has letters of two, three and four bytes."""
+    """Return an offer whose description has characters of two, three and four bytes."""
     return json.dumps(json.loads(offer(call, desc=DESC, **changes)), ensure_ascii=False).encode() + b"\n"
 
 
-async def assert_silent(peer: Peer, placer_s: float = LATER_S) -> None:
-    """Nothing more comes there: neither a line nor the end of the connection."""
+async def assert_silent(peer: Peer, quiet_s: float = QUIET_PERIOD_S) -> None:
+    """Assert that the peer receives nothing more, neither a line nor the end of the stream."""
     with pytest.raises(TimeoutError):
-        async with asyncio.timeout(placer_s):
+        async with asyncio.timeout(quiet_s):
             await peer.reader.read(1)
 
 
-# ---- In pieces --------------------------------------------------------------------------------------------
+# ---- Fragments --------------------------------------------------------------------------------------------
 
 
 async def test_two_requests_that_arrive_byte_by_byte_at_the_same_time_are_both_read(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     first, second = await placer.client(), await placer.client()
-    for one, other in zip(raw_offer(), raw_offer(SECOND), strict=True):
-        first.say(bytes([one]))
-        second.say(bytes([other]))
+    for first_byte, second_byte in zip(raw_offer(), raw_offer(SECOND), strict=True):
+        first.say(bytes([first_byte]))
+        second.say(bytes([second_byte]))
         await asyncio.sleep(0.001)
     for peer, call in ((first, CALL), (second, SECOND)):
         (accepted,) = await ops(peer, "accept")
@@ -68,7 +68,7 @@
 
 
 async def test_a_request_is_read_wherever_it_was_split_in_two(stage: Stage) -> None:
-    """Each cut, letters of several bytes among them; what came whole in front of it is answered meanwhile."""
+    """Splits at every third byte, also within characters; the request before the split one is answered."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
@@ -88,30 +88,30 @@
     assert len(machine.offers()) == len(cuts)
 
 
-@pytest.mark.parametrize("spoke", [True, False], ids=["spoke long ago", "opened long ago"])
-async def test_a_line_just_begun_does_not_count_as_one_that_stopped(stage: Stage, *, spoke: bool) -> None:
-    """Guards against a connection closed between two pieces of a set-up: it had been idle for 2 s."""
+@pytest.mark.parametrize("has_sent", [True, False], ids=["spoke long ago", "opened long ago"])
+async def test_a_line_just_begun_does_not_count_as_one_that_stopped(stage: Stage, *, has_sent: bool) -> None:
+    """Guards against closing a connection between two fragments of a request because it was idle for 2 s."""
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
-    if spoke:
+    if has_sent:
         client.say(line("test", "00000000000000f0", why=0))
         await ops(client, "tested")
     await until(lambda: placer.service.clients.connections)
-    (held,) = placer.service.clients.connections.values()
-    held.opened_at -= (
-        10.0 if spoke else idle_connections.NO_VALID_MESSAGE_S + 0.1
-    )  # as far as sweeps let it come
-    held.last_valid_at -= 5.0
+    (connection,) = placer.service.clients.connections.values()
+    connection.opened_at -= (
+        10.0 if has_sent else idle_connections.NO_VALID_MESSAGE_S + 0.1
+    )  # the longest that a sweep allows
+    connection.last_valid_at -= 5.0
     data = raw_offer()
     client.say(data[:100])
-    await until(lambda: held.partial_line is not None)
+    await until(lambda: connection.partial_line is not None)
     placer.service.clients.sweep()
     client.say(data[100:])
     await ops(client, "accept")
 
 
 async def test_the_timeout_of_a_request_counts_from_its_last_byte(tmp_path: Path) -> None:
-    """With processes. Its pieces are 2.2 s apart, which is more than it has: 2 s."""
+    """With processes. The fragments are 2.2 s apart, which exceeds the request's time limit of 2 s."""
     machine, service = Machine("m-1"), ListService()
     await machine.start()
     whole = event(1, member("m-1", machine.address), whole=True)
@@ -147,14 +147,14 @@
     placer = await stage.start(machine)
     client, other = await placer.client(), await placer.client()
     client.say(raw_offer()[:-1])  # all but the line feed
-    await until(lambda: any(held.partial_line for held in placer.service.clients.connections.values()))
+    await until(lambda: any(opened.partial_line for opened in placer.service.clients.connections.values()))
     if how == "resets":
         sock = client.writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.cut()
     else:
         client.writer.write_eof()
-        assert await client.read() is None  # closed, with no answer to what never was a set-up
+        assert await client.read() is None  # closed without an answer, since the request was never complete
     await until(lambda: len(placer.service.clients.connections) == 1)
     other.say(offer(SECOND))
     await ops(other, "accept")
@@ -162,14 +162,14 @@
     assert placer.core.counters.requests == 1
 
 
-@pytest.mark.parametrize("spoke", [True, False])
+@pytest.mark.parametrize("has_sent", [True, False])
 async def test_a_connection_that_stopped_within_a_line_is_closed(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch, *, spoke: bool
+    stage: Stage, monkeypatch: pytest.MonkeyPatch, *, has_sent: bool
 ) -> None:
-    monkeypatch.setattr(idle_connections, "FRAGMENT_S" if spoke else "FIRST_LINE_S", 0.3)
+    monkeypatch.setattr(idle_connections, "FRAGMENT_S" if has_sent else "FIRST_LINE_S", 0.3)
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
-    if spoke:
+    if has_sent:
         client.say(line("test", "00000000000000f0", why=0))
         await ops(client, "tested")
     client.say(raw_offer()[:50])
@@ -184,9 +184,10 @@
 def test_a_request_that_no_machine_answers_has_one_answer_before_its_client_gives_up(
     cls: str, machines: str
 ) -> None:
-    """In virtual time. What may have run is not told as harmless.
+    """In virtual time. A request that may have been executed is not answered with a retryable cause.
 
-    What waits for a connection to the end is told as failed, though nothing ran: priced as refused.
+    One that waits for a connection to the end is answered as failed, though nothing was executed; the cost is
+    that of a refusal.
     """
     phase = "Terminating" if machines == "none ready" else "Ready"
     stage = CoreStage(*(member(f"m-{number}", phase=phase) for number in range(3)))
@@ -209,7 +210,7 @@
 
 
 async def test_a_placer_whose_machines_are_all_unresponsive_answers_each_request_once(stage: Stage) -> None:
-    """They take connections and all that is sent, tests too, and say nothing."""
+    """The machines accept connections and all messages, also health checks, but never answer."""
 
     async def silent(_machine: Machine, peer: Peer, message: Json) -> None:
         pass
--- a/tests/platform/test_platform_kills.py
+++ b/tests/platform/test_platform_kills.py
@@ -1,4 +1,4 @@
-"""Kills right behind an accept, of a machine's process and of a placer's: rows of docs/design/platform.md."""
+"""Tests of machines and placers killed right after an acceptance, as in docs/design/platform.md."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from kelpfront.lab.platform import CALL, Machine, event, line, member, offer
 
 CLASSES = pytest.mark.parametrize("cls", ["easy", "keyed", "once"])
-OWED_S = 8.0  # in which the end of what stood has to be told
-LATER_S = 0.5  # for what must not come
+END_REPORT_LIMIT_S = 8.0  # within which the end of an accepted task has to be reported
+QUIET_PERIOD_S = 0.5  # time in which nothing further may arrive
 
-# Accepts the first offer and is gone at once: before it could read a word more, or end a connection in order.
-DIES_BEHIND_ITS_ACCEPT = """
+# A machine that accepts the first offer and is killed before it reads another byte or closes a connection.
+MACHINE_KILLED_AFTER_ACCEPT = """
 import asyncio, os, signal
 from kelpfront.lab.platform import Machine, accepts, line
 
@@ -46,21 +46,21 @@
 
 @pytest.fixture
 async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    made = Stage(tmp_path)
-    yield made
-    await made.stop()
+    new_stage = Stage(tmp_path)
+    yield new_stage
+    await new_stage.stop()
 
 
 @CLASSES
 async def test_the_task_of_a_machine_killed_right_after_its_acceptance_is_reported_as_ended(
     stage: Stage, cls: str
 ) -> None:
-    """A process. Its task stood and is over with it: the client is told once, and nothing starts it again."""
-    dies = await asyncio.create_subprocess_exec(
-        *bounded(512, 0, "-c", DIES_BEHIND_ITS_ACCEPT), stdout=asyncio.subprocess.PIPE
+    """With a machine process. Its task ends with it; the client is notified once, and no retry follows."""
+    process = await asyncio.create_subprocess_exec(
+        *bounded(512, 0, "-c", MACHINE_KILLED_AFTER_ACCEPT), stdout=asyncio.subprocess.PIPE
     )
-    assert dies.stdout is not None
-    address = (await dies.stdout.readline()).decode().strip()
+    assert process.stdout is not None
+    address = (await process.stdout.readline()).decode().strip()
     await stage.coordinator.start()
     raw = raw_config(member("m-1", address), coordinator=stage.coordinator.address)
     placer = stage.placer = Placer(stage.path / "config.json", raw)
@@ -69,28 +69,28 @@
     client.say(offer(cls=cls, left="2000"))
     (accepted,) = await ops(client, "accept")
     assert accepted["desc"] == "here"
-    await dies.wait()
-    began = time.monotonic()
+    await process.wait()
+    killed_at = time.monotonic()
     (ended,) = await ops(client, "end")
     assert ended["why"] == 41
-    assert time.monotonic() - began < OWED_S
+    assert time.monotonic() - killed_at < END_REPORT_LIMIT_S
     other = Machine("m-2")
     await other.start()
     stage.machines["m-2"] = other
     stage.coordinator.events.append(event(2, member("m-2", other.address)))
     await until(lambda: placer.core.endpoints.index == 2)
-    await asyncio.sleep(LATER_S)
+    await asyncio.sleep(QUIET_PERIOD_S)
     assert other.offers() == []
     assert not placer.core.requests
     assert placer.core.counters.tasks_lost == 1
 
 
 @CLASSES
-@pytest.mark.parametrize("next_one", ["its next life", "another placer"])
+@pytest.mark.parametrize("successor", ["its next life", "another placer"])
 async def test_a_placer_killed_right_after_an_acceptance_leaves_a_task_that_is_adopted(
-    tmp_path: Path, cls: str, next_one: str
+    tmp_path: Path, cls: str, successor: str
 ) -> None:
-    """Two processes. Whoever is handed the task hears of its end; nobody starts it a second time."""
+    """With two placer processes. The placer that adopts the task receives its end, and no retry follows."""
     machine, service = Machine("m-1"), ListService()
     await machine.start()
     whole = event(1, member("m-1", machine.address), whole=True)
@@ -110,20 +110,20 @@
         await ops(client, "accept")
         await first.kill()
         assert await client.read() is None
-        if next_one == "its next life":
+        if successor == "its next life":
             await first.start()
             other = first
         client = await ready(other)
         opened = machine.opened
         client.say(offer(cls=cls, left="4294967", extras="cores:1;memory:2;service:b4;at:m-1"))
-        await until(lambda: machine.opened > opened)  # to hear of its end
-        await asyncio.sleep(LATER_S)
+        await until(lambda: machine.opened > opened)  # to receive the end of the task
+        await asyncio.sleep(QUIET_PERIOD_S)
         assert len(machine.offers()) == 1
         machine.peers[-1].say(line("end", CALL, why=16))
         (ended,) = await ops(client, "end")
         assert (ended["call"], ended["why"]) == (CALL, 16)
         client.say(line("test", "00000000000000f0", why=0))
-        await ops(client, "tested")  # no second one
+        await ops(client, "tested")  # no second end precedes it
         assert other.alive
     finally:
         for placer in placers:
--- a/tests/platform/test_platform_log_lines.py
+++ b/tests/platform/test_platform_log_lines.py
@@ -1,4 +1,4 @@
-"""What a placer in service logs: records, counters, and the operators' page that lists them."""
+"""Tests of a placer's log records and counters, and of the operators' page that lists them."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def logged_events() -> set[str]:
-    """The events of all calls of a log in the package, and of all records of the core."""
+    """Return the event names of all log calls in the package and of all log records of the core."""
     events = {record.event for record in LogRecord.__subclasses__()}
     for path in (ROOT / "kelpfront/platform").glob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
--- a/tests/platform/test_platform_outages.py
+++ b/tests/platform/test_platform_outages.py
@@ -1,4 +1,4 @@
-"""Placers as processes, with faults between them and what they talk to."""
+"""Tests of placer processes under faults of the services that they depend on."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from kelpfront.lab.fleet.settings import config_json, whole_list
 from kelpfront.lab.platform import Json, Machine, Peer, accepts, event, line, member, offer
 
-READY_S, SHARE = 10.0, 0.2  # of the process's own time, at a fifth of a core
+READY_S, CORE_SHARE = 10.0, 0.2  # time limit to readiness, if the process has a fifth of a core
 
 
 @pytest.fixture
 async def service() -> AsyncIterator[ListService]:
-    its = ListService()
-    await its.start()
-    yield its
-    await its.stop()
+    list_service = ListService()
+    await list_service.start()
+    yield list_service
+    await list_service.stop()
 
 
 @pytest.mark.parametrize("state", ["up", "silent", "slow", "down"])
@@ -36,7 +36,7 @@
 ) -> None:
     service.updates = [whole_list(1, 400)]
     if state == "silent":
-        service.rate = 0.001  # an answer each 1,000 s
+        service.rate = 0.001  # one answer per 1,000 s
     elif state == "slow":
         service.rate = 0.5
     elif state == "down":
@@ -50,7 +50,7 @@
         await placer.start()
         await ready(placer)
         times = psutil.Process(placer.pid).cpu_times()
-        assert (times.user + times.system) / SHARE < READY_S
+        assert (times.user + times.system) / CORE_SHARE < READY_S
         assert await placer.end() == 0
     finally:
         await placer.kill()
@@ -58,15 +58,15 @@
 
 @pytest.fixture
 async def loaded(service: ListService, tmp_path: Path) -> AsyncIterator[PlacersUnderLoad]:
-    made = PlacersUnderLoad(tmp_path, service)
-    yield made
-    await made.stop()
+    placers = PlacersUnderLoad(tmp_path, service)
+    yield placers
+    await placers.stop()
 
 
 async def test_placers_restarted_in_a_discovery_outage_offer_nothing_to_a_draining_machine(
     loaded: PlacersUnderLoad,
 ) -> None:
-    """Their files know of no drain. It is notified when the list is back, two of three placers restarted."""
+    """The files lack the drain, which is reported after the outage; two of three placers were restarted."""
     await loaded.start()
     service, restarted = loaded.service, loaded.placers[:2]
     await service.stop()
@@ -87,30 +87,30 @@
 
 
 class Client:
-    """An client on one connection: what it asked, and all that it was told, by call."""
+    """A client on one connection: its request ids, and the messages received for each."""
 
     def __init__(self, peer: Peer, first: int) -> None:
         self.peer, self.number = peer, first
-        self.asked: list[str] = []
-        self.told: dict[str, list[str]] = {}
+        self.request_ids: list[str] = []
+        self.received: dict[str, list[str]] = {}
         self.reading = asyncio.create_task(self._read())
 
     async def _read(self) -> None:
         while (message := await self.peer.read()) is not None:
-            self.told.setdefault(message["call"], []).append(message["op"])
+            self.received.setdefault(message["call"], []).append(message["op"])
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.number += 1
-        self.asked.append(f"{self.number:016x}")
-        self.peer.say(offer(self.asked[-1], cls=("easy", "keyed", "once")[self.number % 3]))
+        self.request_ids.append(f"{self.number:016x}")
+        self.peer.say(offer(self.request_ids[-1], cls=("easy", "keyed", "once")[self.number % 3]))
 
     @property
     def answered(self) -> bool:
-        return all(call in self.told for call in self.asked)
+        return all(call in self.received for call in self.request_ids)
 
 
 class CountingMachines:
-    """Machines that accept what they are offered after 30 ms, end it after 150 ms, and count offers by id."""
+    """Machines that accept each offer after 30 ms, end it after 150 ms, and count offers by request id."""
 
     def __init__(self, count: int) -> None:
         self.starts: dict[str, int] = {}
@@ -128,18 +128,18 @@
 
 
 async def three_incarnations(placer: PlacerProcess, first: int, clients: list[Client]) -> None:
-    """Starts and ends the placer three times; its client goes on for 0.6 s after each SIGTERM."""
+    """Start and stop the placer three times; its client sends requests for 0.6 s after each SIGTERM."""
     for incarnation in range(3):
         await placer.start()
         client = Client(await ready(placer), first + 10_000 * incarnation)
         clients.append(client)
         for _ in range(40):
-            client.ask()
+            client.send_request()
             await asyncio.sleep(0.01)
         ending = asyncio.create_task(placer.end())
         ends_at = time.monotonic() + 0.6
         while time.monotonic() < ends_at:
-            client.ask()
+            client.send_request()
             await asyncio.sleep(0.01)
         assert await ending == 0
         await client.reading
@@ -149,7 +149,7 @@
 async def test_restarts_under_load_answer_each_request_once_and_start_nothing_twice(
     service: ListService, tmp_path: Path
 ) -> None:
-    """Three lives of two placers each. Clients go on for 0.6 s after SIGTERM: they do not know of it yet."""
+    """Two placers with three incarnations each. Clients, not yet notified, go on for 0.6 s after SIGTERM."""
     counting = CountingMachines(3)
     for machine in counting.machines:
         await machine.start()
@@ -170,10 +170,10 @@
             await placer.kill()
         for machine in counting.machines:
             machine.die()
-    asked = [call for client in clients for call in client.asked]
-    told = {call: ops for client in clients for call, ops in client.told.items()}
-    assert len(asked) > 300
-    assert {told[call][0] for call in asked} <= {"accept", "end"}
-    assert all(ops == ["end"] or ops == ["accept", "end"] or ops == ["accept"] for ops in told.values())
-    assert sum(told[call][0] == "accept" for call in asked) > 0.9 * len(asked)
-    assert [call for call in asked if counting.starts.get(call, 0) > 1] == []
+    requested = [call for client in clients for call in client.request_ids]
+    received = {call: ops for client in clients for call, ops in client.received.items()}
+    assert len(requested) > 300
+    assert {received[call][0] for call in requested} <= {"accept", "end"}
+    assert all(ops == ["end"] or ops == ["accept", "end"] or ops == ["accept"] for ops in received.values())
+    assert sum(received[call][0] == "accept" for call in requested) > 0.9 * len(requested)
+    assert [call for call in requested if counting.starts.get(call, 0) > 1] == []
--- a/tests/platform/test_platform_process.py
+++ b/tests/platform/test_platform_process.py
@@ -1,4 +1,4 @@
-"""The placer in service as the deploy file starts it: one process, and what that process may not do."""
+"""Tests the placer process as the deploy file starts it, and that it does nothing a platform forbids."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from kelpfront.lab.platform import Coordinator, Json, Machine, Peer, event, member, offer
 
 ROOT = Path(__file__).parents[2]
-# Put in front of the program by PYTHONPATH. It writes down what the program does that a platform may refuse.
-WATCH = """
+# A sitecustomize module, loaded through PYTHONPATH, that records operations which a platform may forbid.
+AUDIT_MODULE = """
 import os, sys
 _seen = os.open(os.environ["WATCH_FILE"], os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o600)
 _REFUSED = ("subprocess.", "os.fork", "os.exec", "os.posix_spawn", "os.spawn", "os.system", "pty.")
@@ -45,9 +45,9 @@
 """
 
 
-def seen(path: Path, kind: str) -> list[str]:
+def recorded(path: Path, kind: str) -> list[str]:
     lines = (line.partition(" ") for line in path.read_text().splitlines())
-    return [rest for found, _, rest in lines if found == kind]
+    return [rest for line_kind, _, rest in lines if line_kind == kind]
 
 
 def write_config(path: Path, machine: Machine, port: int, coordinator: Coordinator) -> None:
@@ -62,18 +62,18 @@
 async def test_the_run_command_ends_in_one_process_that_starts_none_and_writes_no_files(
     tmp_path: Path,
 ) -> None:
-    """Guards against parts that a platform refuses: further processes, Unix sockets, files."""
+    """Guards against features that a platform forbids: further processes, Unix sockets, written files."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     assert run.startswith("exec .venv/bin/python ")
-    watch = tmp_path / "watch"
-    watch.mkdir()
-    (watch / "sitecustomize.py").write_text(WATCH)
+    audit_path = tmp_path / "watch"
+    audit_path.mkdir()
+    (audit_path / "sitecustomize.py").write_text(AUDIT_MODULE)
     machine, first, second = Machine("m-1"), Coordinator(), Coordinator()
     for peer in (machine, first, second):
         await peer.start()
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        port = probe.getsockname()[1]
     config = tmp_path / "config.json"
     write_config(config, machine, port, first)
     process = await asyncio.create_subprocess_exec(
@@ -82,7 +82,7 @@
         run.replace(".venv/bin/python", sys.executable),
         cwd=ROOT,
         env=os.environ
-        | {"LB_CONFIG": str(config), "PYTHONPATH": str(watch), "WATCH_FILE": str(tmp_path / "seen")},
+        | {"LB_CONFIG": str(config), "PYTHONPATH": str(audit_path), "WATCH_FILE": str(tmp_path / "seen")},
         stderr=asyncio.subprocess.PIPE,
     )
     try:
@@ -113,10 +113,10 @@
         machine.die()
         await first.stop()
         await second.stop()
-    noted = tmp_path / "seen"
-    assert seen(noted, "process") == []
-    assert seen(noted, "write") == []
-    assert [what.split()[0] for what in seen(noted, "bind")] == [str(int(socket.AF_INET))]
-    assert {what.split()[0] for what in seen(noted, "connect")} == {str(int(socket.AF_INET))}
-    code = (sys.prefix, sys.base_prefix, str(ROOT / "kelpfront"), str(watch), "/proc/self/")
-    assert {path for path in seen(noted, "read") if not path.startswith(code)} == {str(config)}
+    record = tmp_path / "seen"
+    assert recorded(record, "process") == []
+    assert recorded(record, "write") == []
+    assert [what.split()[0] for what in recorded(record, "bind")] == [str(int(socket.AF_INET))]
+    assert {what.split()[0] for what in recorded(record, "connect")} == {str(int(socket.AF_INET))}
+    code_paths = (sys.prefix, sys.base_prefix, str(ROOT / "kelpfront"), str(audit_path), "/proc/self/")
+    assert {path for path in recorded(record, "read") if not path.startswith(code_paths)} == {str(config)}
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""Any customer's configuration is either taken whole or refused in one line that names the place."""
+"""Tests that a configuration is either accepted completely or rejected in one line that names the key."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from kelpfront.scheduling.scheduler import Scheduler
 
 NOW = 1_790_000_000_000.0
-JUNK: list[Any] = [
+INVALID_VALUES: list[Any] = [
     None,
     True,
     -1,
@@ -48,42 +48,42 @@
 
 @pytest.fixture
 async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    made = Stage(tmp_path)
-    yield made
-    await made.stop()
+    new_stage = Stage(tmp_path)
+    yield new_stage
+    await new_stage.stop()
 
 
-def places(value: Any, at: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """The path of each value in it."""
+def key_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+    """Return the path of each nested value."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [at, *(path for key, item in inner for path in places(item, (*at, key)))]
+    return [prefix, *(path for key, item in inner for path in key_paths(item, (*prefix, key)))]
 
 
 RAW = platforms.raw_config(member("m-1"), member("m-2"))
-PLACES = [path for path in places(RAW) if path]
+KEY_PATHS = [path for path in key_paths(RAW) if path]
 
 
-def changed(path: tuple[Any, ...], junk: Any) -> Json:
-    """The configuration with another value at one place; `...` for none."""
+def with_value(path: tuple[Any, ...], value: Any) -> Json:
+    """Return the configuration with another value at `path`; `...` deletes the key."""
     raw = copy.deepcopy(RAW)
-    holder: Any = raw
+    parent: Any = raw
     for key in path[:-1]:
-        holder = holder[key]
-    if junk is not ...:
-        holder[path[-1]] = junk
+        parent = parent[key]
+    if value is not ...:
+        parent[path[-1]] = value
     else:
-        del holder[path[-1]]
+        del parent[path[-1]]
     return raw
 
 
-def start_with(raw: Json) -> str:
-    """What a start says of it; where it says nothing, a task under it is answered."""
+def startup_error(raw: Json) -> str:
+    """Return the error of a start with `raw`; without an error, assert that a request is answered."""
     try:
-        its = config_of(raw)
-        index, events = parse_events(its.known, its)
+        parsed = config_of(raw)
+        index, events = parse_events(parsed.known, parsed)
     except (ConfigError, InvalidEventError) as error:
         return str(error)
-    core, now = PlacerCore(its, Scheduler(its.settings, its.seed)), NOW
+    core, now = PlacerCore(parsed, Scheduler(parsed.settings, parsed.seed)), NOW
     core.apply_endpoint_events(now, index, events)
     core.sessions.open(now, 1, "127.0.0.5")
     core.on_client_message(now, 1, decode(offer()))
@@ -95,24 +95,24 @@
     return ""
 
 
-@pytest.mark.parametrize("path", PLACES, ids=lambda path: ".".join(map(str, path)))
+@pytest.mark.parametrize("path", KEY_PATHS, ids=lambda path: ".".join(map(str, path)))
 def test_an_invalid_configuration_ends_the_start_with_one_line(path: tuple[Any, ...]) -> None:
-    """Guards against a traceback, or a start with half of a configuration, on another customer's settings."""
+    """Guards against a traceback, or a start with a partly applied configuration, on unusual settings."""
     names = [str(key) for key in path if isinstance(key, str)] + ["m-1", "m-2"]
-    for junk in (*JUNK, ...):
-        said = start_with(changed(path, junk))
-        assert "\n" not in said
-        assert not said or any(name in said for name in names), (junk, said)
+    for value in (*INVALID_VALUES, ...):
+        error = startup_error(with_value(path, value))
+        assert "\n" not in error
+        assert not error or any(name in error for name in names), (value, error)
 
 
 @pytest.mark.parametrize("section", sorted(RAW))
 def test_a_section_that_is_missing_is_named_or_has_a_default(section: str) -> None:
-    said = start_with(changed((section,), ...))
-    assert not said or section in said or "Zones" in said
+    error = startup_error(with_value((section,), ...))
+    assert not error or section in error or "Zones" in error
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ("", "not JSON"),
         ("[" * 200_000, "not JSON"),
@@ -123,7 +123,7 @@
     ],
 )
 def test_a_file_that_is_no_configuration_gives_one_line_and_exit_code_2(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, said: str
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str, message: str
 ) -> None:
     path = tmp_path / "config.json"
     path.write_bytes(text.encode("latin-1"))
@@ -135,20 +135,20 @@
     err = capsys.readouterr().err
     assert err.count("\n") == 1
     assert str(path) in err
-    assert said in err
+    assert message in err
     assert len(err) < 1_000
 
 
 async def test_a_new_configuration_that_cannot_be_used_changes_nothing(stage: Stage) -> None:
-    """In service the last good one stays in force, and the log says so; none is taken by half."""
+    """A running placer keeps its last valid configuration; an invalid one is not applied in part."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     path = stage.path / "config.json"
     raw = json.loads(path.read_text())
     index = placer.core.endpoints.index
-    drained = event(index + 1, member("m-1", machine.address, "Terminating"))
-    known = {"index": index + 1, "updates": [*raw["known"]["updates"], drained]}
-    spoilt: list[Json] = [
+    drain = event(index + 1, member("m-1", machine.address, "Terminating"))
+    known = {"index": index + 1, "updates": [*raw["known"]["updates"], drain]}
+    invalid_configs: list[Json] = [
         raw | {"coordinator": "127.0.0.1:2", "known": known, "settings": {}},
         raw | {"coordinator": "nowhere", "known": known},
         raw | {"coordinator": "127.0.0.1:2", "known": {"index": "2", "updates": known["updates"]}},
@@ -158,8 +158,8 @@
             "known": {"index": 2, "updates": [*known["updates"], {"index": -1}]},
         },
     ]
-    for number, one in enumerate(spoilt):
-        path.write_text(json.dumps(one))
+    for number, invalid in enumerate(invalid_configs):
+        path.write_text(json.dumps(invalid))
         os.kill(os.getpid(), signal.SIGHUP)
         client = await placer.client()
         client.say(offer(f"{number:016x}"))
--- a/tests/platform/test_platform_sockets.py
+++ b/tests/platform/test_platform_sockets.py
@@ -1,4 +1,4 @@
-"""The placer in service on loopback, among scripted clients, machines and a coordinator."""
+"""Tests of a placer on loopback sockets, with scripted clients, machines and a coordinator."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 @pytest.fixture
 async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    made = Stage(tmp_path)
-    yield made
-    await made.stop()
+    new_stage = Stage(tmp_path)
+    yield new_stage
+    await new_stage.stop()
 
 
 async def test_a_task_from_its_request_to_its_end(stage: Stage) -> None:
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b"\x00\xff\xfe noise\n",
         b'{"op":"accept","call":"00000000000000a1","with":{}}\n',
@@ -58,13 +58,13 @@
     ],
     ids=["noise", "no description", "unending", "stops short"],
 )
-async def test_a_malformed_answer_harms_only_its_own_request(stage: Stage, spoilt: bytes) -> None:
+async def test_a_malformed_answer_harms_only_its_own_request(stage: Stage, malformed: bytes) -> None:
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] != "offer":
             return
         if message["call"] == CALL:
             await until(lambda: len(machine.offers()) == 2)
-            peer.say(spoilt)
+            peer.say(malformed)
             peer.writer.close()
         else:
             await until(lambda: not any(m["call"] == CALL for m in machine.seen) or machine.opened == 2)
@@ -80,29 +80,29 @@
 
 
 async def test_answers_to_clients_do_not_wait_for_acknowledgements(stage: Stage) -> None:
-    """Guards against 40 ms on every second answer: Nagle's algorithm against a delayed ACK."""
+    """Guards against a delay of 40 ms on every second answer, due to Nagle's algorithm and delayed ACKs."""
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
-    (held,) = placer.service.clients.connections.values()
-    assert held.writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+    (connection,) = placer.service.clients.connections.values()
+    assert connection.writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
 async def test_hundreds_of_invalid_requests_do_not_keep_a_client_waiting(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    bad = await placer.client()
-    bad.say(b"".join(offer(f"{n:016x}", left="-1") for n in range(1000, 3000)))
+    invalid_client = await placer.client()
+    invalid_client.say(b"".join(offer(f"{n:016x}", left="-1") for n in range(1000, 3000)))
     withdrawn = await placer.client()
     for n in range(3000, 3300):
         withdrawn.say(offer(f"{n:016x}") + line("end", f"{n:016x}", why=16))
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
-    assert len(await ops(bad, *["end"] * 2000)) == 2000
+    assert len(await ops(invalid_client, *["end"] * 2000)) == 2000
 
 
-async def test_a_machine_that_closes_idle_connections_is_not_written_to_on_them(stage: Stage) -> None:
+async def test_nothing_is_sent_on_connections_that_the_machine_would_close_as_idle(stage: Stage) -> None:
     info = platforms.info()
     info["Permissions"] = info["Permissions"] | {"ConnIdleMs": 1.0}
     machine = Machine("m-1")
@@ -131,7 +131,7 @@
 
 
 async def test_a_machine_whose_answer_crosses_the_withdrawal_is_notified(stage: Stage) -> None:
-    """Guards against a copy that runs on, unwanted, beside the next attempt."""
+    """Guards against an abandoned task that keeps running beside the next attempt."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         pass
@@ -144,8 +144,10 @@
     placer.service._runner._flushing = (
         True  # the decision is made, and an answer is read before it is carried out
     )
-    (conn,) = placer.service.clients.connections
-    placer.core.on_client_message(placer.service.clock.now(), conn, decode(line("end", CALL, why=16)))
+    (connection_id,) = placer.service.clients.connections
+    placer.core.on_client_message(
+        placer.service.clock.now(), connection_id, decode(line("end", CALL, why=16))
+    )
     machine.peers[0].say(line("accept", CALL, desc="given"))
     await until(lambda: placer.core.counters.unexpected_accepts)
     placer.service._runner._flushing = False
@@ -154,7 +156,7 @@
 
 
 async def test_an_unusable_answer_of_a_machine_is_reported_at_once(stage: Stage) -> None:
-    """Guards against a set-up held for its deadline: the answer was read, and its connection ended."""
+    """Guards against a request that waits for its deadline though its answer was read and rejected."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
@@ -163,34 +165,34 @@
     placer = await stage.start(Machine("m-1", script))
     client = await placer.client()
     client.say(offer(cls="once", left="29000"))
-    (ended,) = await ops(client, "end")  # reads for less long than the client would wait
+    (ended,) = await ops(client, "end")  # `ops` reads for less time than the client would wait
     assert ended["why"] == 41
 
 
 async def test_connections_being_opened_are_bounded_and_waiting_requests_are_answered(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    under_way, most = 0, 0
+    opening, max_opening = 0, 0
 
-    async def never(host: str, port: int, **_more: object) -> None:
-        nonlocal under_way, most
+    async def open_forever(host: str, port: int, **_more: object) -> None:
+        nonlocal opening, max_opening
         if f"{host}:{port}" != machine.address:
             raise OSError("not in this test")
-        under_way, most = under_way + 1, max(most, under_way + 1)
+        opening, max_opening = opening + 1, max(max_opening, opening + 1)
         try:
             await asyncio.Event().wait()
         finally:
-            under_way -= 1
+            opening -= 1
 
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
-    monkeypatch.setattr("asyncio.open_connection", never)
+    monkeypatch.setattr("asyncio.open_connection", open_forever)
     calls = [f"{number:016x}" for number in range(1, 41)]
     client.say(b"".join(offer(call, cls="once", left="900") for call in calls))
     ended = await ops(client, *["end"] * 40)
     assert {message["why"] for message in ended} == {42}
-    assert 1 < most <= connection_pool.MAX_CONNECTIONS
+    assert 1 < max_opening <= connection_pool.MAX_CONNECTIONS
 
 
 async def test_a_duplicate_answer_and_an_unknown_one_before_it_harm_nothing(stage: Stage) -> None:
@@ -256,7 +258,7 @@
     await other.stop()
 
 
-async def test_placing_goes_on_without_a_coordinator(stage: Stage) -> None:
+async def test_requests_are_placed_without_a_coordinator(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     await stage.coordinator.stop()
     await until(lambda: placer.service.discovery.is_failing)
@@ -265,7 +267,7 @@
     await ops(client, "accept")
 
 
-async def test_new_configurations_under_load_cost_no_answer(stage: Stage) -> None:
+async def test_reloads_under_load_lose_no_answer(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     raw = json.loads((stage.path / "config.json").read_text())
@@ -279,20 +281,20 @@
     assert len(placer.core.endpoints.machines) == 1
 
 
-async def test_a_message_of_60_megabytes_is_closed_and_costs_no_memory(stage: Stage) -> None:
+async def test_a_client_that_sends_a_message_of_60_megabytes_is_disconnected(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    bad = await placer.client()
-    piece = b"z" * (1 << 20)
+    invalid_client = await placer.client()
+    chunk = b"z" * (1 << 20)
     with contextlib.suppress(ConnectionError):
         for _ in range(60):
-            bad.say(piece)
-            await bad.writer.drain()
-    await closed(bad)
+            invalid_client.say(chunk)
+            await invalid_client.writer.drain()
+    await closed(invalid_client)
     await until(lambda: not placer.service.clients.connections)
     assert placer.core.counters.unreadable_lines == 1
 
 
-async def test_answers_of_a_slow_coordinator_are_taken(stage: Stage) -> None:
+async def test_answers_of_a_slow_coordinator_are_applied(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
     stage.coordinator.slow_s = 0.2
     for index in (2, 3, 4):
@@ -304,9 +306,10 @@
 async def test_a_starting_placer_receives_what_its_file_lacks_before_clients_are_accepted(
     stage: Stage,
 ) -> None:
-    """Guards against offers to machines that drain: killed placers came back with a list two seconds old.
+    """Guards against offers to draining machines: restarted placers have a list that is two seconds old.
 
-    Their clients were there at once, and herd+mass, seed 8642, broke rule 3 until the first answer came.
+    Their clients connect at once; in the run herd+mass with seed 8642, rule 3 was violated until the first
+    answer arrived.
     """
     stage.coordinator.slow_s = 0.2
     stage.coordinator.events.append(event(2, member("m-1", phase="Terminating")))
@@ -317,10 +320,10 @@
     assert stage.machines["m-1"].offers() == []
 
 
-async def test_a_placer_with_a_list_serves_without_a_coordinator_that_answers(
+async def test_a_placer_with_a_list_serves_though_its_coordinator_is_silent(
     stage: Stage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Not at once, but when what was withheld from it counts as told whatever it does."""
+    """It serves once the events that were held back count as reported in any case."""
     monkeypatch.setattr(service, "first_answer_wait_ms", lambda _alive_ms: 300.0)
     stage.coordinator.mute = True
     placer = await stage.start(Machine("m-1"))
@@ -359,9 +362,9 @@
 async def test_invalid_clients_are_answered_or_closed_and_never_served(stage: Stage, data: bytes) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    bad = await placer.client()
-    bad.say(data)
-    message = await bad.read()
+    invalid_client = await placer.client()
+    invalid_client.say(data)
+    message = await invalid_client.read()
     assert message is None or message["op"] == "end"
     assert not machine.offers()
 
@@ -369,8 +372,8 @@
 async def test_hundreds_of_silent_connections_leave_capacity_for_clients(stage: Stage) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
-    most = DescriptorShares.of(256).clients
-    silent = [await placer.client() for _ in range(most + 20)]
+    max_clients = DescriptorShares.of(256).clients
+    silent = [await placer.client() for _ in range(max_clients + 20)]
     client = await placer.client()
     client.say(offer())
     await ops(client, "accept")
@@ -380,27 +383,27 @@
 
 async def test_clients_that_stay_connected_after_one_request_do_not_shut_out_the_next(stage: Stage) -> None:
     placer = await stage.start(Machine("m-1"))
-    most = DescriptorShares.of(256).clients
-    for number in range(most + 20):
+    max_clients = DescriptorShares.of(256).clients
+    for number in range(max_clients + 20):
         client = await placer.client()
         client.say(line("test", f"{number:016x}", why=0))
         await ops(client, "tested")
         if number % 50 == 0:
             await asyncio.sleep(idle_connections.RECENTLY_ACTIVE_S)
-    assert len(placer.service.clients.connections) <= most
+    assert len(placer.service.clients.connections) <= max_clients
 
 
 async def test_idle_clients_make_way_for_connections_to_machines(stage: Stage) -> None:
-    """Guards against a placer without descriptors: it could let nobody in for a second at a time."""
+    """Guards against a placer without free descriptors, which accepts no client for a second at a time."""
     placer = await stage.start(Machine("m-1"))
     placer.service.budget.in_use += 150
-    most = DescriptorShares.of(256).clients_beside(150)
-    assert most < DescriptorShares.of(256).clients
-    idle = [await placer.client() for _ in range(most + 20)]
+    max_clients = DescriptorShares.of(256).clients_beside(150)
+    assert max_clients < DescriptorShares.of(256).clients
+    idle = [await placer.client() for _ in range(max_clients + 20)]
     last = await placer.client()
     last.say(offer())
     await ops(last, "accept")
-    assert len(placer.service.clients.connections) <= most
+    assert len(placer.service.clients.connections) <= max_clients
     for peer in idle[:20]:
         await closed(peer)
 
@@ -415,13 +418,13 @@
 ) -> None:
     monkeypatch.setattr(client_connections, "MAX_UNSENT_BYTES", 4096)
     placer = await stage.start(Machine("m-1"))
-    with socket.socket() as deaf:
-        deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        deaf.setblocking(False)  # noqa: FBT003 - takes it by position only
-        await asyncio.get_running_loop().sock_connect(deaf, ("127.0.0.1", placer.service.port))
+    with socket.socket() as unread_socket:
+        unread_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        unread_socket.setblocking(False)  # noqa: FBT003 - the argument is positional-only
+        await asyncio.get_running_loop().sock_connect(unread_socket, ("127.0.0.1", placer.service.port))
         tests = line("test", "00000000000000f1", why=0) * 200
         with pytest.raises(ConnectionError):
-            await send_forever(deaf, tests)
+            await send_forever(unread_socket, tests)
 
 
 def test_an_invalid_configuration_gives_one_line_and_exit_code_2(tmp_path: Path) -> None:
--- a/tests/platform/test_platform_start.py
+++ b/tests/platform/test_platform_start.py
@@ -1,4 +1,4 @@
-"""When a placer lets clients in: news of the list, or the time for it since its process began."""
+"""Tests when a starting placer accepts clients: after the first list answer, or after a maximum wait."""
 
 from __future__ import annotations
 
@@ -44,24 +44,24 @@
 
 
 @pytest.mark.parametrize(
-    ("alive_s", "most_ms"),
+    ("process_age_s", "max_wait_ms"),
     [(0.0, MAX_FIRST_ANSWER_WAIT_MS), (3.0, 4_000.0), (60.0, MIN_FIRST_ANSWER_WAIT_MS)],
 )
-async def test_the_time_that_the_start_took_is_not_waited_for_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, alive_s: float, most_ms: float
+async def test_the_duration_of_the_start_counts_towards_the_wait_for_the_list(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, process_age_s: float, max_wait_ms: float
 ) -> None:
-    """Guards against 7 s on top of a start that took seconds, with a small share of a core."""
+    """Guards against waiting 7 s after a start that took seconds itself, on a small share of a core."""
     waits: list[float] = []
 
-    async def news(_self: DiscoveryClient, within_ms: float) -> bool:
-        waits.append(within_ms)
+    async def answer_at_once(_self: DiscoveryClient, timeout_ms: float) -> bool:
+        waits.append(timeout_ms)
         return True
 
-    monkeypatch.setattr(DiscoveryClient, "wait_for_first_answer", news)
+    monkeypatch.setattr(DiscoveryClient, "wait_for_first_answer", answer_at_once)
     raw = raw_config(member("m-1"))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
-    service = Service(path, config_of(raw), began_at=asyncio.get_running_loop().time() - alive_s)
+    service = Service(path, config_of(raw), began_at=asyncio.get_running_loop().time() - process_age_s)
     running = asyncio.create_task(service.run())
     try:
         await until(lambda: service.port)
@@ -70,22 +70,22 @@
         await asyncio.gather(running, return_exceptions=True)
         await service.close()
     assert len(waits) == 1
-    assert MIN_FIRST_ANSWER_WAIT_MS <= waits[0] <= most_ms
+    assert MIN_FIRST_ANSWER_WAIT_MS <= waits[0] <= max_wait_ms
 
 
-def test_the_program_passes_to_its_service_when_the_process_began(
+def test_the_program_passes_the_start_time_of_the_process_to_its_service(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    began: list[float] = []
+    start_times: list[float] = []
 
-    class Recorded:
-        def __init__(self, _path: Path, _config: Config, _selector: TimedSelector, when: float) -> None:
-            began.append(when)
+    class RecordingService:
+        def __init__(self, _path: Path, _config: Config, _selector: TimedSelector, began_at: float) -> None:
+            start_times.append(began_at)
 
         async def run(self) -> None:
             pass
 
-    monkeypatch.setattr(__main__, "Service", Recorded)
+    monkeypatch.setattr(__main__, "Service", RecordingService)
     monkeypatch.setattr(__main__, "configure_logs", lambda *_args, **_bound: None)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw_config(member("m-1"))))
@@ -94,12 +94,12 @@
         assert __main__.serve(path) == 0
     finally:
         signal.signal(signal.SIGHUP, before)
-    assert began == [__main__.BEGAN_AT]
+    assert start_times == [__main__.BEGAN_AT]
     assert time.monotonic() > __main__.BEGAN_AT
 
 
 async def test_a_process_started_in_an_outage_counts_its_wait_from_its_beginning(tmp_path: Path) -> None:
-    """1,100 machines in its file, and nobody answers for the list."""
+    """The file lists 1,100 machines, and no coordinator answers."""
     known = {"index": 1, "updates": [whole_list(1, 1_100)]}
     coordinator = f"127.0.0.1:{free_port()}"
     placer = PlacerProcess(
@@ -111,13 +111,13 @@
         lines = [json.loads(text) for text in placer.log_path.read_text().splitlines()]
     finally:
         await placer.kill()
-    (served,) = [text for text in lines if text["event"] == "no answer of the coordinator at start"]
-    assert MIN_FIRST_ANSWER_WAIT_MS <= served["waited_ms"] < MAX_FIRST_ANSWER_WAIT_MS
-    (serving,) = [text for text in lines if text["event"] == "serving"]
+    (timed_out,) = [entry for entry in lines if entry["event"] == "no answer of the coordinator at start"]
+    assert MIN_FIRST_ANSWER_WAIT_MS <= timed_out["waited_ms"] < MAX_FIRST_ANSWER_WAIT_MS
+    (serving,) = [entry for entry in lines if entry["event"] == "serving"]
     assert serving["machines"] == 1_100
 
 
-def test_the_estimate_at_a_share_of_a_core_counts_what_computes_and_what_waits() -> None:
+def test_the_estimate_at_a_share_of_a_core_scales_cpu_time_but_not_waiting() -> None:
     assert Start(ready_s=7.5, cpu_s=0.5).at_share(0.25) == pytest.approx(9.0)
     assert Start(ready_s=0.5, cpu_s=0.6).at_share(0.5) == pytest.approx(1.2)
     assert marks([float(n) for n in range(1, 11)]) == {"50%": 5.0, "90%": 9.0, "100%": 10.0}
@@ -126,36 +126,36 @@
 async def test_adopting_many_tasks_opens_few_connections_at_a_time_to_receive(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a loop that opens a thousand at once: clients that come meanwhile wait for seconds."""
+    """Guards against opening a thousand connections at once, while new clients wait for seconds."""
     stage = Stage(tmp_path)
     try:
-        many = [Machine(f"m-{number}") for number in range(3 * descriptor_budget.MAX_RECONNECTING)]
-        placer = await stage.start(*many, limits={"sockets": 1_024})
-        opened, under_way = asyncio.open_connection, [0, 0]
+        machines = [Machine(f"m-{number}") for number in range(3 * descriptor_budget.MAX_RECONNECTING)]
+        placer = await stage.start(*machines, limits={"sockets": 1_024})
+        open_connection, opening = asyncio.open_connection, [0, 0]
 
-        async def slow(*args: Any, **named: Any) -> Any:
-            under_way[0] += 1
-            under_way[1] = max(under_way)
+        async def open_slowly(*args: Any, **kwargs: Any) -> Any:
+            opening[0] += 1
+            opening[1] = max(opening)
             try:
                 await asyncio.sleep(0.02)
-                return await opened(*args, **named)
+                return await open_connection(*args, **kwargs)
             finally:
-                under_way[0] -= 1
+                opening[0] -= 1
 
         client = await placer.client()
-        monkeypatch.setattr(asyncio, "open_connection", slow)
+        monkeypatch.setattr(asyncio, "open_connection", open_slowly)
         for number, name in enumerate(stage.machines):
             client.say(offer(f"{0xF000 + number:016x}", extras=f"cores:1;memory:1;service:1;at:{name}"))
         await until(lambda: all(machine.peers for machine in stage.machines.values()))
     finally:
         await stage.stop()
     assert (
-        1 < under_way[1] <= descriptor_budget.MAX_RECONNECTING + MAX_POLLS_IN_FLIGHT + 1
-    )  # probes to those that wait may join
+        1 < opening[1] <= descriptor_budget.MAX_RECONNECTING + MAX_POLLS_IN_FLIGHT + 1
+    )  # health checks of machines that wait may open connections too
 
 
 async def test_restarted_placers_adopt_all_tasks_that_are_handed_over() -> None:
-    """Three of four placers, also with more tasks on one connection than its client may ask for."""
+    """Three of four placers restart; one connection also carries more tasks than its client may request."""
     figures = await restart(Restart(placers=4, machines=60, tasks=10_000, killed=0.75, sockets=256))
     assert figures["restarted"] == 3
     assert figures["died"] == []
