--- a/kelpfront/platform/config.py
+++ b/kelpfront/platform/config.py
@@ -18,22 +18,22 @@
 T = TypeVar("T")
 
 DEFAULT_SOCKETS = 1024
-"""File descriptors, if the limits do not specify them."""
+"""Maximum open file descriptors, if the limits do not specify it."""
 
 MIN_SOCKETS = 64
-"""With fewer descriptors, clients, machines and the endpoint list could not all have connections."""
+"""Minimum file descriptors; with fewer, clients, machines and endpoint list could not all have one."""
 
 DEFAULT_MEMORY_MB = 64.0
-"""Memory in megabytes, if the limits do not specify it."""
+"""Memory limit in megabytes, if the limits do not specify it."""
 
 MAX_MEMORY_MB = 1 << 24
-"""A larger value means that the unit was mistaken."""
+"""Maximum memory limit in megabytes; a larger value was probably given in another unit."""
 
 DEFAULT_IDLE_MS = 30_000.0
-"""Time after which machines close idle connections, if the settings do not specify it."""
+"""Time in ms after which machines close idle connections, if the settings do not specify it."""
 
 MAX_FAILURE_DETECTORS = 16
-"""Bounds the datagrams to process: each failure detector sends digests every second."""
+"""Maximum failure detectors; bounds the datagrams, as each detector sends digests every second."""
 
 MAX_PORT = 65_535
 
--- a/kelpfront/platform/connection_pool.py
+++ b/kelpfront/platform/connection_pool.py
@@ -335,7 +335,7 @@
             self._write(connection, self._queue.popleft())
 
     def _send_queued_on_shared(self) -> None:
-        """Send the queued requests in excess of the connections being opened on open connections."""
+        """Send queued requests for which no connection is being opened on connections that are open."""
         while len(self._queue) > self._opening_count:
             shared = self._shared_connection(self._queue[0])
             if shared is None:
@@ -343,7 +343,7 @@
             self._write(shared, self._queue.popleft())
 
     def _on_open_failed(self) -> None:
-        """Report queued offers as unreachable, oldest first, in excess of the connections being opened."""
+        """Report queued offers for which no connection is being opened as unreachable, oldest first."""
         self._send_queued_on_shared()
         while self._queue and len(self._queue) > self._opening_count:
             self._report_unreachable(self._queue.popleft())
--- a/kelpfront/platform/discovery_client.py
+++ b/kelpfront/platform/discovery_client.py
@@ -164,7 +164,7 @@
     # ---- Polls ----------------------------------------------------------------------------------------
 
     async def _run(self) -> None:
-        """Keep one poll in flight, and send another if it is not answered within the hedge delay."""
+        """Keep one poll in flight, and send a second one if the first exceeds the hedge delay."""
         loop = asyncio.get_running_loop()
         state = _PollState(next_at=loop.time())
         try:
--- a/kelpfront/platform/endpoint_table.py
+++ b/kelpfront/platform/endpoint_table.py
@@ -60,7 +60,7 @@
     Attributes:
         index: the index of the last applied event.
         generation: incremented whenever machines are added or removed.
-        has_gap: whether an event was missed; the coordinator would never send it again by itself.
+        has_gap: whether an event was missed, which the coordinator does not send again.
     """
 
     def __init__(self) -> None:
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -53,14 +53,14 @@
     await new_stage.stop()
 
 
-def key_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def places(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     """Return the path of each nested value."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [prefix, *(path for key, item in inner for path in key_paths(item, (*prefix, key)))]
+    return [prefix, *(path for key, item in inner for path in places(item, (*prefix, key)))]
 
 
 RAW = platforms.raw_config(member("m-1"), member("m-2"))
-KEY_PATHS = [path for path in key_paths(RAW) if path]
+KEY_PATHS = [path for path in places(RAW) if path]
 
 
 def with_value(path: tuple[Any, ...], value: Any) -> Json:
