--- a/kelpfront/degradation/__init__.py
+++ b/kelpfront/degradation/__init__.py
@@ -1,9 +1,9 @@
-"""Levels of reduced service: what a placer gives up under overload, when and why.
+"""Levels of reduced service: what a placer restricts under overload, when and why.
 
-Pure: no I/O, no clock, and chance only from a seed. `DegradationController` is what a placer holds: it
-measures `OverloadSignals`, from which `LevelStateMachine` decides the level, and `LoadShedder` which work is
-admitted at it; `FairQueue` is the order in which admitted work is handled. Publishing levels is left to the
-placer.
+The package does no I/O, reads no clock, and draws random numbers from a given seed only. Each placer has one
+`DegradationController`. It measures overload (`OverloadSignals`), decides the level (`LevelStateMachine`) and
+decides which work is admitted at that level (`LoadShedder`). `FairQueue` orders the admitted work. The placer
+itself publishes its level.
 """
 
 from kelpfront.degradation.controller import AnsweredTask, DegradationController, LevelSettings, Pin
--- a/kelpfront/degradation/controller.py
+++ b/kelpfront/degradation/controller.py
@@ -1,9 +1,9 @@
-"""The degradation of one placer as a whole: it is told what happens and answers which level applies.
+"""The degradation controller of one placer: records events, decides the level and admits new work.
 
-It owns the signals, the backlog, the state machine and the load shedder, and keeps the time for them. Pure:
-callers pass in milliseconds of the common clock. Inside, time is what elapsed between two calls, limited to
-`MAX_ELAPSED_STEP_MS`, so that a clock that jumps gives no evidence of overload and frees no changes of level.
-Publishing the level and writing the log are up to the placer's own controller.
+The controller owns the signals, the backlog, the state machine and the load shedder. It reads no clock:
+callers pass the time as milliseconds of the common clock. Internally it uses elapsed time, to which each call
+adds at most `MAX_ELAPSED_STEP_MS`. A clock that jumps therefore neither looks like overload nor lets level
+changes of the last hour expire. The placer's own controller publishes the level and writes the log.
 """
 
 from __future__ import annotations
@@ -20,10 +20,11 @@
 from kelpfront.scheduling.settings import TaskClass
 
 MAX_ELAPSED_STEP_MS = 2_000.0
-"""Calls come several times a second: a longer time is a clock that jumped or a process that was suspended."""
+"""Longest time between two calls that is counted. Calls come several times a second, so a longer time means
+that the clock jumped or the process was suspended."""
 
-PROCESS_SIGNALS = (thresholds.LAG, thresholds.DECIDING, thresholds.OPEN_TASKS, thresholds.MEMORY)
-"""The signals of the placer's own process, as opposed to the cluster's."""
+PROCESS_SIGNALS = (thresholds.TIMER_LAG, thresholds.DECISION_TIME, thresholds.OPEN_TASKS, thresholds.MEMORY)
+"""The signals that measure the placer's own process rather than the cluster or its tasks."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,13 +34,13 @@
     enabled: bool = True
     max_changes_per_hour: int = 12
     essential_priority: int | None = None
-    """Classes of this priority and above are essential; None: those of the highest priority."""
+    """Classes of at least this priority are essential. None: `rank_classes` chooses the highest."""
     owner_weights: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
 class Pin:
-    """A level that an operator holds."""
+    """A level that an operator has fixed for a limited time."""
 
     level: Level
     remaining_ms: float
@@ -47,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnsweredTask:
-    """An admitted task that received its answer."""
+    """An admitted task that was placed, refused or failed."""
 
     class_index: int
     owner: str
@@ -58,12 +59,12 @@
 
     @property
     def waited_share(self) -> float:
-        """The share of its deadline that the task waited."""
+        """The waiting time as a share of the deadline."""
         return self.waited_ms / self.deadline_ms if self.deadline_ms else 1.0
 
 
-def process_keeps_up(readings: Mapping[str, float]) -> bool:
-    """Whether no signal of the placer's own process calls for a level."""
+def is_process_within_limits(readings: Mapping[str, float]) -> bool:
+    """Whether all signals of the placer's own process are below their lowest entry thresholds."""
     for signal in thresholds.OVERLOAD_SIGNALS:
         if signal.name not in PROCESS_SIGNALS or signal.careful is None:
             continue
@@ -73,7 +74,7 @@
 
 
 class DegradationController:
-    """The level of service of one placer, and what is admitted at it."""
+    """Decides the level of service of one placer and which new work is admitted at that level."""
 
     def __init__(self, settings: LevelSettings, classes: Sequence[TaskClass], seed: int) -> None:
         self.settings = settings
@@ -94,7 +95,10 @@
     # ---- Time and level -------------------------------------------------------------------------------
 
     def advance_clock(self, now: float) -> float:
-        """Return the elapsed time at `now`; it never falls, and rises by `MAX_ELAPSED_STEP_MS` at most."""
+        """Advance the elapsed time to the clock time `now` and return it.
+
+        Elapsed time never decreases, and one call adds at most `MAX_ELAPSED_STEP_MS`.
+        """
         if self._last_clock_ms is not None:
             self._elapsed_ms += min(max(0.0, now - self._last_clock_ms), MAX_ELAPSED_STEP_MS)
         self._last_clock_ms = now
@@ -102,53 +106,56 @@
 
     @property
     def elapsed_ms(self) -> float:
-        """The elapsed time as of the last call that passed the clock."""
+        """The elapsed time as of the last call that passed a clock time."""
         return self._elapsed_ms
 
     @property
     def level(self) -> Level:
-        """The present level; `FULL` where degradation is disabled."""
+        """The current level; always `FULL` if degradation is disabled."""
         return self.state_machine.level if self.settings.enabled else Level.FULL
 
     @property
     def policy(self) -> LevelPolicy:
-        """What the present level changes in the placer's own work."""
+        """The restrictions of the placer's own work at the current level."""
         return LEVEL_POLICIES[self.level]
 
     def observe(self, now: float, observation: OverloadObservation) -> LevelChange | None:
-        """Evaluate all signals and return the change of level that results. Called several times a second."""
+        """Evaluate all signals and return the resulting change of level, if any.
+
+        The placer calls this several times a second.
+        """
         elapsed_ms = self.advance_clock(now)
         self.readings = self.signals.readings(elapsed_ms, observation)
-        keeps_up = process_keeps_up(self.readings)
-        self.load_shedder.free_task_slots = observation.free_task_slots if keeps_up else 0.0
+        within_limits = is_process_within_limits(self.readings)
+        self.load_shedder.free_task_slots = observation.free_task_slots if within_limits else 0.0
         if not self.settings.enabled:
             return None
         return self.state_machine.step(elapsed_ms, self.readings)
 
     def pin(self, now: float, level: Level | None, duration_ms: float = 0.0) -> LevelChange | None:
-        """Hold a level for a time on an operator's request; None ends the pin."""
+        """Fix the level for `duration_ms` on an operator's request; a `level` of None removes the pin."""
         elapsed_ms = self.advance_clock(now)
         return self.state_machine.pin(elapsed_ms, level, elapsed_ms + duration_ms)
 
     @property
     def active_pin(self) -> Pin | None:
-        """The pin that holds the level, if any."""
+        """The pin in force, if any."""
         if self.state_machine.pinned_level is None:
             return None
         remaining_ms = max(0.0, self.state_machine.pinned_until - self._elapsed_ms)
         return Pin(self.state_machine.pinned_level, remaining_ms)
 
     def attempt_time_ms(self, class_index: int, remaining_ms: float) -> float:
-        """Return for how long a task is attempted, of the time that remains until its deadline."""
+        """Return for how long to attempt a task that has `remaining_ms` until its deadline."""
         objectives = self.policy.attempt_time_objectives
         if objectives is None or self.priority_order.is_essential(class_index):
             return remaining_ms
         return min(remaining_ms, objectives * self.classes[class_index].latency_objective_ms)
 
-    # ---- Work -----------------------------------------------------------------------------------------
+    # ---- Admission and outcomes -----------------------------------------------------------------------
 
     def decide_admission(self, now: float, request: AdmissionRequest) -> Rejection | None:
-        """Decide whether a job is admitted at the present level; None means that it is."""
+        """Decide whether a job is admitted at the current level; None means that it is admitted."""
         elapsed_ms = self.advance_clock(now)
         if request.is_feasible and not request.is_retry:
             self.signals.on_requested(elapsed_ms, request.task_count)
@@ -163,15 +170,15 @@
         return rejection
 
     def on_rejected_elsewhere(self, now: float, task_count: int) -> None:
-        """Count tasks, requested for the first time, that were rejected before they reached admission."""
+        """Count tasks that were requested for the first time and rejected before the admission decision."""
         self.signals.on_requested(self.advance_clock(now), task_count)
 
     def on_admitted(self, class_index: int, owner: str, task_count: int) -> None:
-        """Count tasks that wait for their answer from now on."""
+        """Add admitted tasks to the backlog; they stay in it until they are answered."""
         self.backlog.add(class_index, owner, task_count)
 
     def on_placed(self, now: float, task: AnsweredTask) -> None:
-        """Count a task that was placed."""
+        """Remove a placed task from the backlog and count it in the signals."""
         self._remove_from_backlog(task.class_index, task.owner)
         within_objective = task.waited_ms <= self.classes[task.class_index].latency_objective_ms
         self.signals.on_placed(
@@ -180,12 +187,12 @@
         self.load_shedder.on_task_started(task.waited_ms)
 
     def on_not_placed(self, now: float, task: AnsweredTask) -> None:
-        """Count a task that was refused or failed."""
+        """Remove a refused or failed task from the backlog and count it in the signals."""
         self._remove_from_backlog(task.class_index, task.owner)
         self.signals.on_not_placed(self.advance_clock(now), task.class_index, task.waited_share)
 
     def on_withdrawn(self, class_index: int, owner: str) -> None:
-        """Count a task that its owner no longer wants."""
+        """Remove a task that its owner withdrew from the backlog; the signals do not count it."""
         self._remove_from_backlog(class_index, owner)
 
     def on_offer_answered(self, now: float, class_index: int, *, rejected_as_full: bool) -> None:
--- a/kelpfront/degradation/explain.py
+++ b/kelpfront/degradation/explain.py
@@ -1,6 +1,7 @@
-"""Explains a placer's level to operators: what is restricted, what keeps the level, what calls for another.
+"""Explains a placer's level to operators: its restrictions, its exit conditions and the active signals.
 
-Texts only, for the API's `levels` resource. It decides nothing; figures come from `DegradationController`.
+The texts are part of the API's `levels` resource. This module decides nothing: all values come from
+`DegradationController`.
 """
 
 from __future__ import annotations
@@ -18,20 +19,21 @@
 from kelpfront.units import format_duration
 
 GROWN_DELAY_FACTOR = 1.5
-"""An exit delay beyond this multiple has grown by a recurrence: jitter alone does not reach it."""
+"""An exit delay above this multiple of the configured delay was extended by a recurrence: jitter alone cannot
+make it that long."""
 
 _UNITS = {signal.name: signal.unit for signal in OVERLOAD_SIGNALS}
 
 
 def format_signal_value(signal: str, value: float) -> str:
-    """Return a signal's value with its unit."""
+    """Format a signal's value with its unit."""
     if _UNITS.get(signal) is SignalUnit.MILLISECONDS:
         return f"{value:.0f} ms"
     return f"{100 * value:.0f} %"
 
 
 def describe_restrictions(controller: DegradationController) -> list[str]:
-    """Return what is given up at the present level, class by class; empty at `FULL`."""
+    """Return the restrictions at the current level, first those of each class; empty at `FULL`."""
     if controller.level is Level.FULL:
         return []
     return _describe_admission(controller) + _describe_policy(controller)
@@ -64,7 +66,7 @@
 
 
 def describe_exit_conditions(controller: DegradationController) -> list[str]:
-    """Return what would have to change to leave the present level for a lower one; empty at `FULL`."""
+    """Return the conditions for leaving the current level for a lower one; empty at `FULL`."""
     level = controller.level
     if level is Level.FULL:
         return []
@@ -79,7 +81,7 @@
         lines += _describe_signals_to_clear(state_machine, level)
         next_level = Level.FULL if level is Level.CAREFUL else Level.RECOVERING
     if not state_machine.can_lower_to(next_level):
-        wait_ms = state_machine.can_lower_at(next_level) - controller.elapsed_ms
+        wait_ms = state_machine.lowering_allowed_at(next_level) - controller.elapsed_ms
         lines.append(
             f"{state_machine.changes_in_last_hour} of {state_machine.max_changes_per_hour} changes of the "
             f"hour are used, and some are kept for need: the next way down is free in {_format_time(wait_ms)}"
@@ -104,10 +106,10 @@
         remaining_ms = max(0.0, delay_ms - state_machine.clear_ms(level))
         return [f"nothing calls for it any more; it must stay so for {_format_time(remaining_ms)} more"]
     lines = []
-    for one in blocking:
-        threshold = format_signal_value(one.signal, one.threshold)
-        value = format_signal_value(one.signal, one.value)
-        lines.append(f"{one.signal} must fall under {threshold}, and is at {value}")
+    for evidence in blocking:
+        threshold = format_signal_value(evidence.signal, evidence.threshold)
+        value = format_signal_value(evidence.signal, evidence.value)
+        lines.append(f"{evidence.signal} must fall under {threshold}, and is at {value}")
     has_grown = delay_ms > GROWN_DELAY_FACTOR * EXIT_DELAY_MS[level]
     cause = " (longer than usual: it came back within the hour)" if has_grown else ""
     lines.append(f"and stay so for {_format_time(delay_ms)}{cause}")
@@ -115,7 +117,7 @@
 
 
 def describe_active_signals(controller: DegradationController) -> list[str]:
-    """Return the signals at or above an entry threshold, each with the highest level that it calls for."""
+    """Return the signals at or above an entry threshold, each with the highest level that it triggers."""
     lines = []
     for signal in OVERLOAD_SIGNALS:
         line = _describe_active_signal(signal, controller.readings.get(signal.name, 0.0))
--- a/kelpfront/degradation/fair_queue.py
+++ b/kelpfront/degradation/fair_queue.py
@@ -1,9 +1,9 @@
-"""The order in which admitted work is handled: highest rank first, owners in fair shares, then by deadline.
+"""Orders admitted work: the highest rank first, then owners in fair shares, then by deadline.
 
-Deficit round robin (Shreedhar and Varghese, 1995) over the owners of a rank: in each round an owner releases
-as many entries as its weight allows, however many it has queued. One owner with a thousand entries delays
-another owner's single entry by one round, not by a thousand entries. What may enter the queue is up to
-`load_shedder`.
+The owners of a rank are served by deficit round robin (Shreedhar and Varghese, 1995): in each round an owner
+releases as many entries as its weight allows, however many it has queued. One owner with a thousand entries
+delays another owner's single entry by one round, not by a thousand entries. `load_shedder` decides which work
+may enter the queue.
 """
 
 from __future__ import annotations
@@ -17,13 +17,14 @@
 EntryT = TypeVar("EntryT")
 
 MIN_WEIGHT = 0.01
-"""Owners with a smaller weight count as this: each round without an entry costs the loop a turn."""
+"""Lower bound of an owner's weight. A smaller one would need many rounds, each of which costs a loop
+iteration, until the owner may release an entry."""
 ENTRY_COST = 1.0
-"""What one entry costs an owner of its deficit."""
+"""The amount by which one released entry reduces its owner's deficit."""
 
 
 class _QueuedEntry(NamedTuple, Generic[EntryT]):
-    """An entry in heap order. Sequence numbers are unique, so that entries themselves are never compared."""
+    """A heap item. Sequence numbers are unique, so the entries themselves are never compared."""
 
     deadline: float
     sequence_number: int
@@ -43,7 +44,10 @@
 
 
 class FairQueue(Generic[EntryT]):
-    """Entries by rank, owner and deadline. Whoever fills it limits its size: each entry is an open task."""
+    """A queue of entries ordered by rank, owner and deadline.
+
+    It has no size limit of its own: each entry is an open task, and callers limit the number of open tasks.
+    """
 
     def __init__(self, weight_of: Callable[[str], float] = _equal_weight) -> None:
         self._weight_of = weight_of
@@ -55,7 +59,7 @@
         return self._count
 
     def push(self, rank: int, owner: str, deadline: float, entry: EntryT) -> None:
-        """Add an entry. Within an owner and rank entries leave by deadline, then in the order of arrival."""
+        """Add an entry. Entries of one owner and rank leave by deadline, then in order of arrival."""
         owners = self._ranks.setdefault(rank, OrderedDict())
         queue = owners.get(owner)
         if queue is None:
@@ -80,7 +84,7 @@
         entry = heapq.heappop(queue.heap).entry
         self._count -= 1
         if not queue.heap:
-            del owners[owner]  # with its deficit: an owner without entries must not save up a share
+            del owners[owner]  # drops its deficit too: an owner without entries must not save up credit
             if not owners:
                 del self._ranks[rank]
         elif queue.deficit < ENTRY_COST:
@@ -88,7 +92,7 @@
         return entry
 
     def _next_owner(self, owners: OrderedDict[str, _OwnerQueue[EntryT]]) -> str:
-        """Go on with the round until an owner's deficit pays for an entry."""
+        """Continue the round until an owner's deficit covers the cost of one entry, and return that owner."""
         while True:
             owner, queue = next(iter(owners.items()))
             if queue.deficit >= ENTRY_COST:
--- a/kelpfront/degradation/level_state_machine.py
+++ b/kelpfront/degradation/level_state_machine.py
@@ -1,10 +1,14 @@
-"""Decides the level of service from overload signals. Pure; times are elapsed milliseconds, which never fall.
+"""Decides the level of service from overload signals.
 
-The level is raised at once where signals have lasted long enough, and lowered step by step: from `ESSENTIAL`
-and `HOLDING` through `RECOVERING`. Against flapping there are two values for each signal (hysteresis), delays
-before entry and exit, exit delays that grow with each recurrence, and a limit of changes per hour that no
-sequence of readings exceeds. Raising is never denied: a step down is denied where the changes that are left
-would not be enough to be raised to the top again. What a level restricts is up to `load_shedder` and `model`.
+The module does no I/O; times are elapsed milliseconds, which never decrease.
+
+The level is raised as soon as a signal has lasted for its entry delay, directly to the level that the signal
+calls for. It is lowered step by step: from `ESSENTIAL` and `HOLDING` through `RECOVERING`. Four rules prevent
+flapping: separate entry and exit thresholds for each signal (hysteresis), delays before entry and exit, exit
+delays that grow with each recurrence, and a limit of changes per hour that no sequence of readings exceeds.
+Raising is never denied. To keep to the limit, lowering is denied when the changes that remain in the hour
+would not suffice to raise the level to the top again. `load_shedder` and `model` define what a level
+restricts.
 """
 
 from __future__ import annotations
@@ -32,11 +36,12 @@
 )
 
 MAX_CHANGES_CACHED = 50
-"""Changes that are remembered for operators."""
+"""Number of past changes that are kept for operators to read."""
 MAX_ENTRIES_CACHED = 16
-"""Entries of one level that are remembered: by then the exit delay has long reached its limit."""
+"""Number of entries into one level that are remembered: fewer recurrences already bring the exit delay to its
+limit."""
 MIN_CHANGES_PER_HOUR = 1 + Level.FULL.raises_remaining
-"""With fewer changes a level that was raised to the top could never be lowered."""
+"""Smallest limit of changes per hour: with a smaller one a raised level could never be lowered to `FULL`."""
 
 Readings = Mapping[str, float]
 """Values of the overload signals by their names."""
@@ -44,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """A signal that decided, its value and the threshold it is compared with."""
+    """A signal that led to a decision, its value and the threshold that the value is compared with."""
 
     signal: str
     value: float
@@ -53,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LevelChange:
-    """One change of level. `reason` is a text for people, `evidence` holds its figures."""
+    """One change of level. `reason` is a text for people; `evidence` holds the signals behind it."""
 
     at_ms: float
     before: Level
@@ -71,7 +76,7 @@
 
 @dataclass(slots=True)
 class _SignalState:
-    """Where a signal is with regard to one level's threshold."""
+    """The state of a signal relative to its threshold for one level."""
 
     threshold: Threshold
     above_entry_since: float = math.inf
@@ -80,7 +85,7 @@
 
 
 class LevelStateMachine:
-    """The level of one placer. At `RECOVERING` the `rank_count` ranks of classes return one after another."""
+    """The level of one placer. At `RECOVERING` the `rank_count` ranks of classes are restored one by one."""
 
     def __init__(
         self,
@@ -90,28 +95,29 @@
         signals: tuple[SignalThresholds, ...] = OVERLOAD_SIGNALS,
     ) -> None:
         if max_changes_per_hour < MIN_CHANGES_PER_HOUR:
-            raise ValueError(f"changes an hour: at least {MIN_CHANGES_PER_HOUR} are needed")
-        # Nothing is known of the level before a restart: the placer starts at `FULL` and goes by its signals.
+            raise ValueError(f"max_changes_per_hour must be at least {MIN_CHANGES_PER_HOUR}")
+        # The level is not kept across restarts: the placer starts at `FULL` and follows its signals.
         self.level = Level.FULL
         self.entered_at = 0.0
         self.rank_count = rank_count
         self.max_changes_per_hour = max_changes_per_hour
-        self.restored_rank_count = rank_count  # the highest ranks; all of them but at `RECOVERING`
+        self.restored_rank_count = rank_count  # the highest ranks; fewer than all only at `RECOVERING`
         self.changes: deque[LevelChange] = deque(maxlen=MAX_CHANGES_CACHED)
         self.pinned_level: Level | None = None
         self.pinned_until = 0.0
         self._signal_states = _signal_states(signals)
         self._clear_ms = dict.fromkeys(SIGNALLED_LEVELS, 0.0)
-        # Levels whose signals were clear for the first exit delay: signals that return then are a recurrence.
+        # Levels whose signals were clear for the exit delay without its growth. If the signals return while
+        # the level is still held, that is a recurrence.
         self._levels_cleared: set[Level] = set()
-        # Changes of the last hour: at most `max_changes_per_hour`, and up to three more for each pin.
+        # Times of the last hour's changes: at most `max_changes_per_hour`, plus up to three for each pin.
         self._recent_changes_at: deque[float] = deque()
         self._entries_at: dict[Level, deque[float]] = {
             level: deque(maxlen=MAX_ENTRIES_CACHED) for level in SIGNALLED_LEVELS
         }
         self._random = random.Random(seed)
         self._delay_factor = self._draw_delay_factor()
-        self._last_transition_at = 0.0  # a change of level, or the return of a rank
+        self._last_transition_at = 0.0  # a change of level, or the restoration of a rank
         self._now = 0.0
 
     def _draw_delay_factor(self) -> float:
@@ -129,7 +135,10 @@
         return ENTRY_DELAY_MS[level] * self._delay_factor
 
     def exit_delay_ms(self, level: Level) -> float:
-        """Return how long a level's signals must be clear; it grows with each recurrence within the hour."""
+        """Return how long a level's signals must be clear before it is left.
+
+        The delay grows with each recurrence within the hour.
+        """
         entry_count = sum(at > self._now - HOUR_MS for at in self._entries_at[level])
         recurrence_count = max(0, entry_count - 1)
         delay_ms = EXIT_DELAY_MS[level] * EXIT_DELAY_GROWTH**recurrence_count
@@ -137,7 +146,7 @@
         return min(delay_ms, limit_ms) * self._delay_factor
 
     def signals_blocking_exit(self, level: Level) -> list[Evidence]:
-        """Return the signals that keep a level from being left, each with the value it must fall below."""
+        """Return the signals that prevent a level's exit, each with the value that it must fall below."""
         return [
             Evidence(key.signal, state.value, state.threshold.exit)
             for key, state in self._signal_states.items()
@@ -145,15 +154,15 @@
         ]
 
     def clear_ms(self, level: Level) -> float:
-        """Return for how long a level's signals have been clear, less the penalty for returns."""
+        """Return how long a level's signals have been clear, less the penalty for recurrences."""
         return self._clear_ms[level]
 
     def can_lower_to(self, level: Level) -> bool:
-        """Whether the limit of changes allows a step down and every step up that might follow it."""
+        """Whether the limit of changes allows lowering to a level and raising from there to the top again."""
         return self._changes_missing_for(level) <= 0
 
-    def can_lower_at(self, level: Level) -> float:
-        """Return the time from which the limit of changes allows a step down to a level."""
+    def lowering_allowed_at(self, level: Level) -> float:
+        """Return the time from which the limit of changes allows lowering to a level."""
         missing = self._changes_missing_for(level)
         if missing <= 0:
             return self._now
@@ -166,7 +175,7 @@
     # ---- Transitions ----------------------------------------------------------------------------------
 
     def step(self, now: float, readings: Readings) -> LevelChange | None:
-        """Take in the signals' values at a time, and return the change of level that results, if any."""
+        """Update the state with the signals' values and return the resulting change of level, if any."""
         elapsed_ms = max(0.0, now - self._now)
         self._now = max(self._now, now)
         self._drop_expired_changes()
@@ -180,10 +189,10 @@
         return self._raise_level() or self._lower_level()
 
     def pin(self, now: float, level: Level | None, until: float = math.inf) -> LevelChange | None:
-        """Hold a level until a time on an operator's request; None ends the pin.
+        """Fix the level until a time on an operator's request; a `level` of None removes the pin.
 
-        Pins do not count against the limit of changes. After the pin of a low level the signals may raise the
-        level beyond the limit, once up to the top.
+        Pins do not count against the limit of changes. After a pin to a low level the signals may exceed the
+        limit once, by raising the level up to the top.
         """
         self._now = max(self._now, now)
         self.pinned_level = level
@@ -206,10 +215,10 @@
             state.above_exit = state.value >= state.threshold.exit
 
     def _update_clear_times(self, elapsed_ms: float) -> None:
-        """Count the time without signals.
+        """Update how long each level's signals have been clear.
 
-        A signal that is back takes clear time off in place of resetting it: otherwise single late tasks would
-        hold a level for ever.
+        A signal above its exit threshold reduces the clear time instead of resetting it: otherwise single
+        late tasks would keep a level for ever.
         """
         for level in SIGNALLED_LEVELS:
             if self.signals_blocking_exit(level):
@@ -227,21 +236,25 @@
         ]
 
     def _record_recurrence(self) -> None:
-        """Count signals that return while their level is still held: it would have been left too early."""
+        """Record a recurrence if signals call for the current level again after they had been clear.
+
+        Without the growth of the exit delay the level would have been left too early, so the recurrence
+        counts like another entry and extends the exit delay.
+        """
         if self.level in self._levels_cleared and self._signals_calling_for(self.level):
             self._levels_cleared.discard(self.level)
             self._entries_at[self.level].append(self._now)
             self._clear_ms[self.level] = 0.0
 
     def _raise_level(self) -> LevelChange | None:
-        """Enter the highest level that is called for, if it is above the present one."""
+        """Enter the highest level that signals call for, if it is above the current one."""
         for level in reversed(SIGNALLED_LEVELS):
             if level <= self.level:
                 return None
             evidence = self._signals_calling_for(level)
             if evidence:
                 reason = ", ".join(
-                    f"{one.signal} {one.value:.3g} is {one.threshold:g} or more" for one in evidence
+                    f"{item.signal} {item.value:.3g} is {item.threshold:g} or more" for item in evidence
                 )
                 self._entries_at[level].append(self._now)
                 return self._change_counted_level(level, reason, tuple(evidence))
@@ -261,7 +274,7 @@
         return None
 
     def _recover(self) -> LevelChange | None:
-        """Restore one rank of classes after another, then leave `RECOVERING`."""
+        """Restore the ranks of classes one by one, then leave `RECOVERING`."""
         if self.restored_rank_count < self.rank_count and self._is_next_recovery_step_due():
             self.restored_rank_count += 1
             self._last_transition_at = self._now
@@ -286,7 +299,7 @@
     def _change_counted_level(
         self, level: Level, reason: str, evidence: tuple[Evidence, ...] = ()
     ) -> LevelChange:
-        """Change the level, and count the change against the limit."""
+        """Change the level and count the change against the limit."""
         self._recent_changes_at.append(self._now)
         return self._change_level(level, reason, evidence)
 
--- a/kelpfront/degradation/load_shedder.py
+++ b/kelpfront/degradation/load_shedder.py
@@ -1,10 +1,11 @@
-"""Decides which new work is admitted at the present level, and when a rejected client should retry. Pure.
-
-Below `FULL` a task is admitted while the tasks ahead of it can be placed within a queueing time that depends
-on its rank and the level: the queue limit is the placement rate times that time. So the queue stays short,
-work is admitted wherever there is capacity for it, and work that would only time out is rejected at once. A
-rejected task was never handed to the scheduler, so a retry is safe. The level comes from
-`level_state_machine`, the counts from `overload_signals`; the order of admitted work is up to `fair_queue`.
+"""Decides which new work is admitted at the current level, and when a rejected client should retry.
+
+At every level other than `FULL` a task is admitted while the tasks ahead of it can be placed within a
+queueing time that depends on its rank and the level: the queue limit is the placement rate times that time.
+The queue therefore stays short, work is admitted while there is capacity for it, and work that would only
+time out is rejected at once. A rejected task was never passed to the scheduler, so a retry is safe. The level
+comes from `level_state_machine` and the counts from `overload_signals`. `fair_queue` orders the admitted
+work.
 """
 
 from __future__ import annotations
@@ -23,55 +24,61 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueTimeLimit:
-    """How long a task may wait in the queue, in multiples of its rank's latency objective."""
+    """How long a task may wait in the queue, as a multiple of its rank's latency objective."""
 
     essential: float
     other: float
 
 
-# The queue must not run empty while there is capacity, and must let most of its tasks start in time.
+# Long enough that the queue does not run empty while there is capacity, and short enough that most queued
+# tasks start in time.
 QUEUE_TIME_LIMITS: Mapping[Level, QueueTimeLimit] = {
     Level.CAREFUL: QueueTimeLimit(essential=2.0, other=0.7),
-    Level.RECOVERING: QueueTimeLimit(essential=1.5, other=0.1),  # `other`: ranks that are not restored yet
+    Level.RECOVERING: QueueTimeLimit(essential=1.5, other=0.1),  # `other`: ranks not yet restored
     Level.ESSENTIAL: QueueTimeLimit(essential=1.5, other=0.1),
     Level.HOLDING: QueueTimeLimit(essential=0.5, other=0.0),
 }
 RESTORED_QUEUE_TIME_LIMIT = 0.7
-"""The limit of ranks that are restored at `RECOVERING` and not essential."""
+"""The queue time limit of non-essential ranks that are restored at `RECOVERING`, as a multiple of their
+latency objective."""
 MIN_QUEUE_LIMIT = 8
-"""Tasks that may always wait: with none at all nothing would show that tasks are placed again."""
+"""Number of tasks that may be queued even while none is placed: with an empty queue the placer would not
+notice that tasks can be placed again."""
 FREE_CAPACITY_SHARE = 0.5
-"""Share of the free capacity that extends the queue limit, since tasks that can start at once do not queue.
-Not all of it: other placers see the same capacity."""
+"""Share of the free task slots that counts towards the queue limit, since tasks that can start at once do not
+queue. It is below 1 because other placers see the same free capacity."""
 HOLDING_QUEUE_LIMIT = 0
-"""The queue limit of ranks that are not essential, at `HOLDING`."""
+"""The queue limit of non-essential ranks at `HOLDING`, in tasks."""
 START_TIME_SLACK = 1.5
-"""Start times vary: tasks within this multiple of the typical start time are starting, not waiting."""
+"""Start times vary: a task within this multiple of the typical start time counts as starting, not queued."""
 BLOCKED_OFFER_SHARE = 0.5
-"""A class is blocked if machines reject this share of its offers as full: it waits for itself alone."""
-FAIR_SHARE_FROM = 0.5
-"""Fair shares apply once this share of the queue limit is taken; below it owners may take what they like."""
+"""A class is blocked if machines reject at least this share of its offers as full. Its tasks then count as a
+separate queue, so they do not hold up other classes."""
+FAIR_SHARE_THRESHOLD = 0.5
+"""Fair shares are enforced once the queue is filled to this share of its limit; below it an owner may queue
+any number of tasks."""
 OWNER_ACTIVE_MS = 10_000.0
-"""An owner counts as active for this time after its last request."""
+"""How long an owner counts as active after its last request."""
 MAX_ACTIVE_OWNERS = 1_000
-"""Owners that are remembered; it limits memory, not the number of owners."""
+"""Number of active owners that are remembered. It bounds memory; more owners may still submit work."""
 MIN_RETRY_MS = 1_000.0
 MAX_RETRY_MS = 30_000.0
 UNKNOWN_RATE_RETRY_MS = MAX_RETRY_MS / 4
-"""The retry delay, before jitter, while nothing is placed."""
+"""The retry delay, before jitter, while no task is placed."""
 RETRY_JITTER = (0.7, 1.6)
-"""Range of a retry delay's random factor: clients that are rejected together must not return together."""
+"""Range of the random factor of a retry delay, so that clients rejected together do not retry together."""
 INITIAL_START_MS = 300.0
-"""The typical start time until the first starts were measured."""
+"""The typical start time before any start was measured."""
 MAX_START_MS = 10 * INITIAL_START_MS
 START_DECAY = 0.5
-"""For a quick start the typical start time falls by this share of the difference."""
+"""After a start faster than the typical start time, that time falls by this share of the difference."""
 START_GROWTH = 1.02
-"""For a slow start it rises by this factor at most: time in the queue must not count as time of a start."""
+"""After a slower start it rises by at most this factor, so that time in the queue does not count as start
+time."""
 
 
 class RejectionReason(StrEnum):
-    """Why work is rejected; a word of the API."""
+    """Why work is rejected. The values are part of the API."""
 
     REDUCED_SERVICE = "ReducedService"
     CANNOT_BE_IN_TIME = "CannotBeInTime"
@@ -80,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """A job that asks to be admitted."""
+    """A request to admit the tasks of a job."""
 
     class_index: int
     owner: str
@@ -88,14 +95,15 @@
     remaining_ms: float
     """Time until the job's deadline."""
     is_retry: bool = field(default=False, kw_only=True)
-    """Whether the owner has requested the same job before."""
+    """Whether the owner has already requested the same job."""
     is_feasible: bool = field(default=True, kw_only=True)
-    """Whether any machine of the cluster could run a task: otherwise the request is no sign of load."""
+    """Whether any machine of the cluster could run a task of the job. Infeasible requests are not counted as
+    load."""
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Why work is not admitted now. `reason` is for programs, `text` for people."""
+    """Why a job is not admitted, and when to retry. `reason` is for programs, `text` for people."""
 
     reason: RejectionReason
     text: str
@@ -104,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionInputs:
-    """What admission depends on. The controller owns and updates it; the load shedder only reads it."""
+    """The state that admission depends on, owned and updated by the controller and only read here."""
 
     priority_order: PriorityOrder
     state_machine: LevelStateMachine
@@ -123,24 +131,24 @@
 
 
 class ActiveOwners:
-    """Owners with a recent request, `MAX_ACTIVE_OWNERS` at most, and the weights of owners."""
+    """The owners with a recent request, at most `MAX_ACTIVE_OWNERS`, and the weights of all owners."""
 
     def __init__(self, weights: Mapping[str, float]) -> None:
         self._weights = dict(weights)
         self._last_request_at: OrderedDict[str, float] = OrderedDict()
 
     def weight(self, owner: str) -> float:
-        """Return an owner's weight; owners without a setting have 1."""
+        """Return an owner's configured weight; the default is 1."""
         return self._weights.get(owner, 1.0)
 
     def record_request(self, now: float, owner: str) -> None:
-        """Note that an owner is active."""
+        """Mark an owner as active, and forget inactive or surplus owners."""
         self._last_request_at[owner] = now
         self._last_request_at.move_to_end(owner)
-        while self._has_surplus(now):
+        while self._must_drop_oldest(now):
             self._last_request_at.popitem(last=False)
 
-    def _has_surplus(self, now: float) -> bool:
+    def _must_drop_oldest(self, now: float) -> bool:
         if not self._last_request_at:
             return False
         oldest_request_at = next(iter(self._last_request_at.values()))
@@ -148,13 +156,13 @@
         return is_inactive or len(self._last_request_at) > MAX_ACTIVE_OWNERS
 
     def share(self, owner: str) -> float:
-        """Return an owner's share by weight among the active owners."""
+        """Return an owner's weight as a share of the active owners' total weight."""
         total_weight = sum(self.weight(name) for name in self._last_request_at)
         return self.weight(owner) / total_weight if total_weight else 1.0
 
 
 class LoadShedder:
-    """The admission of new work at one placer. Times are elapsed milliseconds."""
+    """Decides which new work one placer admits. Times are elapsed milliseconds."""
 
     def __init__(self, inputs: AdmissionInputs, owner_weights: Mapping[str, float], seed: int) -> None:
         self.owners = ActiveOwners(owner_weights)
@@ -164,14 +172,14 @@
         self._random = random.Random(seed)
 
     def on_task_started(self, waited_ms: float) -> None:
-        """Adjust the typical start time by a task that was placed so long after its admission."""
+        """Update the typical start time with a task that was placed `waited_ms` after its request."""
         if waited_ms < self.typical_start_ms:
             self.typical_start_ms += (waited_ms - self.typical_start_ms) * START_DECAY
         else:
             self.typical_start_ms = min(self.typical_start_ms * START_GROWTH, waited_ms, MAX_START_MS)
 
     def queue_limit(self, rank: int, placement_rate: float) -> float:
-        """Return how many tasks of a rank and above may wait for another one to be admitted.
+        """Return the number of queued tasks of a rank and above at which new tasks of the rank are rejected.
 
         Arguments:
             rank: the rank of the task's class.
@@ -180,15 +188,15 @@
         order = self._inputs.priority_order
         if self._level is Level.HOLDING and rank < order.first_essential_rank:
             return HOLDING_QUEUE_LIMIT
-        objectives = self._queue_time_limit(rank)
+        objective_multiple = self._queue_time_limit(rank)
         start_ms = START_TIME_SLACK * self.typical_start_ms
-        queue_ms = start_ms + objectives * order.rank_latency_objective_ms[rank]
+        queue_ms = start_ms + objective_multiple * order.rank_latency_objective_ms[rank]
         placed_in_time = placement_rate * queue_ms / 1000.0
-        startable_now = FREE_CAPACITY_SHARE * min(1.0, objectives) * self.free_task_slots
+        startable_now = FREE_CAPACITY_SHARE * min(1.0, objective_multiple) * self.free_task_slots
         return MIN_QUEUE_LIMIT + max(placed_in_time, startable_now)
 
     def decide(self, now: float, request: AdmissionRequest) -> Rejection | None:
-        """Decide whether a job is admitted; None means that it is. At `FULL` every job is."""
+        """Decide whether a job is admitted; None means that it is. At `FULL` every job is admitted."""
         self.owners.record_request(now, request.owner)
         if self._level is Level.FULL:
             return None
@@ -204,7 +212,7 @@
         return self._inputs.state_machine.level
 
     def _queue_time_limit(self, rank: int) -> float:
-        """Return how long a task of a rank may wait, in multiples of the latency objective."""
+        """Return how long a task of a rank may wait, as a multiple of the rank's latency objective."""
         limits = QUEUE_TIME_LIMITS[self._level]
         order = self._inputs.priority_order
         if rank >= order.first_essential_rank:
@@ -215,19 +223,19 @@
         return limits.other
 
     def _queue_of(self, now: float, class_index: int) -> _Queue:
-        """Return the queue that a class waits in: its own if it is blocked, else that of all others."""
+        """Return the queue that a class waits in: its own if blocked, else that of all unblocked classes."""
         signals, backlog = self._inputs.signals, self._inputs.backlog
         rank_of_class = self._inputs.priority_order.rank_of_class
         all_classes = range(len(rank_of_class))
         blocked_classes = frozenset(
-            one for one in all_classes if signals.rejected_offer_share(one) >= BLOCKED_OFFER_SHARE
+            index for index in all_classes if signals.rejected_offer_share(index) >= BLOCKED_OFFER_SHARE
         )
         if class_index in blocked_classes:
             classes: tuple[int, ...] = (class_index,)
             placement_rate = signals.class_placement_rate(now, class_index)
             tasks_ahead = backlog.count_of_class(class_index)
         else:
-            classes = tuple(one for one in all_classes if one not in blocked_classes)
+            classes = tuple(index for index in all_classes if index not in blocked_classes)
             placement_rate = signals.placement_rate(now)
             tasks_ahead = backlog.count_ahead_of(class_index, blocked_classes)
         limit = self.queue_limit(rank_of_class[class_index], placement_rate)
@@ -260,12 +268,12 @@
         return Rejection(RejectionReason.CANNOT_BE_IN_TIME, text, retry_ms)
 
     def _reject_over_share(self, queue: _Queue, request: AdmissionRequest) -> Rejection | None:
-        """Reject a job of an owner that holds more than its fair share of a queue that fills up."""
+        """Reject a job whose owner already has its fair share of a queue that is filling up."""
         backlog = self._inputs.backlog
         own_tasks = backlog.count_of_owner(request.owner, queue.classes)
         owner_share = self.owners.share(request.owner)
         fair_count = queue.limit * owner_share
-        fair_shares_apply = backlog.count_of_classes(queue.classes) >= FAIR_SHARE_FROM * queue.limit
+        fair_shares_apply = backlog.count_of_classes(queue.classes) >= FAIR_SHARE_THRESHOLD * queue.limit
         is_over_share = own_tasks >= max(1.0, fair_count)
         if not (fair_shares_apply and is_over_share):
             return None
@@ -277,7 +285,7 @@
         return Rejection(RejectionReason.OWNER_OVER_SHARE, text, retry_ms)
 
     def _retry_ms(self, tasks_to_wait_for: float, placement_rate: float) -> float:
-        """Return the delay after which a retry makes sense, with jitter."""
+        """Return the delay, with jitter, after which the client should retry."""
         wait_ms = UNKNOWN_RATE_RETRY_MS
         if placement_rate > 0:
             wait_ms = tasks_to_wait_for / placement_rate * 1000.0
--- a/kelpfront/degradation/model.py
+++ b/kelpfront/degradation/model.py
@@ -1,7 +1,7 @@
 """The data types of the package: service levels, observations of overload, and what each level restricts.
 
-This module holds no decisions. `level_state_machine` chooses the level, `load_shedder` applies it to new
-work, and the placer's own controller applies `LevelPolicy` to its own work.
+`level_state_machine` chooses the level, `load_shedder` applies it to new work, and the placer's controller
+applies `LevelPolicy` to its own work.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
     @property
     def raises_remaining(self) -> int:
-        """The number of times that the level can still be raised from here, one step at a time."""
+        """How many times the level can be raised from this one until the highest level is reached."""
         return _RAISES_REMAINING[self]
 
     @classmethod
@@ -44,7 +44,7 @@
 
 
 SIGNALLED_LEVELS = (Level.CAREFUL, Level.ESSENTIAL, Level.HOLDING)
-"""The levels that overload signals call for. `RECOVERING` is a stage on the way back from the last two."""
+"""The levels that overload signals can trigger. `RECOVERING` is entered only from the last two."""
 
 _RAISES_REMAINING = {
     Level.FULL: 3,
@@ -61,15 +61,15 @@
     Level.ESSENTIAL: "the essential classes go first; others are taken only where nothing waits",
     Level.HOLDING: "only a few tasks of the essential classes are taken; what was taken is answered",
 }
-"""What operators read about each level in the API (`status.meaning`)."""
+"""The description of each level in the API (`status.meaning`)."""
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityView:
-    """The cores of one zone's machines. Machines that drain do not count as ready."""
+    """The cores of one zone's machines. Draining machines do not count as ready."""
 
     total_cores: float
-    """Cores of all machines from which a message was ever received."""
+    """Cores of all machines that have ever sent a message."""
     ready_cores: float
     """Cores of the machines that are in use now."""
     unresponsive_cores: float
@@ -78,11 +78,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadObservation:
-    """What a placer observes at one moment. Events are counted separately, by `OverloadSignals`."""
+    """The load that a placer observes at one moment. `OverloadSignals` counts events separately."""
 
     zones: Mapping[str, CapacityView] = field(default_factory=dict)
     median_status_age_ms: float = 0.0
-    """Age of the last status of the median machine in use."""
+    """Median age of the last status received from each machine in use."""
     timer_lag_ms: float = 0.0
     """The longest delay of a timer since the previous observation."""
     decision_time_share: float = 0.0
@@ -90,24 +90,24 @@
     open_task_share: float = 0.0
     """Open tasks as a share of their limit."""
     memory_share: float = 0.0
-    """Memory of the process as a share of its limit; 0 where no limit is configured."""
+    """Memory of the process as a share of its limit; 0 if no limit is configured."""
     free_task_slots: float = 0.0
     """Number of tasks of average size that fit into the free capacity of the machines in use."""
 
 
 @dataclass(frozen=True, slots=True)
 class LevelPolicy:
-    """What a level changes in the placer's own work, apart from the admission of new work."""
+    """What a level restricts in the placer's own work, apart from the admission of new work."""
 
     publish_interval_ms: float
-    """Minimum time between two publications of changed jobs; answers are published at once at every level."""
+    """Minimum time between two publications of changed jobs. Answers are published at once at every level."""
     background_interval_factor: float
-    """Factor by which the intervals of deferrable work grow."""
+    """Factor by which the intervals of deferrable work are extended."""
     migration_allowed: bool
     """Whether tasks that receive poor service may be migrated."""
     attempt_time_objectives: float | None = None
-    """For classes that are not essential: how long a task is attempted, in multiples of the class's latency
-    objective. None: until the task's deadline."""
+    """How long a task of a non-essential class is attempted, as a multiple of the class's latency objective.
+    None: until the task's deadline."""
 
 
 LEVEL_POLICIES = {
--- a/kelpfront/degradation/overload_signals.py
+++ b/kelpfront/degradation/overload_signals.py
@@ -1,7 +1,7 @@
-"""Measures overload: counts what happens to tasks and turns counts and observations into signal values.
+"""Measures overload: counts events of tasks and derives signal values from the counts and observations.
 
-`thresholds` says which values call for which level, and `level_state_machine` acts on them. `Backlog` counts
-the admitted tasks that are not answered yet; `load_shedder` compares it with its limits.
+`thresholds` defines which values call for which level, and `level_state_machine` applies them. `Backlog`
+counts the admitted tasks that are not answered yet; `load_shedder` compares the counts with its limits.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from kelpfront.degradation.sliding_window import SlidingWindow
 
 PLACEMENT_RATE_WINDOW_MS = 5_000.0
-"""Window of the placement rate: long enough for tens of tasks where few are placed."""
+"""Window of the placement rate: long enough for tens of placements at a low rate."""
 
 
 class _Counter(StrEnum):
-    """The sums over `SIGNAL_WINDOW_MS`."""
+    """The keys of the sums over a sliding window."""
 
     TASKS_REQUESTED = "tasks requested"
     TASKS_CONSIDERED = "tasks considered for admission"
@@ -36,14 +36,14 @@
 
 
 class _ClassCounter(NamedTuple):
-    """A sum of one task class."""
+    """The key of a sum for one task class."""
 
     counter: _Counter
     class_index: int
 
 
 class OverloadSignals:
-    """The overload signals of one placer. Times are elapsed milliseconds, which never fall."""
+    """Measures the overload signals of one placer. Times are elapsed milliseconds, which never decrease."""
 
     def __init__(self, priority_order: PriorityOrder) -> None:
         self._priority_order = priority_order
@@ -53,17 +53,17 @@
     # ---- Events ---------------------------------------------------------------------------------------
 
     def on_requested(self, now: float, task_count: int) -> None:
-        """Count tasks that are requested for the first time, whether or not they are admitted."""
+        """Count tasks requested for the first time, whether or not they are admitted."""
         self._window.add(now, _Counter.TASKS_REQUESTED, task_count)
 
     def on_admission_decided(self, now: float, task_count: int, *, rejected: bool) -> None:
-        """Count tasks of an admission decision, of first requests and of retries alike."""
+        """Count the tasks of an admission decision, for first requests and retries alike."""
         self._window.add(now, _Counter.TASKS_CONSIDERED, task_count)
         if rejected:
             self._window.add(now, _Counter.TASKS_REJECTED, task_count)
 
     def on_placed(self, now: float, class_index: int, waited_share: float, *, within_objective: bool) -> None:
-        """Count a placed task; `waited_share` is the share of its deadline that it waited."""
+        """Count a placed task; `waited_share` is its waiting time as a share of its deadline."""
         self._placements.add(now, _Counter.TASKS_PLACED)
         self._placements.add(now, _ClassCounter(_Counter.TASKS_PLACED, class_index))
         self._window.add(now, _Counter.TASKS_PLACED)
@@ -101,21 +101,21 @@
         return self._placements.rate_per_s(_ClassCounter(_Counter.TASKS_PLACED, class_index))
 
     def rejected_offer_share(self, class_index: int) -> float:
-        """Return the share of a class's offers that machines rejected as full; 0 where there were too few."""
+        """Return the share of a class's offers that machines rejected as full, or 0 if there were too few."""
         return self._share(
             _ClassCounter(_Counter.OFFERS_REJECTED_AS_FULL, class_index),
             _ClassCounter(_Counter.OFFERS_ANSWERED, class_index),
         )
 
     def readings(self, now: float, observation: OverloadObservation) -> dict[str, float]:
-        """Return the value of every signal by its name."""
+        """Return the current values of all signals by their names."""
         self._window.advance(now)
         return {
             **_capacity_readings(observation),
-            thresholds.LIST_AGE: observation.median_status_age_ms,
+            thresholds.STATUS_AGE: observation.median_status_age_ms,
             **self._task_readings(),
-            thresholds.LAG: observation.timer_lag_ms,
-            thresholds.DECIDING: observation.decision_time_share,
+            thresholds.TIMER_LAG: observation.timer_lag_ms,
+            thresholds.DECISION_TIME: observation.decision_time_share,
             thresholds.OPEN_TASKS: observation.open_task_share,
             thresholds.MEMORY: observation.memory_share,
         }
@@ -123,13 +123,15 @@
     def _task_readings(self) -> dict[str, float]:
         classes = range(len(self._priority_order.rank_of_class))
         return {
-            thresholds.UNSERVED: self._unserved_share(),
-            thresholds.TURNED_AWAY: self._share(_Counter.TASKS_REJECTED, _Counter.TASKS_CONSIDERED),
-            thresholds.DEAR_LATE: self._share(_Counter.ESSENTIAL_LATE, _Counter.ESSENTIAL_ANSWERED),
-            thresholds.REFUSED_CLASS: max(
+            thresholds.UNSERVED_TASKS: self._unserved_share(),
+            thresholds.REJECTED_TASKS: self._share(_Counter.TASKS_REJECTED, _Counter.TASKS_CONSIDERED),
+            thresholds.LATE_ESSENTIAL_TASKS: self._share(
+                _Counter.ESSENTIAL_LATE, _Counter.ESSENTIAL_ANSWERED
+            ),
+            thresholds.REJECTED_OFFERS: max(
                 (self.rejected_offer_share(class_index) for class_index in classes), default=0.0
             ),
-            thresholds.WAITS: self._share(_Counter.WAITED_SHARES, _Counter.TASKS_ANSWERED),
+            thresholds.WAITED_SHARE: self._share(_Counter.WAITED_SHARES, _Counter.TASKS_ANSWERED),
         }
 
     def _unserved_share(self) -> float:
@@ -137,7 +139,7 @@
         placed = self._window.sum(_Counter.TASKS_PLACED)
         if requested < thresholds.MIN_SAMPLE_COUNT:
             return 0.0
-        return max(0.0, 1.0 - placed / requested)  # placed tasks may have been requested before the window
+        return max(0.0, 1.0 - placed / requested)  # tasks may have been requested before the window
 
     def _share(self, part: Hashable, total: Hashable) -> float:
         total_count = self._window.sum(total)
@@ -154,8 +156,8 @@
     lost_shares = (1.0 - zone.ready_cores / zone.total_cores for zone in zones if zone.total_cores)
     return {
         thresholds.CORES_LOST: 1.0 - ready_cores / total_cores if total_cores else 0.0,
-        thresholds.ROOM_LOST: max(lost_shares, default=0.0),
-        thresholds.SILENT: unresponsive_cores / ready_cores if ready_cores else 0.0,
+        thresholds.ZONE_CORES_LOST: max(lost_shares, default=0.0),
+        thresholds.UNRESPONSIVE_CORES: unresponsive_cores / ready_cores if ready_cores else 0.0,
     }
 
 
@@ -167,7 +169,7 @@
 
 
 class Backlog:
-    """Tasks that are admitted and not answered, by class and owner; the limit of open tasks bounds them."""
+    """Counts admitted tasks without an answer by class and owner. The limit of open tasks bounds its size."""
 
     def __init__(self, priority_order: PriorityOrder) -> None:
         self._priority_order = priority_order
@@ -195,7 +197,7 @@
         return sum(self._count_by_class[class_index] for class_index in classes)
 
     def count_ahead_of(self, class_index: int, excluded_classes: frozenset[int] = frozenset()) -> int:
-        """Return the number of tasks that go before a new task of a class, or are of its own rank.
+        """Return the number of tasks whose rank is at least that of a new task of a class.
 
         Tasks of excluded classes are not counted, except those of the class itself.
         """
--- a/kelpfront/degradation/priority_order.py
+++ b/kelpfront/degradation/priority_order.py
@@ -1,6 +1,6 @@
-"""The order in which task classes are given up, derived from their settings alone.
+"""The order in which task classes lose service under overload, derived from their settings.
 
-Names of classes play no part. Which class is rejected when is up to `load_shedder`.
+The order does not depend on the names of classes. `load_shedder` decides when tasks of a class are rejected.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class PriorityOrder:
-    """The ranks of the task classes, which are known by their index. Rank 0 is given up first."""
+    """The ranks of the task classes, by class index. Rank 0 loses service first."""
 
     rank_of_class: tuple[int, ...]
     rank_count: int
     first_essential_rank: int
     """Classes of this rank and above are essential."""
     rank_latency_objective_ms: tuple[float, ...]
-    """For each rank the shortest latency objective of that rank and all above: a class of low rank must not
-    wait longer than a class above it may."""
+    """For each rank the shortest latency objective of that rank and all above, so that a class of low rank is
+    never allowed a longer wait than a class above it."""
 
     def is_essential(self, class_index: int) -> bool:
         """Whether a class is essential."""
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class _RankKey:
-    """What decides the rank of a class; classes with the same key share a rank."""
+    """The settings that determine the rank of a class. Classes with equal keys share a rank."""
 
     priority: int
     priority_weight: float
@@ -43,8 +43,8 @@
 def rank_classes(classes: Sequence[TaskClass], essential_priority: int | None = None) -> PriorityOrder:
     """Rank task classes by priority, then by priority weight.
 
-    Essential are the classes of `essential_priority` and above; without it those of the highest priority, and
-    where all have the same priority those with the highest weight.
+    The classes of `essential_priority` and above are essential. If it is None, those of the highest priority
+    are; if all classes have the same priority, those with the highest weight are.
     """
     keys = sorted({_rank_key(task_class) for task_class in classes})
     rank_of_key = {key: rank for rank, key in enumerate(keys)}
@@ -63,7 +63,7 @@
 
 
 def _first_essential_rank(keys: Sequence[_RankKey], essential_priority: int | None) -> int:
-    """Return the lowest essential rank; at least one rank is essential whatever the settings say."""
+    """Return the lowest essential rank. Whatever the settings, at least the highest rank is essential."""
     highest_rank = len(keys) - 1
     highest_priority = keys[-1].priority
     if essential_priority is None:
--- a/kelpfront/degradation/sliding_window.py
+++ b/kelpfront/degradation/sliding_window.py
@@ -1,7 +1,7 @@
-"""Sums of named counters over the last seconds, in constant memory.
+"""Sums of named counters over a sliding time window, in constant memory.
 
-The window moves on in steps, so that memory depends on the number of names and not on the number of events.
-It has no clock: callers pass the time in.
+The window advances in steps, so its memory depends on the number of names and not on the number of events. It
+reads no clock: callers pass the time.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 STEP_COUNT = 20
-"""Number of steps in which a window moves on: the precision of its length is one step."""
+"""Number of steps of a window. Its length is precise to one step."""
 
 
 @dataclass(slots=True)
@@ -23,7 +23,7 @@
 
 
 class SlidingWindow:
-    """Named sums over the last `span_ms` milliseconds. Times never fall."""
+    """Named sums over the last `span_ms` milliseconds. A time before the latest one counts as the latest."""
 
     def __init__(self, span_ms: float) -> None:
         self.span_ms = span_ms
@@ -34,7 +34,7 @@
         self._now = 0.0
 
     def add(self, now: float, name: Hashable, amount: float = 1) -> None:
-        """Add an amount to a sum at a time in milliseconds."""
+        """Add an amount to a sum at the time `now`, in milliseconds."""
         self.advance(now)
         number = int(self._now // self._step_ms)
         if not self._buckets or self._buckets[-1].number != number:
@@ -43,7 +43,7 @@
         self._sums[name] += amount  # type: ignore[assignment]
 
     def advance(self, now: float) -> None:
-        """Drop the steps that are older than the window."""
+        """Move the window to `now` and drop the steps that have left it."""
         if self._started_at is None:
             self._started_at = now
         self._now = max(self._now, now)
@@ -53,14 +53,14 @@
             for name, amount in expired.sums.items():
                 self._sums[name] -= amount
         if not self._buckets:
-            self._sums.clear()  # rounding errors of the subtractions must not add up over days
+            self._sums.clear()  # rounding errors of the subtractions must not accumulate over days
 
     def sum(self, name: Hashable) -> float:
-        """Return a sum as of the last advance."""
+        """Return a sum as of the latest time passed."""
         return self._sums.get(name, 0)
 
     def rate_per_s(self, name: Hashable) -> float:
-        """Return a sum per second, over the window or the time since the first event if that is shorter."""
+        """Return a sum per second, over the window or, if that is shorter, the time since the first call."""
         if self._started_at is None:
             return 0.0
         span_ms = min(self.span_ms, max(self._step_ms, self._now - self._started_at))
--- a/tests/degradation/degradation_drivers.py
+++ b/tests/degradation/degradation_drivers.py
@@ -1,4 +1,4 @@
-"""Task classes and drivers of the tests of degradation: a state machine with a clock, and a loaded placer."""
+"""Task classes and drivers for the degradation tests: a state machine with a clock and a loaded placer."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class StateMachineDriver:
-    """A state machine that is stepped ten times a second with the signals that a test gives."""
+    """Steps a state machine ten times a second with the signal values that a test passes."""
 
     def __init__(self, max_changes_per_hour: int = 12, seed: int = 1) -> None:
         self.state_machine = LevelStateMachine(len(CLASSES), max_changes_per_hour, seed)
@@ -47,7 +47,7 @@
         self.changes: list[LevelChange] = []
 
     def run(self, seconds: float, **signals: float) -> None:
-        """Let time pass with constant signals; those that are not given are 0."""
+        """Let time pass with constant signal values; omitted signals are 0."""
         readings = {name.replace("_", "-"): value for name, value in signals.items()}
         end = self.now + seconds * 1000.0
         while self.now < end:
@@ -58,17 +58,17 @@
 
     @property
     def level(self) -> str:
-        """The name of the present level."""
+        """The name of the current level."""
         return self.state_machine.level.api_name
 
     @property
     def path(self) -> list[str]:
-        """The names of the levels that were entered."""
+        """The names of the levels entered so far, in order."""
         return [change.after.api_name for change in self.changes]
 
 
 class LoadedPlacer:
-    """A controller that is pinned to a level, after ten seconds of tasks placed at a constant rate."""
+    """A controller that is pinned to a level and has placed tasks at a constant rate for ten seconds."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
     def submit(
         self, class_index: int, owner: str = "a", task_count: int = 1, remaining_ms: float = 5000.0
     ) -> str:
-        """Request a job; the reason of its rejection, empty where it is admitted."""
+        """Request a job; return the reason of its rejection, or an empty string if it is admitted."""
         request = AdmissionRequest(class_index, owner, task_count, remaining_ms)
         rejection = self.controller.decide_admission(self.now, request)
         if rejection is None:
@@ -99,7 +99,7 @@
         return rejection.reason.value
 
     def fill(self, class_index: int, owner: str = "a", limit: int = 1000) -> int:
-        """Submit until a job is rejected; the number of jobs that were admitted."""
+        """Submit jobs until one is rejected; return the number of admitted jobs."""
         for number in range(limit):
             if self.submit(class_index, owner):
                 return number
--- a/tests/degradation/test_degradation_controller.py
+++ b/tests/degradation/test_degradation_controller.py
@@ -1,4 +1,4 @@
-"""The degradation of a placer as a whole: evidence, clock, requests and time of attempts."""
+"""Tests of the degradation controller: evidence, clock jumps, counted requests and attempt time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return OverloadObservation(zones)
 
 
-def test_a_lost_zone_is_reported_with_the_share_of_lost_cores() -> None:
+def test_a_lost_zone_raises_the_level_and_is_explained_by_the_share_of_lost_cores() -> None:
     controller = DegradationController(LevelSettings(), CLASSES, 1)
     now = START_OF_CLOCK_MS
     change = None
@@ -38,7 +38,7 @@
         change = change or controller.observe(now, two_zones(east_ready_cores=0.0))
     assert change is not None
     assert change.after is Level.CAREFUL
-    assert {one.signal for one in change.evidence} == {"cores-lost", "room-lost"}
+    assert {item.signal for item in change.evidence} == {"cores-lost", "room-lost"}
     assert any("batch: taken while fewer than" in line for line in describe_restrictions(controller))
     assert any(
         "cores-lost must fall under 12 %, and is at 50 %" in line
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("jump_ms", [3_600_000.0, -600_000.0, 1e12])
-def test_a_clock_that_jumps_gives_no_evidence_and_frees_no_changes(jump_ms: float) -> None:
+def test_a_clock_jump_is_no_evidence_and_adds_little_elapsed_time(jump_ms: float) -> None:
     controller = DegradationController(LevelSettings(), CLASSES, 1)
     now = START_OF_CLOCK_MS
     for number in range(200):
@@ -62,7 +62,7 @@
     assert 0.0 <= controller.elapsed_ms - before <= 2_000.0
 
 
-def test_unserved_counts_only_first_requests_that_are_feasible() -> None:
+def test_the_unserved_signal_counts_only_feasible_first_requests() -> None:
     controller = DegradationController(LevelSettings(), CLASSES, 1)
     now = START_OF_CLOCK_MS
     controller.observe(now, OverloadObservation())
@@ -77,7 +77,7 @@
     assert controller.readings["unserved"] == 0.0
 
 
-def test_what_is_not_essential_is_attempt_time_ms_less_time_where_little_is_served() -> None:
+def test_at_essential_other_classes_are_attempted_for_a_shorter_time() -> None:
     controller = LoadedPlacer(Level.FULL).controller
     assert [controller.attempt_time_ms(class_index, 8_000.0) for class_index in (BATCH, BLEND)] == [
         8_000.0,
@@ -88,7 +88,7 @@
         3_000.0,
         8_000.0,
     ]
-    assert controller.attempt_time_ms(BATCH, 500.0) == 500.0, "never longer than its owner waits"
+    assert controller.attempt_time_ms(BATCH, 500.0) == 500.0, "never beyond the deadline"
 
 
 def test_disabled_degradation_rejects_nothing() -> None:
--- a/tests/degradation/test_fair_queue.py
+++ b/tests/degradation/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The order in which admitted work leaves the queue."""
+"""Tests of the order in which admitted work leaves the queue."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     order = [queue.pop() for _ in range(len(queue))]
     assert order[0] == "essential"
     assert order.index("small") <= 2
-    assert [one for one in order if one.startswith("big")] == [f"big{n}" for n in range(100)]
+    assert [entry for entry in order if entry.startswith("big")] == [f"big{n}" for n in range(100)]
 
 
 def test_entries_of_an_owner_leave_by_deadline() -> None:
@@ -41,10 +41,10 @@
     queue: FairQueue[int] = FairQueue(lambda owner: weights.get(owner, 1.0))
     for number, (rank, owner, deadline) in enumerate(entries):
         queue.push(rank, owner, deadline, number)
-    out = [queue.pop() for _ in range(len(entries))]
-    assert sorted(out) == list(range(len(entries)))
+    popped = [queue.pop() for _ in range(len(entries))]
+    assert sorted(popped) == list(range(len(entries)))
     assert len(queue) == 0
-    ranks = [entries[number][0] for number in out]
+    ranks = [entries[number][0] for number in popped]
     assert ranks == sorted(ranks, reverse=True)
     with pytest.raises(IndexError):
         queue.pop()
--- a/tests/degradation/test_level_state_machine.py
+++ b/tests/degradation/test_level_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of levels: entry, exit, recovery, hysteresis and the limit of changes."""
+"""Tests of the level state machine: entry, exit, recovery, hysteresis and the limit of changes."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def test_each_signal_has_a_gap_between_entry_and_exit_and_rises_with_the_levels() -> None:
+def test_exit_thresholds_lie_below_entry_thresholds_which_rise_with_the_level() -> None:
     for signal in OVERLOAD_SIGNALS:
         by_level = [signal.for_level(level) for level in SIGNALLED_LEVELS]
         thresholds = [threshold for threshold in by_level if threshold is not None]
@@ -92,9 +92,9 @@
     level = driver.state_machine.level
     first_delay_ms = driver.state_machine.exit_delay_ms(level)
     driver.run(20.0)
-    driver.run(6.0, unserved=0.2)  # clear for too short a time to count as a recurrence
+    driver.run(6.0, unserved=0.2)  # the signal was clear for too short a time for a recurrence
     assert driver.state_machine.exit_delay_ms(level) == first_delay_ms
-    driver.run(42.0)  # with the first exit delay it would have been left by now
+    driver.run(42.0)  # longer than the first exit delay
     assert driver.level == "careful"
     driver.run(6.0, unserved=0.2)
     assert driver.state_machine.exit_delay_ms(level) == pytest.approx(2.0 * first_delay_ms)
@@ -145,11 +145,11 @@
     assert driver.level == "holding"
     assert driver.state_machine.changes_in_last_hour <= 6
     driver.run(3700.0)
-    assert driver.level == "full", "an hour later there are changes left again"
+    assert driver.level == "full", "an hour later changes are available again"
 
 
 def test_thirty_replicas_with_the_same_signals_do_not_change_level_together() -> None:
-    """For one cause that all observe at the same moment."""
+    """Jitter spreads the reactions of placers that observe the same cause at the same moment."""
     entered_at, left_at = [], []
     for seed in range(30):
         driver = StateMachineDriver(seed=seed)
@@ -162,7 +162,7 @@
     assert max(left_at) - min(left_at) > 0.3 * EXIT_DELAY_MS[Level.CAREFUL]
     for times in (entered_at, left_at):
         busiest = max(sum(at <= other < at + STEP_MS for other in times) for at in times)
-        assert busiest <= 8, "most of them must not change at the same observation"
+        assert busiest <= 8, "too many replicas changed at the same observation"
 
 
 READINGS = st.fixed_dictionaries(
@@ -197,7 +197,7 @@
         now += 1000.0 * max(0, seconds - 30)
     for at in changes_at:
         assert sum(at - HOUR_MS < other <= at for other in changes_at) <= max_changes
-    # Whatever came before, without any signal the level returns to full.
+    # Without any signal the level always returns to full.
     for _ in range(3 * 180):
         now += 20_000.0
         state_machine.step(now, {})
--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -1,4 +1,4 @@
-"""Levels as a placer serves them: the resource, refusals, the command line, a client not written here."""
+"""Tests of levels in a running placer: API resource, rejections, command line and Kubernetes client."""
 
 from __future__ import annotations
 
@@ -24,6 +24,7 @@
 
 PATH = f"{BASE}/levels/placer-0"
 SLACK_MS = 400.0
+"""Tolerance of measured times: the load, the machines and the placer share one process."""
 
 
 def level_object(service: PlacerService) -> Any:
@@ -37,7 +38,7 @@
     return body
 
 
-async def test_the_level_is_a_resource_that_fits_its_own_schema() -> None:
+async def test_the_level_resource_conforms_to_its_schema() -> None:
     async with cluster(2) as (_, service, _client):
         await until(lambda: service.store.find(LEVELS, ("", "placer-0")))
         status, listed = await call_json(service, "GET", f"{BASE}/levels")
@@ -74,12 +75,12 @@
         job = await client.wait_answers(await client.submit("climate", spec("blend"), name="c"), timeout_s=5)
         assert job.status is not None
         assert job.status.tasks[0].answer == "Placed"
-        assert service.store.find(JOBS, ("climate", "a")) is None, "what is turned away was never taken"
+        assert service.store.find(JOBS, ("climate", "a")) is None, "a rejected job must not be stored"
         body = (await call_json(service, "GET", PATH))[1]
         assert body["status"]["changes"][-1]["after"] == "holding"
 
 
-async def test_a_repeated_pin_restarts_its_time_and_one_written_back_does_not() -> None:
+async def test_a_repeated_pin_extends_its_time_and_an_unchanged_object_written_back_does_not() -> None:
     async with cluster(1) as (_, service, _client):
         first = await pin_level(service, "careful")
         await asyncio.sleep(0.01)
@@ -146,13 +147,13 @@
         configuration = kubernetes_client.Configuration()
         configuration.host = service.url
 
-        def work() -> list[str]:
+        def list_pin_and_watch() -> list[str]:
             with kubernetes_client.ApiClient(configuration) as api_client:
                 objects_api = kubernetes_client.CustomObjectsApi(api_client)
-                where = {"group": "kelpfront.dev", "version": "v1", "plural": "levels"}
-                listed = objects_api.list_cluster_custom_object(**where)
+                resource = {"group": "kelpfront.dev", "version": "v1", "plural": "levels"}
+                listed = objects_api.list_cluster_custom_object(**resource)
                 objects_api.patch_cluster_custom_object(
-                    **where,
+                    **resource,
                     name="placer-0",
                     body={"spec": {"pin": {"level": "careful", "for": "5m"}}},
                     _content_type="application/merge-patch+json",
@@ -160,7 +161,7 @@
                 levels = []
                 events = kubernetes_watch.Watch().stream(
                     objects_api.list_cluster_custom_object,
-                    **where,
+                    **resource,
                     resource_version=listed["metadata"]["resourceVersion"],
                     timeout_seconds=20,
                 )
@@ -170,7 +171,7 @@
                         break
                 return levels
 
-        assert (await asyncio.to_thread(work))[-1] == "careful"
+        assert (await asyncio.to_thread(list_pin_and_watch))[-1] == "careful"
 
 
 async def test_the_command_line_shows_explains_pins_and_watches() -> None:
@@ -202,14 +203,14 @@
 
 
 async def test_lost_machines_raise_the_level_with_evidence() -> None:
-    """Most of the machines crash: careful, then essential, with the evidence by the signal's name."""
+    """When most machines crash, the level rises to essential with the lost cores as evidence."""
     async with cluster(4) as (test_cluster, service, _client):
         await until(lambda: level_name(service) == "full")
         for name in ("n0", "n1", "n2"):
             test_cluster.fleet.machines[name].crash()
         await until(lambda: level_name(service) == "essential")
         change = level_object(service)["status"]["changes"][-1]
-        assert {one["symptom"] for one in change["evidence"]} == {"cores-lost"}
+        assert {item["symptom"] for item in change["evidence"]} == {"cores-lost"}
         assert change["evidence"][0]["value"] == 0.75
         assert any(
             "cores-lost must fall under" in line for line in level_object(service)["status"]["leavesWhen"]
@@ -233,8 +234,8 @@
     assert controller.signals.readings(controller.elapsed_ms, observation)["lag"] == 300.0
 
 
-async def test_during_a_flood_drains_hold_and_admitted_tasks_are_answered_in_time() -> None:
-    """Far more jobs, watches and broken connections than a placer can handle, while a machine drains."""
+async def test_during_a_flood_drains_take_effect_and_admitted_tasks_are_answered_in_time() -> None:
+    """A machine drains while jobs, watches and broken connections exceed what a placer can handle."""
     async with cluster(4, "limits.open_tasks=400") as (test_cluster, service, client):
         host, port = "127.0.0.1", service.http.port
         flooding = True
@@ -264,18 +265,17 @@
                 writer.transport.abort()
                 await asyncio.sleep(0.005)
 
-        work = [asyncio.create_task(flood(number)) for number in range(40)]
-        work += [asyncio.create_task(abort_watches()) for _ in range(4)]
+        clients = [asyncio.create_task(flood(number)) for number in range(40)]
+        clients += [asyncio.create_task(abort_watches()) for _ in range(4)]
         await asyncio.sleep(3.0)
         test_cluster.fleet.machines["n0"].drain(on=True)
         await asyncio.sleep(3.0)
         flooding = False
-        await asyncio.gather(*work)
+        await asyncio.gather(*clients)
         assert admitted
         assert rejected_count
         await until(lambda: service.controller.open_tasks == 0)
         drain_sent_at = test_cluster.events("told", machine="n0", state="draining")[0]["t"]
-        # Flood, machines and placer share this process, so that times are measured with some slack.
         late_offers = [
             offer
             for offer in test_cluster.events("offer", machine="n0")
@@ -285,9 +285,9 @@
         for name in admitted:
             task = service.store.get(JOBS, ("climate", name)).body["status"]["tasks"][0]
             assert task.get("answer"), name
-            waited = _ms(task["answeredAt"]) - _ms(task["createdAt"])
-            assert waited <= 4000.0 + SLACK_MS, (name, waited)
+            waited_ms = _epoch_ms(task["answeredAt"]) - _epoch_ms(task["createdAt"])
+            assert waited_ms <= 4000.0 + SLACK_MS, (name, waited_ms)
 
 
-def _ms(stamp: str) -> float:
-    return datetime.fromisoformat(stamp.replace("Z", "+00:00")).timestamp() * 1000.0
+def _epoch_ms(timestamp: str) -> float:
+    return datetime.fromisoformat(timestamp.replace("Z", "+00:00")).timestamp() * 1000.0
--- a/tests/degradation/test_load_shedder.py
+++ b/tests/degradation/test_load_shedder.py
@@ -1,4 +1,4 @@
-"""Admission at each level: queue limits, order of classes, fair shares and retry delays."""
+"""Tests of admission at each level: queue limits, order of classes, fair shares and retry delays."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("level", [Level.CAREFUL, Level.RECOVERING, Level.ESSENTIAL, Level.HOLDING])
-def test_below_full_queues_are_limited_and_essential_classes_have_the_longer_one(level: Level) -> None:
+def test_reduced_levels_limit_queues_and_give_essential_classes_the_higher_limit(level: Level) -> None:
     batch, blend = LoadedPlacer(level).fill(BATCH), LoadedPlacer(level).fill(BLEND)
     assert batch < blend < 100
     if level is Level.HOLDING:
@@ -56,13 +56,13 @@
 
 
 def test_an_owner_with_more_weight_may_queue_more_tasks() -> None:
-    def filled(**weights: float) -> int:
+    def admitted_count(**weights: float) -> int:
         placer = LoadedPlacer(Level.CAREFUL, owner_weights=weights)
         for owner in "bcde":
             placer.submit(BATCH, owner)
         return placer.fill(BATCH, "a")
 
-    assert filled(a=4.0) > filled()
+    assert admitted_count(a=4.0) > admitted_count()
 
 
 def test_retry_delays_have_jitter() -> None:
@@ -104,4 +104,6 @@
         for class_index in (BATCH, WEB, BLEND)
     ]
     rejected = [rejection is not None for rejection in rejections]
-    assert rejected == sorted(rejected, reverse=True), "a class is rejected and one of lower rank is not"
+    assert rejected == sorted(rejected, reverse=True), (
+        "a class is rejected while one of lower rank is admitted"
+    )
--- a/tests/degradation/test_priority_order.py
+++ b/tests/degradation/test_priority_order.py
@@ -1,4 +1,4 @@
-"""The order in which classes are given up."""
+"""Tests of the ranks of task classes, which determine the order of load shedding."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     assert rank_classes(same_priority).first_essential_rank == 3, "the highest weight is essential"
     assert rank_classes([task_class()]).first_essential_rank == 0
     renamed = [
-        task_class(name=f"x{n}", priority=c.priority, priority_weight=c.priority_weight)
-        for n, c in enumerate(CLASSES)
+        task_class(name=f"x{n}", priority=original.priority, priority_weight=original.priority_weight)
+        for n, original in enumerate(CLASSES)
     ]
     assert rank_classes(renamed).rank_of_class == order.rank_of_class
--- a/tests/degradation/test_sliding_window.py
+++ b/tests/degradation/test_sliding_window.py
@@ -1,4 +1,4 @@
-"""Sums over a sliding window."""
+"""Tests of the sums over a sliding window."""
 
 from __future__ import annotations
 
@@ -20,6 +20,6 @@
         window.add(now, "x", amount)
         added.append((now, amount))
     step_ms = SIGNAL_WINDOW_MS / STEP_COUNT
-    lowest = sum(amount for at, amount in added if at > now - SIGNAL_WINDOW_MS + step_ms)
-    highest = sum(amount for at, amount in added if at > now - SIGNAL_WINDOW_MS - step_ms)
+    lowest = sum(amount for added_at, amount in added if added_at > now - SIGNAL_WINDOW_MS + step_ms)
+    highest = sum(amount for added_at, amount in added if added_at > now - SIGNAL_WINDOW_MS - step_ms)
     assert lowest <= window.sum("x") <= highest
