--- a/kelpfront/tracing/__init__.py
+++ b/kelpfront/tracing/__init__.py
@@ -1,4 +1,5 @@
-"""Traces by OpenTelemetry: one for each task, from its submission over each attempt to its end, in a file.
+"""OpenTelemetry traces, one for each task, that cover its submission, its attempts and its end.
 
-`spans` makes a trace from the controller's records, `finished_tasks` hands it over, `export` writes it.
+`spans` builds a trace from the controller's records, `finished_tasks` passes each finished trace on, and
+`export` writes traces to a file.
 """
--- a/kelpfront/tracing/export.py
+++ b/kelpfront/tracing/export.py
@@ -1,7 +1,7 @@
-"""Writes spans through the OpenTelemetry SDK to a file of JSON lines, bounded in size and in what is queued.
+"""Writes spans through the OpenTelemetry SDK to a file of JSON lines.
 
-It knows nothing of tasks: what a trace consists of is worked out by `spans`. The SDK is specified at
-https://opentelemetry.io/docs/specs/otel/trace/sdk/
+The size of the file and the number of queued spans are bounded. `spans` builds the traces; this module does
+not depend on their content. The SDK is specified at https://opentelemetry.io/docs/specs/otel/trace/sdk/
 """
 
 from __future__ import annotations
@@ -29,17 +29,18 @@
 from kelpfront.tracing.spans import ParentSpan, Span
 
 MAX_QUEUED_SPANS = 8_192
-"""Spans that wait to be written; the SDK drops more, so that a slow disk costs traces and no memory."""
+"""Number of spans that may be queued for writing. The SDK drops any more, so that a slow disk loses traces
+instead of filling the memory."""
 NS_PER_MS = 1_000_000
 DEFAULT_MAX_BYTES = 64 << 20
-"""Size of the file, of which two are kept."""
+"""Size limit of one file; the current file and its predecessor are kept."""
 
 
 class FileExporter(SpanExporter):
-    """Writes a line for each span. A file that is full is renamed NAME.1, in place of an earlier one."""
+    """Writes one line for each span. A full file is renamed to NAME.1 and replaces an earlier NAME.1."""
 
     def __init__(self, path: Path, max_bytes: int) -> None:
-        """Append to the file at `path`, up to `max_bytes`."""
+        """Open the file at `path` for appending; it is rotated before it exceeds `max_bytes`."""
         self._path = path
         self._max_bytes = max_bytes
         self._open()
@@ -49,9 +50,9 @@
         self._size = self._file.tell()
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write spans; FAILURE on a full disk or a closed file, where tasks go on without their traces."""
+        """Write spans. If the disk is full or the file is closed, return FAILURE; tasks are not affected."""
         try:
-            if self._file.closed:  # an earlier rotation failed half way
+            if self._file.closed:  # an earlier rotation failed after closing the file
                 self._open()
             for span in spans:
                 line = json.dumps(_to_json(span), separators=(",", ":")) + "\n"
@@ -70,15 +71,15 @@
 
     def shutdown(self) -> None:
         """Close the file."""
-        with contextlib.suppress(OSError):  # what a full disk did not take
+        with contextlib.suppress(OSError):  # the disk may be too full for buffered data
             self._file.close()
 
 
 def _to_json(span: ReadableSpan) -> dict[str, Any]:
-    """Return a span as one object; times in nanoseconds since the epoch, identities as hexadecimal text."""
+    """Convert a span to a JSON object. Times are nanoseconds since the epoch; ids are hexadecimal text."""
     context = span.get_span_context()
     assert context is not None
-    found: dict[str, Any] = {
+    record: dict[str, Any] = {
         "trace": format(context.trace_id, "032x"),
         "span": format(context.span_id, "016x"),
         "name": span.name,
@@ -87,16 +88,16 @@
         "attributes": dict(span.attributes or {}),
     }
     if span.parent is not None:
-        found["parent"] = format(span.parent.span_id, "016x")
+        record["parent"] = format(span.parent.span_id, "016x")
     if span.events:
-        found["events"] = [{"name": event.name, "at": event.timestamp} for event in span.events]
+        record["events"] = [{"name": event.name, "at": event.timestamp} for event in span.events]
     if span.status.status_code is trace.StatusCode.ERROR:
-        found["error"] = span.status.description or ""
-    return found
+        record["error"] = span.status.description or ""
+    return record
 
 
 class _SeededIds(IdGenerator):
-    """Draws ids from one seed, so that runs in virtual time are the same twice."""
+    """Generates ids from a seed, so that runs in virtual time are reproducible."""
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(f"traces/{seed}")
@@ -110,13 +111,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TracerSettings:
-    """How traces are written.
+    """Settings of a tracer.
 
     Attributes:
-        share: of the traces that are written, between 0 and 1.
-        max_bytes: size of the file.
-        seed: of the ids of traces and spans.
-        synchronous: whether each trace is written before the next thing happens, without a thread.
+        share: the share of all traces that is written, between 0 and 1.
+        max_bytes: the size limit of one file.
+        seed: the seed of trace and span ids.
+        synchronous: whether `Tracer.write` writes to the file itself instead of leaving it to a thread.
     """
 
     share: float = 1.0
@@ -126,7 +127,7 @@
 
 
 class Tracer:
-    """Takes whole traces and writes a share of them."""
+    """Receives complete traces and writes a share of them."""
 
     def __init__(
         self,
@@ -151,11 +152,11 @@
         self._tracer = self._provider.get_tracer("kelpfront")
 
     def write(self, root: Span, parent: ParentSpan | None = None) -> None:
-        """Write a trace; `parent` is the client's span that it belongs to."""
+        """Write a trace; `parent` is the client's span under which it is placed, if any."""
         if parent is not None:
             flags = trace.TraceFlags(trace.TraceFlags.SAMPLED)
-            above = trace.SpanContext(parent.trace_id, parent.span_id, is_remote=True, trace_flags=flags)
-            context = trace.set_span_in_context(trace.NonRecordingSpan(above))
+            remote = trace.SpanContext(parent.trace_id, parent.span_id, is_remote=True, trace_flags=flags)
+            context = trace.set_span_in_context(trace.NonRecordingSpan(remote))
         else:
             context = trace.set_span_in_context(trace.INVALID_SPAN)
         self._write(root, context)
@@ -169,15 +170,15 @@
         )
         if not span.is_recording():
             return  # the sampler did not choose this trace
-        for name, at in recorded.events:
-            span.add_event(name, timestamp=round(at * NS_PER_MS))
+        for name, event_ms in recorded.events:
+            span.add_event(name, timestamp=round(event_ms * NS_PER_MS))
         if recorded.error:
             span.set_status(trace.Status(trace.StatusCode.ERROR, recorded.error))
-        within = trace.set_span_in_context(span)
+        span_context = trace.set_span_in_context(span)
         for child in recorded.children:
-            self._write(child, within)
+            self._write(child, span_context)
         span.end(round(recorded.end * NS_PER_MS))
 
     def close(self) -> None:
-        """Write what is queued, and close the file."""
+        """Write the queued spans and close the file."""
         self._provider.shutdown()
--- a/kelpfront/tracing/finished_tasks.py
+++ b/kelpfront/tracing/finished_tasks.py
@@ -1,6 +1,6 @@
-"""Hands over the trace of each task that a controller is done with.
+"""Passes on the trace of each task when the controller removes the task.
 
-The trace is made from the task's record at that moment; what it consists of is `spans`' matter.
+`spans` builds the trace from the task's record at that moment.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 
 from kelpfront.controller.job_controller import JobController
 from kelpfront.controller.tasks import Task
-from kelpfront.tracing.spans import ParentSpan, Span, parent_of, trace_of
+from kelpfront.tracing.spans import ParentSpan, Span, build_trace, parse_parent_span
 
-Sink = Callable[[Span, ParentSpan | None], None]
+TraceSink = Callable[[Span, ParentSpan | None], None]
 
 
-def trace_finished_tasks(controller: JobController, sink: Sink, now: Callable[[], float]) -> None:
-    """Have the trace of each task go to `sink` when the controller forgets the task.
+def trace_finished_tasks(controller: JobController, sink: TraceSink, now: Callable[[], float]) -> None:
+    """Call `sink` with the trace of each task that the controller removes.
 
     Args:
-        controller: decides and answers as without traces.
-        sink: takes a trace, and the client's span that it belongs to.
-        now: tells the common clock.
+        controller: the controller to trace; its decisions and answers are not affected.
+        sink: receives a trace and the client's span to which it belongs, if any.
+        now: returns the time of the common clock.
     """
 
     def on_removed(task: Task) -> None:
-        sink(trace_of(task, controller.name, now()), parent_of(task.job.annotations))
+        sink(build_trace(task, controller.name, now()), parse_parent_span(task.job.annotations))
 
     controller.context.task_table.on_removed = on_removed
--- a/kelpfront/tracing/spans.py
+++ b/kelpfront/tracing/spans.py
@@ -1,7 +1,7 @@
-"""The spans of a task's trace, made from the record that the controller keeps of the task. No I/O, no clock.
+"""Builds the spans of a task's trace from the record that the controller keeps of the task.
 
-Nothing is recorded for a trace while a task is placed: its record has all times already, so a trace costs
-nothing until the task is over, and is then made once.
+The module does no I/O and reads no clock. Nothing is recorded for tracing while a task is being placed: its
+record already has all times. The trace is built once, after the task has ended.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from kelpfront.controller.tasks import Attempt, Task
 
 PARENT_ANNOTATION = "kelpfront.dev/traceparent"
-"""A job's annotation: the client's own span, as W3C Trace Context."""
-Value = str | int | float | bool
+"""The job annotation in which a client passes its own span, in the format of W3C Trace Context."""
+AttributeValue = str | int | float | bool
 HEX_DIGITS = frozenset("0123456789abcdef")
 TRACEPARENT_LENGTHS = [2, 32, 16, 2]
-"""Lengths of version, trace id, parent id and flags; https://www.w3.org/TR/trace-context/."""
+"""Lengths of the version, trace id, parent id and flags; see https://www.w3.org/TR/trace-context/."""
 
 
 class ParentSpan(NamedTuple):
-    """The client's span that a trace belongs to."""
+    """The client's span to which a trace belongs."""
 
     trace_id: int
     span_id: int
 
 
 class SpanEvent(NamedTuple):
-    """Something that happened at a moment of a span, in milliseconds of the common clock."""
+    """An event within a span; `at` is in milliseconds of the common clock."""
 
     name: str
     at: float
@@ -37,50 +37,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """One part of a trace, with parts of its own.
+    """A span of a trace, with its child spans.
 
     Attributes:
-        begin: in milliseconds of the common clock, as `end`.
-        error: what went wrong; empty where nothing did.
+        begin: the start time in milliseconds of the common clock.
+        end: the end time in milliseconds of the common clock.
+        error: a description of the failure; empty if there was none.
     """
 
     name: str
     begin: float
     end: float
-    attributes: Mapping[str, Value] = field(default_factory=dict)
+    attributes: Mapping[str, AttributeValue] = field(default_factory=dict)
     events: tuple[SpanEvent, ...] = ()
     error: str = ""
     children: tuple[Span, ...] = ()
 
 
-def trace_of(task: Task, controller_name: str, now: float) -> Span:
-    """Return the root span of a task that the controller has no more to do with."""
-    end = _end_of(task, now)
+def build_trace(task: Task, controller_name: str, now: float) -> Span:
+    """Return the root span of a task that the controller has finished."""
+    end = _end_time(task, now)
     is_failure = task.answer in (Answer.REFUSED, Answer.FAILED) or task.state is TaskState.LOST
-    moments = (("answered", task.answered_at), ("running", task.running_at))
+    event_times = (("answered", task.answered_at), ("running", task.running_at))
     return Span(
         f"task {task.state.value.lower()}",
         task.created_at,
         max(end, task.created_at),
         _attributes(task, controller_name),
-        tuple(SpanEvent(name, at) for name, at in moments if at is not None),
+        tuple(SpanEvent(name, at) for name, at in event_times if at is not None),
         (task.reason or task.state.value) if is_failure else "",
         tuple(_children(task, end)),
     )
 
 
-def _end_of(task: Task, now: float) -> float:
-    """Return the end of a task's trace: its own, or that of its last attempt where it never ran."""
+def _end_time(task: Task, now: float) -> float:
+    """Return the end of a task's trace: the task's own end or, if it has none, its answer or last attempt."""
     end = max(filter(None, (task.ended_at, task.answered_at)), default=now)
     if task.ended_at is not None:
         return end
-    attempt_ends = [a.ended_at for a in task.attempts if a.ended_at is not None and not a.placed]
+    attempt_ends = [
+        attempt.ended_at for attempt in task.attempts if attempt.ended_at is not None and not attempt.placed
+    ]
     return max([end, *attempt_ends])
 
 
-def _attributes(task: Task, controller_name: str) -> dict[str, Value]:
+def _attributes(task: Task, controller_name: str) -> dict[str, AttributeValue]:
     job = task.job
-    attributes: dict[str, Value] = {
+    attributes: dict[str, AttributeValue] = {
         "kelpfront.placer": controller_name,
         "kelpfront.namespace": job.namespace,
         "kelpfront.job": job.name,
@@ -105,31 +108,33 @@
 
 
 def _children(task: Task, end: float) -> Iterator[Span]:
-    """Yield waits and attempts in the order of time; they do not overlap."""
-    at = task.created_at
+    """Yield the spans of waits and attempts in chronological order, without overlap."""
+    previous_end = task.created_at
     for number, attempt in enumerate(task.attempts):
-        if attempt.decided_at > at:
-            yield Span("wait" if number == 0 else "wait for another attempt", at, attempt.decided_at)
+        if attempt.decided_at > previous_end:
+            yield Span(
+                "wait" if number == 0 else "wait for another attempt", previous_end, attempt.decided_at
+            )
         yield from _attempt_spans(task, attempt, end)
         settled_at = _settled_at(task, attempt)
-        at = max(at, attempt.decided_at, end if settled_at is None else settled_at)
-    if task.answered_at is not None and task.answered_at > at:
-        yield Span("wait", at, task.answered_at, error="no machine took it in time")
+        previous_end = max(previous_end, attempt.decided_at, end if settled_at is None else settled_at)
+    if task.answered_at is not None and task.answered_at > previous_end:
+        yield Span("wait", previous_end, task.answered_at, error="no machine took it in time")
 
 
 def _settled_at(task: Task, attempt: Attempt) -> float | None:
-    """Return when an attempt was no longer out: accepted, or ended."""
+    """Return when an attempt was accepted or ended; None if it was neither."""
     return task.answered_at if attempt.placed else attempt.ended_at
 
 
 def _attempt_spans(task: Task, attempt: Attempt, end: float) -> Iterator[Span]:
-    """Yield the span of the offer, and that of the time on the machine where it was accepted."""
+    """Yield the span of the offer and, if it was accepted, that of the time on the machine."""
     settled_at = _settled_at(task, attempt)
-    until = max(attempt.decided_at, end if settled_at is None else settled_at)
+    attempt_end = max(attempt.decided_at, end if settled_at is None else settled_at)
     yield Span(
         f"attempt at {attempt.host}",
         attempt.decided_at,
-        until,
+        attempt_end,
         _attempt_attributes(attempt),
         () if attempt.sent_at is None else (SpanEvent("sent", attempt.sent_at),),
         "" if attempt.placed else (attempt.reason or attempt.end or "no answer"),
@@ -146,8 +151,8 @@
         )
 
 
-def _attempt_attributes(attempt: Attempt) -> dict[str, Value]:
-    attributes: dict[str, Value] = {
+def _attempt_attributes(attempt: Attempt) -> dict[str, AttributeValue]:
+    attributes: dict[str, AttributeValue] = {
         "kelpfront.machine": attempt.host,
         "kelpfront.attempt": attempt.number,
     }
@@ -159,16 +164,16 @@
     return attributes
 
 
-def parent_of(annotations: Mapping[str, str]) -> ParentSpan | None:
-    """Return the client's span that a job belongs to; None where none is named, or not properly.
+def parse_parent_span(annotations: Mapping[str, str]) -> ParentSpan | None:
+    """Return the client's span from a job's annotations; None if it is missing or malformed.
 
-    The form is that of W3C Trace Context: VERSION-TRACE-SPAN-FLAGS in lower-case hexadecimal, with neither
-    trace nor span all zeros. Version 00 has no further parts; ff is not allowed.
+    The format is that of W3C Trace Context: VERSION-TRACE-SPAN-FLAGS in lower-case hexadecimal, where neither
+    trace nor span is all zeros. Version 00 has no further parts; version ff is not allowed.
     """
     parts = annotations.get(PARENT_ANNOTATION, "").split("-")
     version = parts[0]
-    has_its_lengths = [len(part) for part in parts[:4]] == TRACEPARENT_LENGTHS
-    if not has_its_lengths or version == "ff" or (version == "00" and len(parts) > 4):
+    has_valid_lengths = [len(part) for part in parts[:4]] == TRACEPARENT_LENGTHS
+    if not has_valid_lengths or version == "ff" or (version == "00" and len(parts) > 4):
         return None
     if not set("".join(parts[:4])) <= HEX_DIGITS:
         return None
