--- a/kelpfront/http/__init__.py
+++ b/kelpfront/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 over asyncio and h11: client connections, a pool of them, and a server with bounds.
+"""HTTP/1.1 over asyncio and h11: client connections, a connection pool and a server with limits.
 
-It knows nothing of what requests mean; the REST API and the machines' protocol are built on it.
+The package does not interpret requests. The REST API and the protocol of the machines are built on it.
 """
--- a/kelpfront/http/client.py
+++ b/kelpfront/http/client.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 client connections.
 
-Errors say what matters to a caller that must not do a thing twice: `NotSentError` means that nothing was
-sent, `NoAnswerError` that the request may have arrived although no answer did. Reuse of connections is left
-to `pool`, retries to the callers.
+The errors tell a caller whether a request that must not be executed twice can be retried safely:
+`NotSentError` means that nothing was sent, `NoAnswerError` that the request may have arrived although its
+response did not. `pool` reuses connections; callers retry requests.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 import h11
 
 READ_BYTES = 65536
-MAX_BODY_BYTES = 64 << 20  # of an answer, unless the caller says otherwise
-_BODY_METHODS = ("POST", "PUT", "PATCH")  # servers expect a length with these, though the body be empty
+MAX_BODY_BYTES = 64 << 20  # of a response, by default
+_BODY_METHODS = ("POST", "PUT", "PATCH")  # these need a content length even if the body is empty
 
 
 class HttpError(Exception):
-    """A request that got no answer."""
+    """A request failed without a complete response."""
 
 
 class NotSentError(HttpError):
-    """There was no connection to send the request on; nothing was sent."""
+    """The request was not sent: there was no connection, or the caller withheld it."""
 
 
 class NoAnswerError(HttpError):
-    """The request was sent, at least in part, and its answer did not arrive completely."""
+    """The request was sent, at least in part, but its response did not arrive completely."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -41,7 +41,7 @@
 
 
 class StreamingReply(NamedTuple):
-    """An answer whose body is read in fragments as they arrive; header names are in lower case."""
+    """A response whose body is read in fragments as they arrive; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -54,7 +54,7 @@
 
 
 class HttpConnection:
-    """One connection, for one request at a time. A request that is cancelled or interrupted breaks it."""
+    """A connection for one request at a time. A request that is cancelled or interrupted aborts it."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str, max_body_bytes: int
@@ -68,7 +68,7 @@
 
     @classmethod
     async def open(cls, host: str, port: int, max_body_bytes: int = MAX_BODY_BYTES) -> HttpConnection:
-        """Connect. Raises NotSentError."""
+        """Open a connection. Raises NotSentError if that fails."""
         try:
             reader, writer = await asyncio.open_connection(host, port, limit=READ_BYTES)
         except OSError as error:
@@ -77,15 +77,15 @@
 
     @property
     def usable(self) -> bool:
-        """Whether another request can be sent: the connection is idle, and not known to be closed."""
+        """Whether another request can be sent: the connection is idle and not known to be closed."""
         return self._protocol.our_state is h11.IDLE and self._is_open() and self._reader.exception() is None
 
     def abort(self) -> None:
-        """Break the connection at once."""
+        """Close the connection at once and discard what was not sent."""
         self._writer.transport.abort()
 
     def close(self) -> None:
-        """Close the connection after what was written has been sent."""
+        """Close the connection after all written data was sent."""
         self._writer.close()
 
     async def request(
@@ -96,12 +96,12 @@
         headers: tuple[tuple[str, str], ...] = (),
         before_send: Callable[[], bool] | None = None,
     ) -> Reply:
-        """Send a request and return its complete answer.
+        """Send a request and return its complete response.
 
-        `before_send` is called immediately before the request is written; if it returns False, nothing is
-        sent and the call ends as NotSentError.
+        `before_send` is called immediately before the request is written. If it returns False, nothing is
+        sent and NotSentError is raised.
 
-        Raises NotSentError, and NoAnswerError where the request may have arrived.
+        Raises NotSentError, or NoAnswerError if the request may have arrived.
         """
         try:
             status, reply_headers = await self._send_request(method, target, body, headers, before_send)
@@ -115,9 +115,9 @@
     async def stream(
         self, method: str, target: str, body: bytes = b"", headers: tuple[tuple[str, str], ...] = ()
     ) -> StreamingReply:
-        """Send a request and return its answer's head, with the body in fragments as they arrive.
+        """Send a request and return the head of its response, with the body in fragments as they arrive.
 
-        Raises as `request` does; reading the fragments raises NoAnswerError.
+        Raises the same errors as `request`. Reading the fragments may raise NoAnswerError.
         """
         try:
             status, reply_headers = await self._send_request(method, target, body, headers, None)
@@ -140,16 +140,16 @@
         return b"".join(fragments)
 
     async def _fragments(self) -> AsyncIterator[bytes]:
-        ended = False
+        is_complete = False
         try:
             event = await self._next_event()
             while not isinstance(event, h11.EndOfMessage):
                 assert isinstance(event, h11.Data)
                 yield bytes(event.data)
                 event = await self._next_event()
-            ended = True
+            is_complete = True
         finally:
-            if ended:
+            if is_complete:
                 self._finish_exchange()
             else:
                 self.abort()
@@ -212,7 +212,7 @@
         return event
 
     def _finish_exchange(self) -> None:
-        """Make the connection ready for the next request, or close it where it cannot carry another."""
+        """Make the connection ready for the next request, or close it if it cannot be reused."""
         protocol = self._protocol
         if protocol.our_state is h11.DONE and protocol.their_state is h11.DONE:
             protocol.start_next_cycle()
--- a/kelpfront/http/exchange.py
+++ b/kelpfront/http/exchange.py
@@ -1,6 +1,6 @@
-"""The requests and answers of one server connection, within the server's bounds of size and time.
+"""Reads requests and writes responses on one server connection, within the server's limits of size and time.
 
-Which requests are answered, and how, is left to `server` and its handler.
+`server` and its handler decide which requests are answered and how.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 from kelpfront.http.peer import Peer
 
 READ_BYTES = 65536
-MAX_LINGER_S = 1.0  # for a rejected client to stop sending
+MAX_LINGER_S = 1.0  # how long data of a rejected client is still read
 
 
 class Exchange:
-    """Reads requests from a connection and writes their answers, one after the other."""
+    """Reads requests from a connection and writes their responses, one request at a time."""
 
     def __init__(
         self,
@@ -35,16 +35,16 @@
         self._writer = writer
         self._limits = limits
         self._pacer = pacer
-        self._slot_began = 0.0  # when the present request got its slot; 0 where it had to wait for more since
+        self._slot_started_at = 0.0  # when the current request got its slot; 0 if it holds none
         self._head_only = False
         self._loop = asyncio.get_running_loop()
 
     # ---- Requests -------------------------------------------------------------------------------------
 
     async def read_request(self, peer: Peer) -> Request | None:
-        """Return the next request, or None where the client closed or stayed idle.
+        """Return the next request, or None if the client closed the connection or stayed idle.
 
-        Raises RequestRejectedError for a request that is malformed or exceeds a bound.
+        Raises RequestRejectedError for a request that is malformed or exceeds a limit.
         """
         event = self._next_event()
         if event is h11.NEED_DATA and not self._protocol.trailing_data[0]:
@@ -74,7 +74,7 @@
         )
 
     async def _wait_for_first_byte(self) -> bool:
-        """Return False where none arrives within the idle time."""
+        """Return whether data or the end of the stream arrived within the idle timeout."""
         try:
             async with asyncio.timeout(self._limits.idle_timeout_s):
                 await self._read()
@@ -101,7 +101,7 @@
         if length is not None and int(length) > limits.body_bytes:
             raise RequestRejectedError(413, f"a body of {length} bytes; {limits.body_bytes} are allowed")
         if length is None and "transfer-encoding" not in headers:
-            # Without a body, the end of the message is there at once.
+            # The request has no body, so the end of the message follows without further data.
             while not isinstance(self._next_event(), h11.EndOfMessage):
                 pass
             return b""
@@ -150,20 +150,20 @@
     async def _begin_slot(self) -> None:
         if self._pacer is not None:
             await self._pacer.wait_for_slot()
-            self._slot_began = self._pacer.clock()
+            self._slot_started_at = self._pacer.clock()
 
     def end_slot(self) -> None:
-        """Report what the present request took of its slot; what it does from now on is not counted."""
-        if self._pacer is not None and self._slot_began:
-            self._pacer.record_work(self._pacer.clock() - self._slot_began)
-            self._slot_began = 0.0
+        """Report the time that the current request used of its slot. Its later work is not counted."""
+        if self._pacer is not None and self._slot_started_at:
+            self._pacer.record_work(self._pacer.clock() - self._slot_started_at)
+            self._slot_started_at = 0.0
 
-    # ---- Answers --------------------------------------------------------------------------------------
+    # ---- Responses ------------------------------------------------------------------------------------
 
     async def send(self, response: Response, *, closing: bool) -> None:
-        """Write an answer; with `closing`, it says that the connection closes after it.
+        """Write a response; `closing` announces that the connection closes after it.
 
-        Raises TimeoutError where the client does not read it in time.
+        Raises TimeoutError if the client does not read it in time.
         """
         headers = [("content-type", response.content_type), *response.headers]
         if closing:
@@ -205,13 +205,13 @@
         await self._drain()
 
     async def _drain(self) -> None:
-        """Wait, for a bounded time, for a client that reads more slowly than it is sent to."""
+        """Wait, up to the write timeout, for a client that reads more slowly than data is written."""
         if self._writer.transport.get_write_buffer_size() > self._limits.write_buffer // 2:
             async with asyncio.timeout(self._limits.write_timeout_s):
                 await self._writer.drain()
 
     def start_next_request(self) -> bool:
-        """Make the connection ready for the next request; False where it cannot carry another."""
+        """Make the connection ready for the next request; return False if it cannot be reused."""
         protocol = self._protocol
         if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
             return False
@@ -219,7 +219,7 @@
         return True
 
     async def reject(self, status: int, body: bytes) -> None:
-        """Answer a request that was not read completely, and close the connection for writing."""
+        """Respond to a request that was not read completely, and close the connection for writing."""
         if self._protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         headers = [
@@ -229,8 +229,8 @@
         ]
         try:
             self._writer.write(self._encode_response(status, headers, body))
-            # What the client still sends is read for a while: closing at once would reset the connection,
-            # and the client could lose the answer.
+            # Data that the client still sends is read for a while: closing at once would reset the
+            # connection, and the client could lose the response.
             async with asyncio.timeout(min(MAX_LINGER_S, self._limits.write_timeout_s)):
                 await self._writer.drain()
                 self._writer.write_eof()
--- a/kelpfront/http/limits.py
+++ b/kelpfront/http/limits.py
@@ -1,6 +1,6 @@
-"""The bounds on what one HTTP server spends on its clients.
+"""The resource limits of an HTTP server.
 
-Their values come from the programs' configuration; `exchange` and `server` apply them.
+The programs' configuration sets the values; `exchange` and `server` apply them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpLimits:
-    """Bounds of one server, on connections, requests and times."""
+    """Limits of one server on connections, request sizes and times."""
 
     connections: int = 10_000
     head_bytes: int = 32_768
@@ -19,5 +19,5 @@
     head_timeout_s: float = 10.0  # for the complete head, from its first byte
     body_timeout_s: float = 10.0
     idle_timeout_s: float = 90.0  # between requests of a connection
-    write_timeout_s: float = 20.0  # for a client that does not read its answer
-    write_buffer: int = 256 * 1024  # bytes of answer that may wait in this process for one client
+    write_timeout_s: float = 20.0  # for a client that does not read its response
+    write_buffer: int = 256 * 1024  # bytes of a response that may be buffered for one client
--- a/kelpfront/http/messages.py
+++ b/kelpfront/http/messages.py
@@ -1,6 +1,6 @@
-"""Requests and responses as handlers see them, and the errors that end an exchange early.
+"""The requests and responses that handlers work with, and the errors that end an exchange early.
 
-Reading and writing them is left to `exchange`, their meaning to the handlers.
+`exchange` reads requests and writes responses; handlers interpret them.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request; header names are in lower case, `received_at` is the loop's time of its first byte."""
+    """One request. Header names are in lower case; `received_at` is the loop's time of its first byte."""
 
     method: str
     path: str
@@ -27,10 +27,10 @@
 
 @dataclass(slots=True)
 class Response:
-    """An answer. A stream is sent chunk by chunk as it is made; its end ends the answer.
+    """A response. A `stream` is sent chunk by chunk as it is produced; its end ends the response.
 
-    `deferred` is for an answer that has to wait for others: it is sent in place of this one, and the request
-    does not count as work of this process meanwhile.
+    `deferred` is for a response that has to wait for something else. The awaited response is sent instead of
+    this one, and the wait does not count as work in the request's slot.
     """
 
     status: int
@@ -45,11 +45,11 @@
 
 
 class Abort(Exception):  # noqa: N818 - control flow, not an error
-    """Raised by a handler to break the connection without an answer: for stand-ins that misbehave."""
+    """Raised by a handler to abort the connection without a response, to simulate a crash or a fault."""
 
 
 class RequestRejectedError(Exception):
-    """A request that never reaches the handler: it is answered with `status`, and the connection closed."""
+    """The request is not passed to the handler: the response has `status`, and the connection is closed."""
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -58,10 +58,10 @@
 
 
 class ErrorBody(Protocol):
-    """Makes the body that answers a request which never reached the handler."""
+    """Creates the response body for a request that was rejected before it reached the handler."""
 
     def __call__(self, status: int, message: str) -> bytes:
-        """Return a body of JSON."""
+        """Return a JSON body."""
         ...
 
 
--- a/kelpfront/http/pacing.py
+++ b/kelpfront/http/pacing.py
@@ -1,12 +1,13 @@
-"""Pacing of requests, so that a flood of them does not delay work that was accepted before.
+"""Paces requests, so that a flood of them does not delay work that was accepted earlier.
 
-An event loop runs all that is ready before it looks at its timers. With a thousand requests ready at once,
-answers that are due would wait for all of them. Here requests wait in a queue, and each iteration of the loop
-serves a time slice of them.
+An event loop runs all ready callbacks before it checks its timers. With a thousand requests ready at once,
+responses that are due would wait for all of them. The pacer therefore queues requests, and each iteration of
+the loop serves only as many as fit in a time slice.
 
-The queue is first in, first out while it is short. Once it is not, the newest go first (adaptive LIFO):
-served in order, each would have waited so long that its answer is of little use. Those that have waited too
-long are let through as well, a few in each iteration, for the handler to reject them.
+The queue is first in, first out while its wait is short. When the wait is long, the newest requests go first
+(adaptive LIFO): served in order, every request would have waited so long that its response is of little use.
+Requests that have waited too long are also let through, a few in each iteration, and the handler rejects
+them.
 """
 
 from __future__ import annotations
@@ -17,21 +18,21 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-SLICE_S = 0.005  # of requests' work in one iteration of the loop: well under the timers' resolution
-MAX_FIFO_WAIT_S = 0.05  # the queue is served in order while its first has waited for less
-MAX_WAIT_S = 1.0  # in the queue; then its client is better rejected than kept waiting
-NEWEST_WEIGHT = 0.05  # of the newest request in the average cost, which says how many fit in a slice
-MIN_AVERAGE_S = 1e-6  # keeps the number that fits in a slice finite
-EXPIRED_SHARE = 4  # one request that waited too long is let through for each so many that fit
+SLICE_S = 0.005  # work in one iteration of the loop: well under the timers' resolution
+MAX_FIFO_WAIT_S = 0.05  # the queue is served in order while its oldest request has waited for less
+MAX_WAIT_S = 1.0  # after this time in the queue a client is better rejected than kept waiting
+NEWEST_WEIGHT = 0.05  # of a request in the moving average of cost, by which a slice is filled
+MIN_AVERAGE_S = 1e-6  # limits the number of requests that fit in a slice
+EXPIRED_SHARE = 4  # one in this many requests of a slice may be one that waited too long
 
 
 class _WaitingRequest(NamedTuple):
-    since: float
+    queued_at: float
     slot: asyncio.Future[None]
 
 
 class RequestPacer:
-    """Gives requests slots in the iterations of the event loop. `clock` is in seconds.
+    """Assigns requests to iterations of the event loop. `clock` is in seconds.
 
     A request calls `wait_for_slot` before its work and `record_work` after it.
     """
@@ -46,7 +47,7 @@
 
     @property
     def waiting(self) -> int:
-        """How many requests wait, cancelled ones included until they are passed over."""
+        """The number of queued requests. Cancelled ones are included until they are skipped."""
         return len(self._queue)
 
     async def wait_for_slot(self) -> None:
@@ -56,10 +57,10 @@
         slot = asyncio.get_running_loop().create_future()
         self._queue.append(_WaitingRequest(self.clock(), slot))
         self._schedule()
-        await slot  # a request that is cancelled here is passed over when it would be served
+        await slot  # a request that is cancelled here is skipped when its turn comes
 
     def record_work(self, seconds: float) -> None:
-        """Count the time that a request's work took against the present slice."""
+        """Subtract the time of a request's work from the current slice."""
         self._remaining_s -= seconds
         self._average_s += NEWEST_WEIGHT * (seconds - self._average_s)
         self._schedule()
@@ -80,14 +81,14 @@
             self._schedule()
 
     def _choose(self, now: float, capacity: int) -> list[asyncio.Future[None]]:
-        """Remove and return the slots of the requests that are served in this iteration."""
+        """Remove the requests that this iteration serves from the queue, and return their slots."""
         queue = self._queue
         while queue and queue[0].slot.done():
             queue.popleft()
         chosen = self._choose_expired(now, max(1, capacity // EXPIRED_SHARE))
         while queue and len(chosen) < capacity:
-            is_short = now - queue[0].since < MAX_FIFO_WAIT_S
-            request = queue.popleft() if is_short else queue.pop()
+            wait_is_short = now - queue[0].queued_at < MAX_FIFO_WAIT_S
+            request = queue.popleft() if wait_is_short else queue.pop()
             if not request.slot.done():
                 chosen.append(request.slot)
         return chosen
@@ -96,7 +97,7 @@
         queue = self._queue
         chosen: list[asyncio.Future[None]] = []
         for _ in range(limit):
-            if not queue or now - queue[0].since < MAX_WAIT_S:
+            if not queue or now - queue[0].queued_at < MAX_WAIT_S:
                 break
             request = queue.popleft()
             if not request.slot.done():
--- a/kelpfront/http/peer.py
+++ b/kelpfront/http/peer.py
@@ -1,6 +1,6 @@
-"""The other end of a connection, for those who must know when it has closed.
+"""The other end of a connection, for code that must be notified when it closes.
 
-The server (or a gRPC stream) marks it; handlers subscribe to it.
+The server (or a gRPC stream) records the changes; handlers subscribe to them.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 
 
 class Peer:
-    """The other end of a connection. `closed` is set when it has closed, or the connection broke.
+    """The other end of a connection. `closed` is set once it has closed or the connection broke.
 
-    A peer that only shut down its sending side (as `nc -N` does) has `half_closed` set; it may still read.
+    `half_closed` is set if the peer only shut down its sending side (as `nc -N` does); it may still read.
     """
 
     __slots__ = ("_subscribers", "address", "closed", "half_closed")
@@ -22,18 +22,18 @@
         self.half_closed = False
         self._subscribers: list[Callable[[], None]] = []
 
-    def on_change(self, call: Callable[[], None]) -> Callable[[], None]:
-        """Call `call` when `closed` or `half_closed` is set, at once if one already is.
+    def on_change(self, callback: Callable[[], None]) -> Callable[[], None]:
+        """Call `callback` when `closed` or `half_closed` is set, and at once if one already is.
 
-        Returns what removes the subscription.
+        Returns a function that cancels the subscription.
         """
-        self._subscribers.append(call)
+        self._subscribers.append(callback)
         if self.closed or self.half_closed:
-            call()
+            callback()
 
         def cancel() -> None:
-            if call in self._subscribers:
-                self._subscribers.remove(call)
+            if callback in self._subscribers:
+                self._subscribers.remove(callback)
 
         return cancel
 
@@ -43,10 +43,10 @@
         self._notify()
 
     def mark_half_closed(self) -> None:
-        """Record that the other end sends nothing more."""
+        """Record that the other end has shut down its sending side."""
         self.half_closed = True
         self._notify()
 
     def _notify(self) -> None:
-        for call in list(self._subscribers):  # a copy, because a call may cancel its subscription
-            call()
+        for callback in list(self._subscribers):  # a copy, because a callback may cancel its subscription
+            callback()
--- a/kelpfront/http/pool.py
+++ b/kelpfront/http/pool.py
@@ -1,7 +1,7 @@
 """A bounded pool of client connections to one address.
 
-It decides which connection is reused and how long an idle one is kept. Requests are left to
-`client.HttpConnection`.
+The pool decides which connection is reused and how long an idle one is kept. `client.HttpConnection` sends
+the requests.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 class HttpPool:
     """At most `max_connections` connections at a time, kept for reuse while idle.
 
-    An idle connection is closed after `idle_timeout_s`, which must be less than the server's own: a request
-    that meets the server's close cannot be told from one that arrived. `connect_timeout_s` bounds how long
-    `acquire` waits.
+    An idle connection is closed after `idle_timeout_s`, which must be less than the server's idle timeout: if
+    the server closes the connection while a request is sent, the client cannot tell whether the request
+    arrived. `connect_timeout_s` limits how long `acquire` waits.
     """
 
     def __init__(
@@ -34,19 +34,19 @@
         self._connect_timeout_s = connect_timeout_s
         self._idle_timeout_s = idle_timeout_s
         self._permits = asyncio.Semaphore(max_connections)
-        self._idle: deque[HttpConnection] = deque()  # the one that was used last is at the right
+        self._idle: deque[HttpConnection] = deque()  # the most recently used one is at the right
         self._in_use: dict[HttpConnection, None] = {}
         self.closed = False
 
     @property
     def open(self) -> int:
-        """How many connections are open, idle ones included."""
+        """The number of open connections, including idle ones."""
         return len(self._idle) + len(self._in_use)
 
     async def acquire(self) -> HttpConnection:
-        """Return a connection to use, which the caller must give back by `release`.
+        """Return a connection, which the caller must return with `release`.
 
-        Raises NotSentError where there is none within the time to connect, or the pool is closed.
+        Raises NotSentError if there is none within the connect timeout, or if the pool is closed.
         """
         try:
             async with asyncio.timeout(self._connect_timeout_s):
@@ -64,7 +64,7 @@
         return connection
 
     async def _reuse_or_connect(self) -> HttpConnection:
-        """Return a connection and hold one permit for it, until `release`."""
+        """Return a connection and hold one permit for it until `release`."""
         await self._permits.acquire()
         try:
             return self._pop_idle() or await HttpConnection.open(self._host, self._port)
@@ -73,7 +73,7 @@
             raise
 
     def _pop_idle(self) -> HttpConnection | None:
-        """Return the idle connection that was used last, so that the others may grow old and be closed."""
+        """Return the most recently used idle connection, so that surplus ones reach the idle timeout."""
         now = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
@@ -86,7 +86,7 @@
         return connection.usable and now - connection.last_used_at < self._idle_timeout_s
 
     def release(self, connection: HttpConnection) -> None:
-        """Give a connection back; it is closed if it cannot be used again."""
+        """Return a connection to the pool; it is closed if it cannot be reused."""
         self._in_use.pop(connection, None)
         if connection.usable and not self.closed:
             self._idle.append(connection)
@@ -95,13 +95,13 @@
         self._permits.release()
 
     def close_idle(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections that have exceeded the idle timeout."""
         now = asyncio.get_running_loop().time()
         while self._idle and not self._can_reuse(self._idle[0], now):
             self._idle.popleft().abort()
 
     def close(self) -> None:
-        """Break all connections; requests on them end as NoAnswerError."""
+        """Abort all connections; requests in progress on them raise NoAnswerError."""
         self.closed = True
         for connection in (*self._idle, *self._in_use):
             connection.abort()
--- a/kelpfront/http/server.py
+++ b/kelpfront/http/server.py
@@ -1,7 +1,7 @@
-"""The HTTP/1.1 server under the REST API and under the machines' protocol.
+"""The HTTP/1.1 server for the REST API and for the protocol of the machines.
 
-It accepts connections, within bounds, and hands each request to one handler. Reading requests and writing
-answers is left to `exchange`; what the requests mean is the handler's matter.
+It accepts a limited number of connections and passes each request to one handler, which interprets it.
+`exchange` reads the requests and writes the responses.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class _StreamProtocol(asyncio.StreamReaderProtocol):
-    """asyncio's stream protocol, which also marks the peer as closed while nobody reads."""
+    """A stream protocol that marks the peer as closed even while nothing reads from the stream."""
 
     def __init__(
         self, on_connection: Callable[[asyncio.StreamReader, asyncio.StreamWriter, Peer], None], limit: int
@@ -47,8 +47,8 @@
 class HttpServer:
     """Serves one handler on one address.
 
-    With a `pacer`, each request waits for its slot; then the handler must not wait for anything itself.
-    The server owns one task for each connection, and cancels those that are left in `abort` and `close`.
+    With a `pacer`, each request waits for its slot; the handler itself must then not wait for anything.
+    The server owns one task for each connection; `abort` and `close` cancel the remaining tasks.
     """
 
     def __init__(
@@ -66,12 +66,12 @@
         self._connections: dict[asyncio.Task[None], asyncio.StreamWriter] = {}
         self._answering_count = 0
         self._closing = False
-        self._idle = asyncio.Event()
-        self._idle.set()
+        self._all_answered = asyncio.Event()
+        self._all_answered.set()
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     @property
@@ -81,7 +81,7 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     async def start(self, host: str, port: int, *, backlog: int = 1024, reuse_port: bool = False) -> None:
-        """Listen. Raises OSError where the address is not available."""
+        """Start to listen. Raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _StreamProtocol(self._connected, READ_BYTES),
@@ -92,24 +92,24 @@
         )
 
     def stop_listening(self) -> None:
-        """Accept no more connections; those that are open are served on."""
+        """Accept no more connections; open ones are still served."""
         if self._server is not None:
             self._server.close()
 
     async def close(self, within_s: float = 5.0) -> None:
-        """Stop listening, let requests that are being answered end, then close all connections."""
+        """Stop listening, wait for requests in progress, then close all connections."""
         self._closing = True
         self.stop_listening()
         if self._answering_count:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(within_s):
-                    await self._idle.wait()
+                    await self._all_answered.wait()
         self.abort()
         if self._connections:
             await asyncio.wait(list(self._connections), timeout=within_s)
 
     def abort(self) -> None:
-        """Break all connections at once, as a machine that crashes does."""
+        """Abort all connections at once, as a crash of the machine would."""
         self._closing = True
         self.stop_listening()
         for task, writer in list(self._connections.items()):
@@ -150,7 +150,7 @@
             )
 
     async def _serve_requests(self, exchange: Exchange, peer: Peer) -> None:
-        """Answer requests until the client closes, the connection cannot go on, or the server closes."""
+        """Serve requests until the client or the server closes or the connection cannot be reused."""
         while not self._closing:
             request = await exchange.read_request(peer)
             if request is None:
@@ -166,12 +166,12 @@
 
     @contextlib.contextmanager
     def _answering(self) -> Iterator[None]:
-        """Count a request as being answered, so that `close` waits for it."""
+        """Count a request as in progress, so that `close` waits for it."""
         self._answering_count += 1
-        self._idle.clear()
+        self._all_answered.clear()
         try:
             yield
         finally:
             self._answering_count -= 1
             if not self._answering_count:
-                self._idle.set()
+                self._all_answered.set()
--- a/tests/http/test_http.py
+++ b/tests/http/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server against clients that misbehave, and the client against servers that do."""
+"""Tests of the HTTP server with faulty clients and of the HTTP client with faulty servers."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def exchange_raw(server: HttpServer, data: bytes, *, half_close: bool = False) -> bytes:
-    """All that the server answers until it closes."""
+    """Send bytes and return everything that the server sends until it closes the connection."""
     reader, writer = await asyncio.open_connection(HOST, server.port)
     writer.write(data)
     if half_close:
@@ -61,8 +61,8 @@
 
 async def test_pipelined_requests_of_a_half_closed_client_are_all_answered() -> None:
     async with serving() as server:
-        one = b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n"
-        answer = await exchange_raw(server, one % 1 + one % 2 + one % 3, half_close=True)
+        request = b"GET /%d HTTP/1.1\r\nhost: a\r\n\r\n"
+        answer = await exchange_raw(server, request % 1 + request % 2 + request % 3, half_close=True)
         assert [answer.count(b"GET /%d" % n) for n in (1, 2, 3)] == [1, 1, 1]
 
 
@@ -86,7 +86,7 @@
     ],
     ids=lambda value: value if isinstance(value, int) else "",
 )
-async def test_a_request_that_cannot_be_read_is_answered_and_its_connection_closed(
+async def test_an_unreadable_request_gets_an_error_response_and_its_connection_is_closed(
     data: bytes, status: int
 ) -> None:
     async with serving() as server:
@@ -125,12 +125,12 @@
         writer.close()
 
 
-async def test_connections_beyond_the_limit_are_refused_and_others_are_served_on() -> None:
+async def test_connections_beyond_the_limit_are_rejected_and_open_ones_are_still_served() -> None:
     limits = HttpLimits(connections=2, head_timeout_s=5)
     async with serving(limits=limits) as server:
         connections = [await asyncio.open_connection(HOST, server.port) for _ in range(2)]
         for _, writer in connections:
-            writer.write(b"GET / HTTP/1.1\r\nhost: a\r\n")  # no end
+            writer.write(b"GET / HTTP/1.1\r\nhost: a\r\n")  # an incomplete head keeps the connection open
             await writer.drain()
         answer = await exchange_raw(server, b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
         assert answer.startswith(b"HTTP/1.1 503 ")
@@ -178,7 +178,7 @@
         connection.close()
 
 
-async def test_close_waits_for_requests_that_are_being_answered() -> None:
+async def test_close_waits_for_requests_in_progress() -> None:
     started = asyncio.Event()
     release = asyncio.Event()
 
@@ -197,7 +197,7 @@
         await closing
 
 
-async def test_a_request_that_was_not_sent_is_told_from_one_that_may_have_arrived() -> None:
+async def test_errors_distinguish_unsent_requests_from_those_that_may_have_arrived() -> None:
     async def handler(request: Request) -> Response:
         if request.path == "/break":
             raise Abort
@@ -251,7 +251,7 @@
         pool.close()
 
 
-async def test_a_cancelled_request_breaks_its_connection() -> None:
+async def test_a_cancelled_request_aborts_its_connection() -> None:
     async def never(_: Request) -> Response:
         await asyncio.Event().wait()
         raise AssertionError
--- a/tests/http/test_pacing.py
+++ b/tests/http/test_pacing.py
@@ -1,4 +1,4 @@
-"""Pacing of requests: in order while the queue is short, the newest first when it is long."""
+"""Tests of request pacing: first in, first out while waits are short, newest first when they are long."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def served() -> list[str]:
-    """The names of the requests, in the order in which they were served."""
+    """The names of the requests in the order in which they were served."""
     return []
 
 
@@ -38,7 +38,7 @@
 async def start_requests(
     pacer: RequestPacer, names: list[str], served: list[str]
 ) -> list[asyncio.Task[None]]:
-    """Requests that wait behind one that used up the slice, each of which takes so long that one fits."""
+    """Start requests that queue behind a first one; each uses up a slice, so one runs per iteration."""
 
     async def request(name: str) -> None:
         await pacer.wait_for_slot()
@@ -60,7 +60,7 @@
     assert pacer.waiting == 0
 
 
-async def test_requests_are_served_in_order_while_the_queue_is_short(
+async def test_requests_are_served_in_order_while_the_wait_is_short(
     pacer: RequestPacer, served: list[str]
 ) -> None:
     requests = await start_requests(pacer, ["a", "b", "c"], served)
@@ -68,7 +68,7 @@
     assert served == ["first", "a", "b", "c"]
 
 
-async def test_the_newest_request_is_served_first_when_the_queue_is_long(
+async def test_the_newest_request_is_served_first_when_the_wait_is_long(
     pacer: RequestPacer, clock: ManualClock, served: list[str]
 ) -> None:
     requests = await start_requests(pacer, ["a", "b", "c"], served)
@@ -86,7 +86,7 @@
     assert served == ["first", "a", "b", "c"]
 
 
-async def test_a_cancelled_request_is_passed_over(pacer: RequestPacer, served: list[str]) -> None:
+async def test_a_cancelled_request_is_skipped(pacer: RequestPacer, served: list[str]) -> None:
     requests = await start_requests(pacer, ["a", "b"], served)
     requests[1].cancel()
     await asyncio.gather(*requests, return_exceptions=True)
