--- a/kelpfront/inventory/__init__.py
+++ b/kelpfront/inventory/__init__.py
@@ -1,7 +1,7 @@
-"""The inventory: which machines there are, read from CSV or YAML as configuration tools write them.
+"""The inventory: the machines of a cluster, read from the CSV or YAML files of configuration tools.
 
-A file is read completely or not at all, and all that is wrong with it is reported at once. What becomes of
-the hosts is left to the callers.
+A file is read completely or rejected as a whole, with all its problems in one error. Callers decide what to
+do with the hosts.
 """
 
 from kelpfront.inventory.builder import KindSize
--- a/kelpfront/inventory/builder.py
+++ b/kelpfront/inventory/builder.py
@@ -1,6 +1,7 @@
-"""Turns entries of either format into hosts: what must be given, what must agree, what must be unique.
+"""Validates the host entries of an inventory file and builds the inventory.
 
-Reading a format is left to its reader, which hands over entries one by one.
+It checks required columns, kinds and sizes, consistent spelling of locations, and unique names, addresses and
+machine numbers. The reader of each format passes its entries here one by one.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from kelpfront.inventory.problems import ProblemReport
 from kelpfront.numbers import machine_number
 
-DEFAULT_PORT = 8141  # of agents
+DEFAULT_PORT = 8141  # the port on which agents listen
 MAX_PORT = 65_535
 
 _HOST_NAME = re.compile(r"[A-Za-z0-9]([-A-Za-z0-9.]{0,251}[A-Za-z0-9])?\.?")
 _IGNORED_IN_SPELLING = re.compile(r"[\s._-]+")
-_SIZE_TOLERANCE = 1e-9  # relative: sizes are compared after they were read from decimal digits
+_SIZE_TOLERANCE = 1e-9  # relative; absorbs the rounding when sizes are parsed from decimal text
 
 
 @dataclass(frozen=True, slots=True)
 class KindSize:
-    """The size of one kind of machine, in the settings' units."""
+    """The size of one kind of machine, in the units of the settings."""
 
     cores: float
     memory: float
@@ -34,17 +35,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _FirstUse:
-    """Where a location or an address was first used, and by which name or spelling."""
+    """The first use of a location or an address.
+
+    `name` is the spelling of the location, or the host that has the address.
+    """
 
     name: str
     value: SourceValue
 
 
 class InventoryBuilder:
-    """Collects the hosts of one file.
+    """Collects and validates the hosts of one file.
 
-    `kinds` are the settings' kinds of machines; `rooms` are the rooms that the settings name, empty where any
-    is allowed.
+    `kinds` maps the kinds of machines in the settings to their sizes. `rooms` are the rooms that the settings
+    allow; if it is empty, any room is allowed.
     """
 
     def __init__(
@@ -56,18 +60,18 @@
         self._rooms = rooms
         self._hosts: dict[str, Host] = {}
         self._entries: dict[str, HostEntry] = {}
-        self._spellings: dict[tuple[str, str], _FirstUse] = {}
+        self._locations: dict[tuple[str, str], _FirstUse] = {}
         self._addresses: dict[str, _FirstUse] = {}
         self._numbers: dict[int, str] = {}
 
     def add(self, entry: HostEntry) -> None:
-        """Add a host, or the problems with its entry."""
+        """Add the host of an entry, or report the problems of the entry."""
         name = entry.host.text
         if not _HOST_NAME.fullmatch(name):
-            self.problems.add(entry.host, name, "is not a host name")
+            self.problems.add(entry.host, name, "is not a valid host name")
             return
         key = name.lower().rstrip(".")
-        if not self._is_first(entry, key):
+        if not self._check_not_duplicate(entry, key):
             return
         problems_before = len(self.problems)
         self._check_required(entry)
@@ -82,17 +86,17 @@
         self._hosts[key] = Host(key, kind, rack, room, size.cores, size.memory, address)
 
     def finish(self) -> Inventory:
-        """Return the inventory. Raises InventoryError with all that is wrong."""
+        """Return the inventory. Raises InventoryError with all problems of the file."""
         if not self._hosts and len(self.problems) == 0:
-            self.problems.add(None, "", "names no host")
+            self.problems.add(None, "", "contains no hosts")
         self.problems.raise_if_any()
         return Inventory(self._source, self._hosts)
 
-    def _is_first(self, entry: HostEntry, key: str) -> bool:
+    def _check_not_duplicate(self, entry: HostEntry, key: str) -> bool:
         first = self._entries.setdefault(key, entry)
         if first is entry:
             return True
-        message = f"is there twice, first as {first.host.text} in line {first.host.line}"
+        message = f"duplicate host; first defined as {first.host.text} in line {first.host.line}"
         self.problems.add(entry.host, entry.host.text, message)
         return False
 
@@ -105,7 +109,10 @@
     # ---- Kind and size --------------------------------------------------------------------------------
 
     def _kind(self, entry: HostEntry) -> str | None:
-        """Return the kind, if it is one of the settings; sizes that are given must be the kind's."""
+        """Return the entry's kind, or None if the settings do not define it.
+
+        Sizes in the entry must equal those of the kind.
+        """
         kind = entry.given("kind")
         if kind is None:
             return None
@@ -127,7 +134,7 @@
             message = f"{column} {given.text!r} is not a number above 0"
             self.problems.add(given, entry.host.text, message)
         elif expected is not None and not math.isclose(value, expected, rel_tol=_SIZE_TOLERANCE):
-            message = f"{column} {given.text}: kind {kind} has {expected:g}"
+            message = f"{column} {given.text} does not match kind {kind}, which has {expected:g}"
             self.problems.add(given, entry.host.text, message)
 
     # ---- Location -------------------------------------------------------------------------------------
@@ -142,13 +149,16 @@
             self._check_spelling("rack", room.text, rack, entry)
         if self._rooms and room.text not in self._rooms:
             known = ", ".join(sorted(self._rooms))
-            message = f"room {room.text!r} is not one of the settings': {known}"
+            message = f"unknown room {room.text!r}; the settings have {known}"
             self.problems.add(room, entry.host.text, message)
 
     def _check_spelling(self, column: str, within: str, value: SourceValue, entry: HostEntry) -> None:
-        """Hold a location to its first spelling: two spellings would count as two failure domains."""
+        """Require that a location is spelled as in its first use.
+
+        Two spellings of one location would count as two failure domains.
+        """
         folded = _IGNORED_IN_SPELLING.sub("", value.text.casefold())
-        first = self._spellings.setdefault((f"{column}/{within}", folded), _FirstUse(value.text, value))
+        first = self._locations.setdefault((f"{column}/{within}", folded), _FirstUse(value.text, value))
         if first.name != value.text:
             message = f"{column} {value.text!r} is spelled {first.name!r} in line {first.value.line}"
             self.problems.add(value, entry.host.text, message)
@@ -156,7 +166,7 @@
     # ---- Address and number ---------------------------------------------------------------------------
 
     def _address(self, entry: HostEntry, key: str) -> str:
-        """Return the address of a host, which no other may have; empty where it is invalid."""
+        """Return the address of a host, or an empty string if it is invalid. Addresses must be unique."""
         given = entry.given("address")
         port = entry.given("port")
         name = entry.host.text
@@ -170,7 +180,7 @@
         where = given or entry.values.get("port") or entry.host
         first = self._addresses.setdefault(address.lower(), _FirstUse(name, where))
         if first.name != name:
-            message = f"has the address of {first.name} in line {first.value.line}: {address}"
+            message = f"has the same address as {first.name} in line {first.value.line}: {address}"
             self.problems.add(where, name, message)
         return address
 
@@ -179,7 +189,7 @@
             return f"http://{key}:{DEFAULT_PORT}"
         is_decimal = port.text.isascii() and port.text.isdigit()
         if not is_decimal or not 0 < int(port.text) <= MAX_PORT:
-            self.problems.add(port, name, f"port {port.text!r} is not from 1 to 65535")
+            self.problems.add(port, name, f"port {port.text!r} is not a number from 1 to 65535")
             return ""
         return f"http://{key}:{int(port.text)}"
 
@@ -194,11 +204,11 @@
         return address
 
     def _check_number(self, entry: HostEntry, key: str) -> None:
-        """Reject a host whose number another has: machines are told apart by it."""
+        """Reject a host whose machine number is already in use, because the number identifies a machine."""
         number = machine_number(key)
         name = entry.host.text
         if number in self._numbers:
-            message = f"has the same number as {self._numbers[number]}; rename one"
+            message = f"has the same machine number as {self._numbers[number]}; rename one of them"
             self.problems.add(entry.host, name, message)
         self._numbers[number] = name
 
--- a/kelpfront/inventory/csv_reader.py
+++ b/kelpfront/inventory/csv_reader.py
@@ -1,7 +1,7 @@
-"""Reads inventories in CSV: a header, then one host a line.
+"""Reads inventories in CSV: a header line, then one host per line.
 
-Comments, quotes, a byte order mark, CRLF, and semicolons or tabs as separators are accepted. Whether an entry
-describes a host is left to the builder.
+Comments, quoted fields, a byte order mark, CRLF line endings, and semicolons or tabs as separators are
+accepted. The builder validates the entries.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 )
 from kelpfront.inventory.problems import ProblemReport
 
-MAX_CONTINUATION_LINES = 20  # of one quoted field: an open quote must not swallow a whole file
+MAX_CONTINUATION_LINES = 20  # of one quoted field, so that an unclosed quote does not consume the whole file
 HOST_COLUMN = "host"
 KNOWN_COLUMNS = (HOST_COLUMN, *REQUIRED_COLUMNS, *OPTIONAL_COLUMNS)
 ALIASES = {
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _LogicalLine:
-    """A line with the lines that a quoted field continues it on; `number` is the first one's."""
+    """A line joined with the lines on which its quoted fields continue; `number` is the first line's."""
 
     number: int
     text: str
@@ -59,14 +59,14 @@
 
 
 def read_csv(text: str, builder: InventoryBuilder) -> None:
-    """Add the hosts of a CSV text to a builder, and what is wrong with it."""
+    """Add the hosts of a CSV text, and the problems of the text, to a builder."""
     text = text.replace("\r\n", "\n")
     if text and not text.endswith("\n"):
-        message = "the file ends inside this line: a line end is missing"
+        message = "the last line has no line ending; the file may be truncated"
         builder.problems.add(position_after(text), "", message)
     records = _read_records(text, builder.problems)
     if not records:
-        builder.problems.add(None, "", "is empty: a header line is expected")
+        builder.problems.add(None, "", "is empty; expected a header line")
         return
     header, *rows = records
     columns = _read_header(header, builder.problems)
@@ -86,11 +86,11 @@
     host = values.pop(HOST_COLUMN, None)
     if len(record) != header_length:
         is_short = len(record) < header_length
-        guess = "the file may be cut off here" if is_short else "a separator too many?"
-        message = f"{len(record)} of {header_length} fields; {guess}"
+        guess = "the file may be truncated here" if is_short else "is there an extra separator?"
+        message = f"{len(record)} fields, expected {header_length}; {guess}"
         builder.problems.add(record[0], host.text if host is not None else "", message)
     elif host is None or not host.text:
-        builder.problems.add(record[0], "", "the host is missing")
+        builder.problems.add(record[0], "", "the host name is missing")
     else:
         builder.add(HostEntry(host, values))
 
@@ -99,24 +99,24 @@
 
 
 def _read_records(text: str, problems: ProblemReport) -> list[_Record]:
-    """Return the records of a text, without comments and empty lines."""
+    """Return the records of a text; comments and empty lines are skipped."""
     lines = text.split("\n")
     separator = _guess_separator(lines)
     records = []
     for line in _logical_lines(lines):
         try:
-            values = _split(line.text, separator)
+            values = _parse_values(line.text, separator)
         except (csv.Error, ValueError) as error:
-            problems.add(SourceValue("", line.number, 1), "", f"is not CSV: {error}")
+            problems.add(SourceValue("", line.number, 1), "", f"invalid CSV: {error}")
             if line.has_open_quote:
-                break  # the open quote has swallowed what follows
+                break  # the text of the unclosed quote includes the lines that follow
             continue
         records.append(_locate(values, line, separator))
     return records
 
 
 def _guess_separator(lines: Sequence[str]) -> str:
-    """Return the separator that the first line with content uses."""
+    """Return the separator of the first line that is not empty or a comment."""
     first = next((line for line in lines if _has_content(line)), "")
     if first.count(";") > first.count(","):
         return ";"
@@ -128,7 +128,7 @@
 
 
 def _logical_lines(lines: Sequence[str]) -> Iterator[_LogicalLine]:
-    """Join the lines of quoted fields that hold line ends; comments and empty lines are left out."""
+    """Join lines across which a quoted field continues; comments and empty lines are skipped."""
     index = 0
     while index < len(lines):
         number = index + 1
@@ -142,9 +142,9 @@
         yield _LogicalLine(number, text)
 
 
-def _split(text: str, separator: str) -> list[str]:
-    """Return the values of one line. Raises csv.Error or ValueError where it is not a record of CSV."""
-    # Blanks behind a quoted field are written by hand to align columns; the module does not allow them.
+def _parse_values(text: str, separator: str) -> list[str]:
+    """Return the values of one logical line. Raises csv.Error or ValueError if it is not one CSV record."""
+    # People align columns by hand with blanks after a quoted field, which the csv module does not allow.
     without_blanks = re.sub(rf'"[ \t]+(?={re.escape(separator)}|$)', '"', text)
     reader = csv.reader(io.StringIO(without_blanks), delimiter=separator, strict=True, skipinitialspace=True)
     (values,) = reader
@@ -152,12 +152,12 @@
 
 
 def _locate(values: list[str], line: _LogicalLine, separator: str) -> _Record:
-    """Return the values with the columns at which they stand in the line."""
+    """Return the values with their positions in the file."""
     record = []
     offset = 0
     for value in values:
         found = line.text.find(value, offset) if value else offset
-        start = max(found, offset)  # a value with doubled quotes is not found as it is
+        start = max(found, offset)  # find returns -1 for a value with doubled quotes
         record.append(SourceValue(value.strip(), line.number, start + 1))
         end = line.text.find(separator, start + len(value))
         offset = end + 1 if end >= 0 else len(line.text)
@@ -168,7 +168,7 @@
 
 
 def _read_header(header: _Record, problems: ProblemReport) -> dict[int, str] | None:
-    """Return the known columns by position; None where the header cannot be used."""
+    """Return the known columns by position, or None if the header has problems."""
     columns: dict[int, str] = {}
     problems_before = len(problems)
     for position, title in enumerate(header):
@@ -177,16 +177,16 @@
         if name not in KNOWN_COLUMNS:
             problems.warn(title, "", f"column {title.text!r} is not used{_suggestion(folded)}")
         elif name in columns.values():
-            problems.add(title, "", f"column {name} is there twice")
+            problems.add(title, "", f"column {name} is duplicated")
         else:
             columns[position] = name
-    needed = (HOST_COLUMN, *REQUIRED_COLUMNS)
-    for name in needed:
+    required = (HOST_COLUMN, *REQUIRED_COLUMNS)
+    for name in required:
         if name not in columns.values():
-            problems.add(header[0], "", f"column {name} is missing; needed: {', '.join(needed)}")
+            problems.add(header[0], "", f"column {name} is missing; required: {', '.join(required)}")
     return columns if len(problems) == problems_before else None
 
 
 def _suggestion(title: str) -> str:
-    close = difflib.get_close_matches(title, (*KNOWN_COLUMNS, *ALIASES), 1)
-    return f"; {close[0]} meant?" if close else ""
+    matches = difflib.get_close_matches(title, (*KNOWN_COLUMNS, *ALIASES), 1)
+    return f"; did you mean {matches[0]}?" if matches else ""
--- a/kelpfront/inventory/entries.py
+++ b/kelpfront/inventory/entries.py
@@ -1,6 +1,6 @@
-"""What both formats of inventories have in common: the columns, and values with their positions.
+"""Types and constants that the CSV and YAML readers share: columns, values with positions, host entries.
 
-The readers make entries from a file; whether an entry describes a host is left to `builder`.
+The readers create entries from a file, and `builder` validates them.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 REQUIRED_COLUMNS = ("kind", "rack", "room")
 OPTIONAL_COLUMNS = ("cores", "memory", "address", "port")
 
-MAX_HOSTS = 100_000  # of one file; bounds what a mistaken range can make
+MAX_HOSTS = 100_000  # per file; bounds the hosts that a mistyped range can expand to
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
-    """One host as a file has it: its name, and its values by column."""
+    """One host as written in the file: its name, and its values by column."""
 
     host: SourceValue
     values: Mapping[str, SourceValue]
 
     def given(self, column: str) -> SourceValue | None:
-        """Return the value of a column; None where it is absent or empty."""
+        """Return the value of a column, or None if it is absent or empty."""
         value = self.values.get(column)
         return value if value is not None and value.text else None
 
 
 def position_after(text: str) -> SourceValue:
-    """Return the position just behind the end of a text, with an empty value."""
+    """Return an empty value at the position just after the end of a text."""
     last_line = text.rsplit("\n", 1)[-1]
     return SourceValue("", text.count("\n") + 1, len(last_line) + 1)
--- a/kelpfront/inventory/host_ranges.py
+++ b/kelpfront/inventory/host_ranges.py
@@ -1,4 +1,4 @@
-"""Host names with ranges, as Ansible's inventories have them: `n[01:20]` names twenty hosts."""
+"""Expands the ranges in host names of Ansible inventories: `n[01:20]` stands for twenty hosts."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class RangeError(ValueError):
-    """Raised for a range that names no hosts, or too many."""
+    """Raised for a range that is malformed, contains no hosts, or contains too many."""
 
 
 def expand_ranges(pattern: str) -> list[str]:
-    """Return the names that a pattern stands for; several ranges in it multiply. Raises RangeError."""
+    """Return the host names of a pattern, every combination of its ranges. Raises RangeError."""
     names = [""]
     offset = 0
     for match in _RANGE.finditer(pattern):
@@ -26,7 +26,7 @@
         offset = match.end()
     suffix = pattern[offset:]
     if "[" in suffix or "]" in suffix:
-        raise RangeError("a range is FIRST:LAST or FIRST:LAST:STEP in brackets")
+        raise RangeError("expected a range as [FIRST:LAST] or [FIRST:LAST:STEP]")
     return [name + suffix for name in names]
 
 
@@ -35,7 +35,9 @@
     step = _number(match["step"] or "1")
     is_numeric = first.isdigit()
     if is_numeric != last.isdigit() or step < 1:
-        raise RangeError(f"{match[0]}: both ends of a range are numbers, or letters")
+        raise RangeError(
+            f"{match[0]}: the ends of a range must both be numbers or both letters, and its step at least 1"
+        )
     low = _number(first) if is_numeric else ord(first)
     high = _number(last) if is_numeric else ord(last)
     if high < low:
@@ -52,5 +54,5 @@
 def _number(digits: str) -> int:
     try:
         return int(digits)
-    except ValueError as error:  # more digits than Python converts
+    except ValueError as error:  # the text has more digits than int() converts
         raise RangeError(str(error)) from error
--- a/kelpfront/inventory/model.py
+++ b/kelpfront/inventory/model.py
@@ -1,6 +1,6 @@
-"""Hosts, the inventory that they make, and the problems of a file that lists them.
+"""The inventory and its hosts, and the problems of an inventory file.
 
-How a file is read is left to `read` and the readers of each format.
+`read` and the readers of each format read the files.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
     """One machine.
 
     Attributes:
-        room: the hall or site that it shares with others; operators name it in settings and inventories.
-        cores: of its kind, as the settings have it.
-        memory: of its kind, in the settings' unit.
-        address: `http://HOST:PORT`, perhaps with a path, or `grpc://HOST:PORT`.
+        room: the hall or site of the machine, as named in the settings and the inventory.
+        cores: the cores of its kind in the settings.
+        memory: the memory of its kind, in the unit of the settings.
+        address: `http://HOST:PORT`, optionally with a path, or `grpc://HOST:PORT`.
     """
 
     name: str
@@ -31,12 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One mistake in a file.
+    """One problem of an inventory file, either an error or a warning.
 
     Attributes:
-        line: counted from 1; 0 where the problem is of no line.
-        column: counted from 1; 0 where the problem is of no column.
-        host: empty where the problem is of no host.
+        line: counted from 1; 0 if the problem concerns no particular line.
+        column: counted from 1; 0 if the problem concerns no particular column.
+        host: empty if the problem concerns no particular host.
     """
 
     file: str
@@ -57,7 +57,7 @@
 
 
 class InventoryError(ValueError):
-    """Raised for a file that cannot be used; `problems` are all that was found wrong with it."""
+    """Raised for a file that cannot be used; `problems` has every problem that was found."""
 
     def __init__(self, problems: Iterable[Problem]) -> None:
         self.problems = tuple(problems)
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Inventory:
-    """Hosts by name, in the order of the file; `source` names the file."""
+    """The hosts by name, in the order of the file `source`."""
 
     source: str = ""
     hosts: dict[str, Host] = field(default_factory=dict)
--- a/kelpfront/inventory/problems.py
+++ b/kelpfront/inventory/problems.py
@@ -1,15 +1,15 @@
-"""Collects what is wrong with one inventory file, so that all of it is reported at once."""
+"""Collects the problems of one inventory file, so that all are reported in one error."""
 
 from __future__ import annotations
 
 from kelpfront.inventory.entries import SourceValue
 from kelpfront.inventory.model import InventoryError, Problem
 
-MAX_REPORTED_PROBLEMS = 200  # of one file; more are only counted
+MAX_REPORTED_PROBLEMS = 200  # per file; any more are only counted
 
 
 class ProblemReport:
-    """The problems that make a file unusable, and warnings, which do not."""
+    """The errors and the warnings of one file. Errors make it unusable; warnings do not."""
 
     def __init__(self, source: str) -> None:
         self._source = source
@@ -17,26 +17,29 @@
         self.warnings: list[Problem] = []
 
     def __len__(self) -> int:
-        """Return how many problems there are, without warnings."""
+        """Return the number of errors."""
         return len(self._problems)
 
     def add(self, where: SourceValue | None, host: str, message: str) -> None:
-        """Add a problem; `where` is None for one of the file as a whole, `host` empty for one of no host."""
+        """Add an error.
+
+        `where` is None if it concerns the file as a whole; `host` is empty if it concerns no particular host.
+        """
         self._problems.append(self._problem(where, host, message))
 
     def warn(self, where: SourceValue | None, host: str, message: str) -> None:
-        """Add a warning, with arguments as of `add`."""
+        """Add a warning; the arguments are those of `add`."""
         self.warnings.append(self._problem(where, host, message))
 
     def raise_if_any(self) -> None:
-        """Raise InventoryError with the problems by position, if there are any."""
+        """Raise InventoryError with the errors sorted by position, if there are any."""
         if not self._problems:
             return
         ordered = sorted(self._problems, key=lambda problem: (problem.line, problem.column))
         reported = ordered[:MAX_REPORTED_PROBLEMS]
         omitted = len(ordered) - len(reported)
         if omitted > 0:
-            reported.append(Problem(self._source, 0, 0, "", f"and {omitted} problems more"))
+            reported.append(Problem(self._source, 0, 0, "", f"and {omitted} more problems"))
         raise InventoryError(reported)
 
     def _problem(self, where: SourceValue | None, host: str, message: str) -> Problem:
--- a/kelpfront/inventory/yaml_nodes.py
+++ b/kelpfront/inventory/yaml_nodes.py
@@ -1,7 +1,7 @@
-"""Mappings of a YAML document with the positions of their keys and values.
+"""Reads mappings of a YAML document with the positions of their keys and values.
 
-Values are read as they are written: `no` is a name and not a boolean, `012` stays `012`. A repeated key,
-which YAML loaders pass over, is a problem here.
+Scalars are read as written: `no` is a name and not a boolean, and `012` stays `012`. A duplicate key, which
+PyYAML's loaders silently accept, is reported as a problem.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from kelpfront.inventory.problems import ProblemReport
 
 MappingItem = tuple[SourceValue, yaml.Node]
-"""A key with its position, and the node that is its value."""
+"""A key with its position, and the node of its value."""
 
 _MERGE_TAG = "tag:yaml.org,2002:merge"
 _NULL_TEXTS = ("", "~", "null")
@@ -28,11 +28,14 @@
 
 
 def mapping_items(node: yaml.Node, name: str, problems: ProblemReport) -> Iterator[MappingItem]:
-    """Return the items of a mapping, those of its merge keys last; `name` names it in problems."""
+    """Yield the items of a mapping, those from its merge keys (`<<`) last.
+
+    `name` denotes the mapping in problems.
+    """
     if isinstance(node, yaml.ScalarNode) and node.value in _NULL_TEXTS:
         return
     if not isinstance(node, yaml.MappingNode):
-        problems.add(scalar_value(node), "", f"{name}: a mapping is expected")
+        problems.add(scalar_value(node), "", f"{name}: expected a mapping")
         return
     first_uses: dict[str, SourceValue] = {}
     merged: list[yaml.Node] = []
@@ -42,10 +45,10 @@
             continue
         key = scalar_value(key_node)
         if not isinstance(key_node, yaml.ScalarNode):
-            problems.add(key, "", f"{name}: a name is expected")
+            problems.add(key, "", f"{name}: expected a name as key")
         elif key.text in first_uses:
             first_line = first_uses[key.text].line
-            problems.add(key, key.text, f"{key.text!r} is there twice in {name}, first in line {first_line}")
+            problems.add(key, key.text, f"duplicate key {key.text!r} in {name}; first in line {first_line}")
         else:
             first_uses[key.text] = key
             yield key, value_node
@@ -53,7 +56,7 @@
 
 
 def _merged_items(nodes: list[yaml.Node], used_keys: set[str]) -> Iterator[MappingItem]:
-    """Return the items of merged mappings whose keys were not used before."""
+    """Yield the items of merged mappings whose keys are not used yet; adds them to `used_keys`."""
     for node in nodes:
         if not isinstance(node, yaml.MappingNode):
             continue
--- a/tests/inventory/test_inventory.py
+++ b/tests/inventory/test_inventory.py
@@ -1,4 +1,4 @@
-"""Inventories as people and tools write them: variants are read, mistakes are named, nothing is misread."""
+"""Reading CSV and YAML inventories: accepted variants of the formats, and the problems that are reported."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 KINDS = {"small": KindSize(24, 48), "large": KindSize(48, 96)}
 
 
-def load(text: str, form: str = "csv", rooms: tuple[str, ...] = ()) -> tuple[Inventory, list[str]]:
+def read_text(text: str, form: str = "csv", rooms: tuple[str, ...] = ()) -> tuple[Inventory, list[str]]:
     builder = InventoryBuilder(f"hosts.{form}", KINDS, frozenset(rooms))
     (read_csv if form == "csv" else read_yaml)(text, builder)
     return builder.finish(), [str(warning) for warning in builder.problems.warnings]
@@ -24,20 +24,20 @@
 
 def problems_of(text: str, form: str = "csv", rooms: tuple[str, ...] = ()) -> list[str]:
     with pytest.raises(InventoryError) as error:
-        load(text, form, rooms)
+        read_text(text, form, rooms)
     return [str(problem) for problem in error.value.problems]
 
 
 # ---- CSV --------------------------------------------------------------------------------------------------
 
-PLAIN = """host,kind,rack,room
+TWO_HOSTS = """host,kind,rack,room
 n01.example.org,small,r1,east
 n02.example.org,large,r2,west
 """
 
 
-def test_a_csv_file_is_read_with_sizes_of_its_kinds_and_default_addresses() -> None:
-    inventory, warnings = load(PLAIN)
+def test_csv_hosts_get_the_sizes_of_their_kinds_and_default_addresses() -> None:
+    inventory, warnings = read_text(TWO_HOSTS)
     assert warnings == []
     assert list(inventory.hosts) == ["n01.example.org", "n02.example.org"]
     host = inventory.hosts["n02.example.org"]
@@ -45,14 +45,14 @@
     assert host.address == "http://n02.example.org:8141"
 
 
-def test_comments_aliases_quotes_and_separators_of_files_edited_by_hand_are_read() -> None:
+def test_csv_comments_column_aliases_quotes_and_semicolons_are_accepted() -> None:
     text = (
         "# kept by hand\r\n\r\n"
         'Hostname; Type ;"Cell";Zone;CPUs;URL;Serial\r\n'
         '"n1" ; small;"r;1"; east ;24.0;10.0.0.1:9001/a/;X1\r\n'
         '  # an old one\r\nn2;"large";"r ""two""";east;;http://10.0.0.1:9002;\r\n'
     )
-    inventory, warnings = load(text)
+    inventory, warnings = read_text(text)
     assert [(h.name, h.rack, h.room, h.address) for h in inventory.hosts.values()] == [
         ("n1", "r;1", "east", "http://10.0.0.1:9001/a"),
         ("n2", 'r "two"', "east", "http://10.0.0.1:9002"),
@@ -63,23 +63,23 @@
 @pytest.mark.parametrize(
     ("rows", "message"),
     [
-        ("n3,small,r1,east", "hosts.csv:4:17: the file ends inside this line"),
-        ("n3,small,r1\n", "hosts.csv:4:1: n3: 3 of 4 fields; the file may be cut off here"),
-        ("n3,small,r1,east,more\n", "n3: 5 of 4 fields; a separator too many?"),
-        ('n3,"small,r1,east\n', "hosts.csv:4:1: is not CSV"),
-        ('n3,sm"all,r1,east\nn4,x', "is not CSV"),
-        ("N01.example.org.,small,r1,east\n", "is there twice, first as n01.example.org in line 2"),
+        ("n3,small,r1,east", "hosts.csv:4:17: the last line has no line ending"),
+        ("n3,small,r1\n", "hosts.csv:4:1: n3: 3 fields, expected 4; the file may be truncated here"),
+        ("n3,small,r1,east,more\n", "n3: 5 fields, expected 4; is there an extra separator?"),
+        ('n3,"small,r1,east\n', "hosts.csv:4:1: invalid CSV"),
+        ('n3,sm"all,r1,east\nn4,x', "invalid CSV"),
+        ("N01.example.org.,small,r1,east\n", "duplicate host; first defined as n01.example.org in line 2"),
         ("n3,medium,r1,east\n", "hosts.csv:4:4: n3: unknown kind 'medium'; the settings have small, large"),
         ("n3,small,r1,East\n", "hosts.csv:4:13: n3: room 'East' is spelled 'east' in line 2"),
         ("n3,small,r-1,east\n", "n3: rack 'r-1' is spelled 'r1' in line 2"),
         ("n3,small,,east\n", "n3: rack is missing"),
-        (",small,r1,east\n", "hosts.csv:4:1: the host is missing"),
-        ("n_3!,small,r1,east\n", "n_3!: is not a host name"),
-        ("n3,small,r1,north\n", "room 'north' is not one of the settings': east, west"),
+        (",small,r1,east\n", "hosts.csv:4:1: the host name is missing"),
+        ("n_3!,small,r1,east\n", "n_3!: is not a valid host name"),
+        ("n3,small,r1,north\n", "unknown room 'north'; the settings have east, west"),
     ],
 )
-def test_a_problem_is_named_with_line_column_and_host(rows: str, message: str) -> None:
-    found = problems_of(PLAIN + rows, rooms=("east", "west"))
+def test_csv_problems_name_the_line_column_and_host(rows: str, message: str) -> None:
+    found = problems_of(TWO_HOSTS + rows, rooms=("east", "west"))
     assert any(message in problem for problem in found), found
 
 
@@ -88,31 +88,34 @@
     [
         ("n1,small,r1,east,-24,48,", "n1: cores '-24' is not a number above 0"),
         ("n1,small,r1,east,nan,48,", "n1: cores 'nan' is not a number above 0"),
-        ("n1,small,r1,east,24,64,", "n1: memory 64: kind small has 48"),
+        ("n1,small,r1,east,24,64,", "n1: memory 64 does not match kind small, which has 48"),
         ("n1,small,r1,east,24,lots,", "n1: memory 'lots' is not a number above 0"),
         ("n1,small,r1,east,,,ftp://h:1", "n1: address 'ftp://h:1' is not HOST:PORT"),
         ("n1,small,r1,east,,,h:99999", "n1: address 'h:99999' is not HOST:PORT"),
-        ("n1,small,r1,east,,,h:1\nn2,small,r1,east,,,http://H:1/", "n2: has the address of n1 in line 2"),
+        (
+            "n1,small,r1,east,,,h:1\nn2,small,r1,east,,,http://H:1/",
+            "n2: has the same address as n1 in line 2",
+        ),
     ],
 )
-def test_invalid_sizes_and_addresses_are_named(row: str, message: str) -> None:
+def test_invalid_sizes_and_addresses_are_reported(row: str, message: str) -> None:
     found = problems_of(f"host,kind,rack,room,cores,memory,address\n{row}\n")
     assert any(message in problem for problem in found), found
 
 
-def test_missing_repeated_and_unused_columns_are_named() -> None:
+def test_missing_duplicate_and_unknown_columns_are_reported() -> None:
     assert problems_of("host,kind,rack\nn1,small,r1\n") == [
-        "hosts.csv:1:1: column room is missing; needed: host, kind, rack, room"
+        "hosts.csv:1:1: column room is missing; required: host, kind, rack, room"
     ]
-    assert "column rack is there twice" in problems_of("host,kind,rack,room,cell\nn1,small,r1,e,r1\n")[0]
-    assert load("host,kind,rack,room,adress\nn1,small,r1,e,x\n")[1] == [
-        "hosts.csv:1:21: column 'adress' is not used; address meant?"
+    assert "column rack is duplicated" in problems_of("host,kind,rack,room,cell\nn1,small,r1,e,r1\n")[0]
+    assert read_text("host,kind,rack,room,adress\nn1,small,r1,e,x\n")[1] == [
+        "hosts.csv:1:21: column 'adress' is not used; did you mean address?"
     ]
 
 
 @pytest.mark.parametrize(
     ("text", "message"),
-    [("", "is empty"), ("# nothing\n", "is empty"), (PLAIN.split("\n")[0] + "\n", "no host")],
+    [("", "is empty"), ("# nothing\n", "is empty"), (TWO_HOSTS.split("\n")[0] + "\n", "contains no hosts")],
 )
 def test_files_without_hosts_are_rejected(text: str, message: str) -> None:
     assert any(message in problem for problem in problems_of(text))
@@ -122,27 +125,27 @@
     rows = "".join(f"n{n},medium,,east\n" for n in range(300))
     found = problems_of("host,kind,rack,room\n" + rows)
     assert len(found) == 201
-    assert found[-1].endswith("and 400 problems more")
+    assert found[-1].endswith("and 400 more problems")
 
 
 @settings(derandomize=True, deadline=None, max_examples=80)
 @given(st.integers(1, 400))
 def test_a_truncated_file_is_rejected_unless_only_complete_lines_are_left(cut: int) -> None:
-    """A cut within a line is always found; one between lines leaves complete hosts only."""
+    """Truncation within a line is always detected; truncation between lines leaves only complete hosts."""
     header = "host,kind,rack,room,address\n"
     text = header + "".join(f"n{n:02},small,r{n % 3},east,10.0.0.{n}:9000\n" for n in range(12))
-    part = text[:cut]
-    if part.endswith("\n") and len(part) > len(header):
-        assert len(load(part)[0].hosts) == part.count("\n") - 1
+    truncated = text[:cut]
+    if truncated.endswith("\n") and len(truncated) > len(header):
+        assert len(read_text(truncated)[0].hosts) == truncated.count("\n") - 1
     else:
-        assert problems_of(part)
+        assert problems_of(truncated)
 
 
 @settings(derandomize=True, deadline=None, max_examples=150)
 @given(st.text(alphabet='ab",;\n\r\t#:[]{}-& *', max_size=80), st.sampled_from(["csv", "yaml"]))
 def test_any_text_is_read_or_raises_an_inventory_error(text: str, form: str) -> None:
     try:
-        load(text, form)
+        read_text(text, form)
     except InventoryError as error:
         problems = error.problems
     else:
@@ -152,7 +155,7 @@
 
 # ---- YAML -------------------------------------------------------------------------------------------------
 
-GROUPS = """\
+NESTED_GROUPS = """\
 # as the configuration tool keeps it
 all:
   vars:
@@ -179,8 +182,8 @@
 """
 
 
-def test_yaml_groups_pass_variables_on_and_ranges_name_hosts() -> None:
-    inventory, _ = load(GROUPS, "yaml")
+def test_yaml_hosts_inherit_group_variables_and_ranges_expand_to_hosts() -> None:
+    inventory, _ = read_text(NESTED_GROUPS, "yaml")
     hosts = inventory.hosts
     assert list(hosts) == [
         "n01.example.org",
@@ -191,7 +194,9 @@
         "mc",
     ]
     first = hosts["n01.example.org"]
-    assert (first.kind, first.room, first.rack) == ("small", "no", "012"), "as written, not as YAML types"
+    assert (first.kind, first.room, first.rack) == ("small", "no", "012"), (
+        "scalars are read as written, not as YAML types"
+    )
     assert (hosts["n09.example.org"].kind, hosts["n09.example.org"].address) == (
         "large",
         "http://10.0.0.9:9000",
@@ -202,58 +207,58 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("all:\n  hosts:\n    n1: {kind: small", "is not YAML"),
-        ("all:\n  hosts:\n    n1: {kind: small, rack: r, room: e}", "the file ends inside this line"),
-        ("all:\n\thosts:\n", "hosts.yaml:2:1: is not YAML"),
-        ("- n1\n", "the file: a mapping is expected"),
-        ("all:\n  hosts:\n    - n1\n", "hosts of all: a mapping is expected"),
-        ("all:\n  host:\n    n1:\n", "group all: 'host' is not one of hosts, children, vars"),
+        ("all:\n  hosts:\n    n1: {kind: small", "invalid YAML"),
+        ("all:\n  hosts:\n    n1: {kind: small, rack: r, room: e}", "the last line has no line ending"),
+        ("all:\n\thosts:\n", "hosts.yaml:2:1: invalid YAML"),
+        ("- n1\n", "the file: expected a mapping"),
+        ("all:\n  hosts:\n    - n1\n", "hosts of all: expected a mapping"),
+        ("all:\n  host:\n    n1:\n", "group all: unknown key 'host'; expected one of hosts, children, vars"),
         (
             "a:\n  hosts:\n    n1: {kind: small, rack: r, room: e}\n    n1: {kind: large}\n",
-            "hosts.yaml:4:5: n1: 'n1' is there twice in hosts of a, first in line 3",
+            "hosts.yaml:4:5: n1: duplicate key 'n1' in hosts of a; first in line 3",
         ),
         (
             "a: {vars: {room: e, rack: r, kind: small}, hosts: {n1: }}\n"
             "b: {vars: {room: f}, hosts: {n1: }}\n",
-            "n1: room is 'f' by group b and 'e' by group a in line 1",
+            "n1: room is set to 'f' by group b and to 'e' by group a in line 1",
         ),
         ("a: {hosts: {n1: {kind: small, rack: r}}}\n", "n1: room is missing"),
-        ("a: {hosts: {n1: {kind: small, rack: r, room: '{{ site }}'}}}\n", "templates are not filled in"),
-        ("a: {hosts: {n1: {kind: [small], rack: r, room: e}}}\n", "kind: one value is expected"),
+        ("a: {hosts: {n1: {kind: small, rack: r, room: '{{ site }}'}}}\n", "templates are not supported"),
+        ("a: {hosts: {n1: {kind: [small], rack: r, room: e}}}\n", "kind: expected a single value"),
         ("a: {hosts: {'n[5:1]': }}\n", "the range ends before it begins"),
         ("a: {hosts: {'n[1:999999]': }}\n", "more than 100000 hosts"),
         ("a: {hosts: {'n[1:999][1:999]': }}\n", "more than 100000 hosts"),
-        ("a: {hosts: {'n[1-5]': }}\n", "a range is FIRST:LAST"),
-        ("a: &a\n  children:\n    b: *a\n", "nested too deeply"),
+        ("a: {hosts: {'n[1-5]': }}\n", "expected a range as [FIRST:LAST]"),
+        ("a: &a\n  children:\n    b: *a\n", "groups nested too deeply"),
         ("", "is empty"),
     ],
 )
-def test_yaml_problems_are_named(text: str, message: str) -> None:
+def test_yaml_problems_are_reported(text: str, message: str) -> None:
     found = problems_of(text, "yaml")
     assert any(message in problem for problem in found), found
 
 
-def test_groups_multiplied_by_aliases_are_bounded() -> None:
-    """Aliases that double at each level must not be walked to the end."""
+def test_expansion_of_nested_yaml_aliases_is_bounded() -> None:
+    """Each level refers to the one before it twice: walking all of them would take exponential time."""
     levels = "".join(f"g{n}: &g{n} {{children: {{a: *g{n - 1}, b: *g{n - 1}}}}}\n" for n in range(1, 40))
     found = problems_of("g0: &g0 {hosts: {n1: }}\n" + levels, "yaml")
-    assert any("nested too deeply or too many" in problem for problem in found)
+    assert any("too many groups, or groups nested too deeply" in problem for problem in found)
 
 
 # ---- Files ------------------------------------------------------------------------------------------------
 
 
-def test_unreadable_files_are_rejected_and_a_byte_order_mark_is_not(tmp_path: Path) -> None:
+def test_unreadable_files_are_rejected_and_a_byte_order_mark_is_accepted(tmp_path: Path) -> None:
     for name, data, message in (
-        ("a.txt", b"x", "one of .csv, .yaml, .yml is expected"),
-        ("b.csv", b"host\xff\n", "is not UTF-8 at byte 4"),
-        ("c.csv", b"host\0\n", "NUL"),
+        ("a.txt", b"x", "expected one of .csv, .yaml, .yml"),
+        ("b.csv", b"host\xff\n", "invalid UTF-8 at byte 4"),
+        ("c.csv", b"host\0\n", "contains a NUL character"),
     ):
         (tmp_path / name).write_bytes(data)
         with pytest.raises(InventoryError, match=message):
             read_inventory(tmp_path / name, KINDS)
     with pytest.raises(InventoryError, match="No such file"):
         read_inventory(tmp_path / "none.csv", KINDS)
-    (tmp_path / "d.csv").write_bytes(b"\xef\xbb\xbf" + PLAIN.encode())
+    (tmp_path / "d.csv").write_bytes(b"\xef\xbb\xbf" + TWO_HOSTS.encode())
     inventory, warnings = read_inventory(tmp_path / "d.csv", KINDS)
     assert (len(inventory.hosts), warnings) == (2, [])
