--- a/kelpfront/store/__init__.py
+++ b/kelpfront/store/__init__.py
@@ -1,7 +1,8 @@
-"""The resource store, and a write-ahead log to make it durable.
+"""The in-memory resource store, and a write-ahead log.
 
-`ResourceStore` holds the API's objects with revisions and answers lists and watches; it does no I/O and reads
-no clock. `WriteAheadLog` (in `write_ahead_log`) keeps records on disk; the store does not use it yet.
+`ResourceStore` holds the API's objects with their revisions and serves lists and watches; it does no I/O and
+does not read the clock. `WriteAheadLog` (in `write_ahead_log`) stores records on disk; the resource store
+does not use it yet.
 """
 
 from kelpfront.store.listing import ListPage
--- a/kelpfront/store/errors.py
+++ b/kelpfront/store/errors.py
@@ -1,18 +1,18 @@
 """The errors of the write-ahead log.
 
-All have one base, so that a caller that only wants to report a problem of the log catches one type. Errors of
-the resource store are `kelpfront.api.errors.ApiError`, because its callers answer clients with them.
+All share one base class, so that a caller that only reports problems of the log can catch one type. The
+resource store raises `kelpfront.api.errors.ApiError` instead, because its callers return these to clients.
 """
 
 from __future__ import annotations
 
 
 class WriteAheadLogError(RuntimeError):
-    """Base of all errors of the write-ahead log."""
+    """Base class of all errors of the write-ahead log."""
 
 
 class LogFormatError(WriteAheadLogError, ValueError):
-    """A file is not a log file of this program, or was written by a newer version of it."""
+    """A file is not a log file of kelpfront, or was written by a newer version."""
 
 
 class LogCorruptedError(WriteAheadLogError):
@@ -20,8 +20,8 @@
 
 
 class LogLockedError(WriteAheadLogError):
-    """Another process has the log's directory open."""
+    """Another process has the directory of the log open."""
 
 
 class LogFailedError(WriteAheadLogError):
-    """A write or fsync failed, or the log is not open: it accepts nothing until it is opened again."""
+    """A write or fsync failed, or the log is not open. No operation is accepted until the log is reopened."""
--- a/kelpfront/store/history.py
+++ b/kelpfront/store/history.py
@@ -1,6 +1,6 @@
-"""The changes of one resource, bounded, from which watches resume.
+"""The bounded history of changes of one resource, from which watches resume.
 
-It knows which changes were compacted away. What a watch makes of a change is left to `watch`.
+It records up to which revision changes were compacted. `watch` converts changes to events.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 class Change:
     """One change of the store. `before` is None for a creation, `after` for a deletion.
 
-    A deletion has a revision of its own, so that watches can resume after it.
+    A deletion also gets a new revision, so that watches can resume after it.
     """
 
     revision: int
@@ -25,7 +25,7 @@
 
     @property
     def latest(self) -> StoredObject:
-        """The object after the change, or the last state of a deleted one."""
+        """The object after the change, or the last state of a deleted object."""
         latest = self.after or self.before
         assert latest is not None
         return latest
@@ -37,15 +37,15 @@
 
     @property
     def weight(self) -> int:
-        """What the change counts for in the bound of the history."""
+        """How much the change counts towards the maximum weight of the history."""
         return self.latest.weight
 
 
 class ChangeHistory:
     """The latest changes of one resource, in order, with a total weight of at most `max_weight`.
 
-    The newest change is kept even if its weight alone is more. `compacted_revision` is the revision up to
-    which changes are no longer here.
+    The newest change is kept even if its weight alone exceeds the maximum. `compacted_revision` is the
+    revision up to which changes were dropped.
     """
 
     def __init__(self, max_weight: int, first_revision: int) -> None:
@@ -56,7 +56,7 @@
         self._by_key: dict[ObjectKey, deque[Change]] = {}
 
     def append(self, change: Change) -> None:
-        """Add the newest change, and compact the oldest ones beyond the bound."""
+        """Add the newest change, and drop the oldest ones while the total weight exceeds the maximum."""
         self._changes.append(change)
         self._by_key.setdefault(change.key, deque()).append(change)
         self._weight += change.weight
@@ -67,26 +67,26 @@
         oldest = self._changes.popleft()
         self._weight -= oldest.weight
         self.compacted_revision = oldest.revision
-        of_object = self._by_key[oldest.key]
-        of_object.popleft()
-        if not of_object:
+        object_changes = self._by_key[oldest.key]
+        object_changes.popleft()
+        if not object_changes:
             del self._by_key[oldest.key]
 
     def since(self, revision: int) -> list[Change]:
         """Return the changes after a revision, in order."""
         return _changes_after(self._changes, revision)
 
-    def since_of(self, key: ObjectKey, revision: int) -> list[Change]:
+    def since_for_object(self, key: ObjectKey, revision: int) -> list[Change]:
         """Return the changes of one object after a revision, in order."""
         return _changes_after(self._by_key.get(key, ()), revision)
 
 
 def _changes_after(changes: Reversible[Change], revision: int) -> list[Change]:
-    # From the newest back, because most watches resume after a short cut.
-    found: list[Change] = []
+    # Searches from the newest change backwards, because most watches resume after a short interruption.
+    newer: list[Change] = []
     for change in reversed(changes):
         if change.revision <= revision:
             break
-        found.append(change)
-    found.reverse()
-    return found
+        newer.append(change)
+    newer.reverse()
+    return newer
--- a/kelpfront/store/log_directory.py
+++ b/kelpfront/store/log_directory.py
@@ -1,7 +1,7 @@
-"""The file operations that the write-ahead log needs, and a directory of the host that provides them.
+"""The file operations of the write-ahead log, and their implementation for a directory of the host.
 
-`LogDirectory` is the interface, which tests implement with directories that crash. `HostDirectory` holds the
-lock that keeps other processes out. Neither knows what the files mean.
+`LogDirectory` is the interface; tests implement it with an in-memory directory that simulates crashes.
+`HostDirectory` also locks the directory against other processes. Neither interprets the content of files.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from kelpfront.store.errors import LogLockedError
 
 _LOCK_NAME = "lock"
-_FILE_MODE = 0o600  # jobs may hold secrets of their owners
+_FILE_MODE = 0o600  # readable by the owner only, because jobs may contain secrets
 
 
 class LogDirectory(Protocol):
-    """The log's directory. Names are without a path; every method may raise OSError."""
+    """The directory of a log. Files are named without a path; every method may raise OSError."""
 
     def names(self) -> list[str]:
         """Return the names of all files, sorted."""
@@ -29,42 +29,42 @@
         ...
 
     def create(self, name: str) -> int:
-        """Create a file that must not exist, and return a handle to append to it."""
+        """Create a file that does not exist yet, and return a handle for appending to it."""
         ...
 
     def append(self, handle: int, data: bytes) -> None:
-        """Write all of `data` at the file's end."""
+        """Write all of `data` at the end of the file."""
         ...
 
     def sync(self, handle: int) -> None:
-        """Make what was written to the file durable."""
+        """Make all data that was written to the handle durable."""
         ...
 
     def close(self, handle: int) -> None:
-        """Release a handle."""
+        """Close a handle."""
         ...
 
     def sync_file(self, name: str) -> None:
-        """Make the content of a file that is not open durable."""
+        """Make the content of a file durable without a handle."""
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; durable after `sync_folder`."""
+        """Rename a file; the new name is durable after `sync_folder`."""
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a file; durable after `sync_folder`."""
+        """Remove a file; the removal is durable after `sync_folder`."""
         ...
 
     def sync_folder(self) -> None:
-        """Make names that were created, renamed or removed durable."""
+        """Make the creation, renaming and removal of files durable."""
         ...
 
 
 class HostDirectory:
     """A directory of the host, locked for this process until `release`.
 
-    Raises LogLockedError where another process holds the lock.
+    Raises LogLockedError if another process holds the lock.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -75,14 +75,14 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(self._lock)
-            raise LogLockedError(f"{folder}: another process has this store") from error
+            raise LogLockedError(f"{folder}: another process has this log open") from error
 
     def release(self) -> None:
-        """Let other processes open the directory."""
+        """Release the lock, so that other processes can open the directory."""
         os.close(self._lock)
 
     def names(self) -> list[str]:
-        """Return the names of all files but the lock, sorted."""
+        """Return the names of all files except the lock file, sorted."""
         return sorted(path.name for path in self._folder.iterdir() if path.name != _LOCK_NAME)
 
     def read(self, name: str) -> bytes:
@@ -90,19 +90,19 @@
         return (self._folder / name).read_bytes()
 
     def create(self, name: str) -> int:
-        """Create a file that must not exist, and return its descriptor."""
+        """Create a file that does not exist yet, and return a file descriptor for appending to it."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND
         return os.open(self._folder / name, flags, _FILE_MODE)
 
     def append(self, handle: int, data: bytes) -> None:
-        """Write all of `data` at the file's end."""
+        """Write all of `data` at the end of the file."""
         remaining = memoryview(data)
         while remaining:
             written = os.write(handle, remaining)
             remaining = remaining[written:]
 
     def sync(self, handle: int) -> None:
-        """Make what was written to the file durable."""
+        """Make all data that was written to the handle durable."""
         os.fsync(handle)
 
     def close(self, handle: int) -> None:
@@ -110,7 +110,7 @@
         os.close(handle)
 
     def sync_file(self, name: str) -> None:
-        """Make the content of a file that is not open durable."""
+        """Make the content of a file durable without a handle."""
         handle = os.open(self._folder / name, os.O_RDWR)
         try:
             os.fsync(handle)
@@ -118,15 +118,15 @@
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; durable after `sync_folder`."""
+        """Rename a file; the new name is durable after `sync_folder`."""
         (self._folder / old).rename(self._folder / new)
 
     def remove(self, name: str) -> None:
-        """Remove a file; durable after `sync_folder`."""
+        """Remove a file; the removal is durable after `sync_folder`."""
         (self._folder / name).unlink()
 
     def sync_folder(self) -> None:
-        """Make names that were created, renamed or removed durable."""
+        """Make the creation, renaming and removal of files durable."""
         handle = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(handle)
--- a/kelpfront/store/objects.py
+++ b/kelpfront/store/objects.py
@@ -1,7 +1,7 @@
-"""One object of the store at one revision, encoded for those who read or watch it.
+"""One object of the store at one revision, encoded for its readers and watches.
 
-It keeps what selectors compare beside the encoded object. Which revisions are kept is decided in
-`resource_store` and `history`.
+The values that selectors compare are kept in addition to the encoded object. `resource_store` and `history`
+decide which revisions are kept.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 @dataclass(slots=True, eq=False)
 class StoredObject:
-    """An object at a revision, as the JSON that its readers get.
+    """An object at a revision, encoded as the JSON that clients receive.
 
-    Only what selectors compare is kept in parsed form. With a history of tens of thousands of parsed objects,
-    each garbage collection would stop the process for tenths of a second.
+    Only the values that selectors compare are kept in parsed form. With a history of tens of
+    thousands of parsed objects, each garbage collection would stop the process for tenths of a second.
 
     Attributes:
         namespace: Empty for a resource without namespaces.
         name: Unique in the namespace.
-        revision: The store's revision that wrote the object; it is also the object's resource version.
+        revision: The revision of the store at which the object was written; also its resource version.
         encoded: The object as JSON.
         labels: The object's labels, for label selectors.
         field_values: The resource's selectable fields by path, for field selectors.
-        weight: What the object counts for in the bound of the history.
+        weight: How much the object counts towards the maximum weight of the history.
     """
 
     namespace: str
@@ -47,7 +47,7 @@
     def encode(
         cls, resource: Resource, key: ObjectKey, revision: int, body: Object, weight: int = 1
     ) -> StoredObject:
-        """Return `body` at a revision, which is also written into the body's metadata."""
+        """Encode `body` at a revision. Sets the resource version in the metadata of `body`."""
         namespace, name = key
         body["metadata"]["resourceVersion"] = str(revision)
         field_values = {path: field_of(body, path) for path in resource.fields}
@@ -62,12 +62,12 @@
 
     @property
     def body(self) -> Object:
-        """The object as data, decoded anew at each access, so that the caller may change it."""
+        """The decoded object. Each access decodes a new copy, which the caller may change."""
         body: Object = msgspec.json.decode(self.encoded)
         return body
 
     def field(self, path: str) -> str:
-        """Return the text at a path that the resource's field selectors may name."""
+        """Return the value at the path of a selectable field."""
         if path == "metadata.name":
             return self.name
         if path == "metadata.namespace":
@@ -75,7 +75,7 @@
         return self.field_values[path]
 
     def with_revision(self, revision: int) -> StoredObject:
-        """Return the same object with another revision, as watches get it when it is deleted."""
+        """Return a copy with another revision, which watches receive when the object is deleted."""
         body = self.body
         body["metadata"]["resourceVersion"] = str(revision)
         return StoredObject(
--- a/kelpfront/store/records.py
+++ b/kelpfront/store/records.py
@@ -1,18 +1,18 @@
-"""The byte format of log files, and what can be trusted of a file after a crash or damage to it. No I/O.
+"""The byte format of log files, and the detection of damage in them. No I/O.
 
 A file starts with a header. Records follow, each with its length, a CRC32C checksum and its sequence number.
-Which files form a log is decided in `segments`, and files are read and written in `write_ahead_log`.
+`segments` decides which files form a log, and `write_ahead_log` reads and writes the files.
 
-The checksum includes a salt that is drawn for each file. Bytes that a client put into a job, even a copy of a
-record of another file, therefore never pass as a record of this file.
+The checksum includes a random salt, which differs between files. Bytes that a client put into a job, even a
+copy of a record of another file, are therefore never mistaken for a record of this file.
 
-Each record also says up to which sequence number records were durable when it was written. The blocks of
-records that are written together reach the disk in any order, so an intact record behind a damaged one does
-not by itself prove that the damaged one was ever durable.
+Each record also contains the sequence number up to which records were durable when it was written. The disk
+may write the blocks of one write in any order, so an intact record after a damaged one does not prove that
+the damaged one was ever durable.
 
-What follows the last intact record is either a **torn tail**, which a crash during a write leaves and
-recovery drops, or a **gap**: records are missing that were durable. A gap is an error for an operator to
-resolve, because to continue would lose accepted jobs.
+Damage after the last intact record is either a **torn tail**, which a crash during a write leaves and
+recovery drops, or a **gap**, in which durable records are missing. A gap is an error that an operator must
+resolve, because continuing would lose accepted jobs.
 """
 
 from __future__ import annotations
@@ -29,32 +29,32 @@
 
 MAGIC = b"KELPLOG\n"
 FORMAT_VERSION = 1
-MAX_PAYLOAD_BYTES = 16 << 20  # above the largest request body that the API accepts
+MAX_PAYLOAD_BYTES = 16 << 20  # exceeds the largest request body that the API accepts
 _HEADER = struct.Struct("<8sHxxIQ")  # magic, format version, salt, first sequence number
 _HEADER_CHECKSUM = struct.Struct("<I")
 HEADER_BYTES = _HEADER.size + _HEADER_CHECKSUM.size
-_RECORD_PREFIX = struct.Struct("<IIQQ")  # payload length, checksum, sequence number, durable up to
-_CHECKSUM_PREFIX = struct.Struct("<IQQ")  # salt, sequence number, durable up to
+_RECORD_PREFIX = struct.Struct("<IIQQ")  # payload length, checksum, sequence number, durable sequence number
+_CHECKSUM_PREFIX = struct.Struct("<IQQ")  # salt, sequence number, durable sequence number
 RECORD_PREFIX_BYTES = _RECORD_PREFIX.size
 
 
 @dataclass(frozen=True, slots=True)
 class FileHeader:
-    """The start of a log file. `salt` has 32 bits."""
+    """The header of a log file. `salt` is a random 32-bit number."""
 
     salt: int
     first_sequence: int
     format_version: int = FORMAT_VERSION
 
     def encode(self) -> bytes:
-        """Return the header's bytes, with its checksum."""
+        """Return the bytes of the header, including its checksum."""
         raw = _HEADER.pack(MAGIC, self.format_version, self.salt, self.first_sequence)
         return raw + _HEADER_CHECKSUM.pack(google_crc32c.value(raw))
 
 
 @dataclass(frozen=True, slots=True)
 class LogRecord:
-    """One record. All records up to `durable_sequence` were durable when it was written."""
+    """One record of a log. All records up to `durable_sequence` were durable when it was written."""
 
     sequence: int
     payload: bytes
@@ -62,7 +62,7 @@
 
 
 class DamageKind(Enum):
-    """How the end of the trusted records is to be understood."""
+    """The kinds of damage: an interrupted write (TORN_TAIL), or missing durable records (GAP)."""
 
     TORN_TAIL = auto()
     GAP = auto()
@@ -70,9 +70,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Damage:
-    """What is wrong from byte `offset` on.
+    """The damage that starts at byte `offset`.
 
-    For a gap, `resume_offset` is where intact records continue, and `resume_sequence` the first one's number.
+    For a gap, intact records continue at byte `resume_offset` with the sequence number `resume_sequence`.
     """
 
     kind: DamageKind
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileScan:
-    """What a file holds. `trusted_bytes` is the offset behind the last trusted record."""
+    """The intact content of a file. `trusted_bytes` is the offset just after the last trusted record."""
 
     header: FileHeader | None
     records: tuple[LogRecord, ...]
@@ -106,25 +106,25 @@
 def check_payload(payload: bytes) -> None:
     """Raise ValueError for a payload that is empty or over MAX_PAYLOAD_BYTES."""
     if not 0 < len(payload) <= MAX_PAYLOAD_BYTES:
-        raise ValueError(f"a payload of {len(payload)} bytes, 1 to {MAX_PAYLOAD_BYTES} are allowed")
+        raise ValueError(f"payload has {len(payload)} bytes, expected 1 to {MAX_PAYLOAD_BYTES}")
 
 
 def encode_record(salt: int, sequence: int, payload: bytes, durable_sequence: int = 0) -> bytes:
-    """Return one record's bytes. Raises ValueError as `check_payload` does."""
+    """Return the bytes of a record. Raises ValueError if `check_payload` does."""
     check_payload(payload)
     checksum = _checksum(salt, sequence, durable_sequence, payload)
     return _RECORD_PREFIX.pack(len(payload), checksum, sequence, durable_sequence) + payload
 
 
 def decode_header(data: bytes) -> FileHeader | None:
-    """Return a file's header, or None where the file ends before it or the header is damaged.
+    """Return the header of a file, or None if it is incomplete or damaged.
 
     Raises LogFormatError for a file of another program or of a newer version.
     """
     has_magic = data.startswith(MAGIC)
-    # A file that is no longer than a header may be one whose header was being written.
+    # In a file that is no longer than a header, a crash may have interrupted the writing of the header.
     if len(data) > HEADER_BYTES and not has_magic:
-        raise LogFormatError("is no log of kelpfront")
+        raise LogFormatError("is not a kelpfront log")
     if len(data) < HEADER_BYTES or not has_magic:
         return None
     raw = data[: _HEADER.size]
@@ -133,14 +133,16 @@
     if checksum != google_crc32c.value(raw):
         return None
     if format_version > FORMAT_VERSION:
-        raise LogFormatError(f"has format {format_version}, this version reads up to {FORMAT_VERSION}")
+        raise LogFormatError(
+            f"has format {format_version}, but this version reads only up to {FORMAT_VERSION}"
+        )
     return FileHeader(salt, first_sequence, format_version)
 
 
 def scan_file(data: bytes) -> FileScan:
-    """Return all that can be trusted of a file, and what is wrong with the rest of it.
+    """Return the trusted records of a file, and the damage after them, if any.
 
-    Raises LogFormatError as `decode_header` does.
+    Raises LogFormatError if `decode_header` does.
     """
     header = decode_header(data)
     if header is None:
@@ -167,7 +169,7 @@
 
 
 def _record_at(data: bytes, offset: int, salt: int) -> LogRecord | None:
-    """Return the intact record that begins at `offset`, if there is one."""
+    """Return the intact record that starts at `offset`, or None if there is none."""
     payload_offset = offset + RECORD_PREFIX_BYTES
     if payload_offset > len(data):
         return None
@@ -183,7 +185,7 @@
 def _classify_damage(
     data: bytes, offset: int, salt: int, expected_sequence: int, found: LogRecord | None
 ) -> Damage:
-    """Return a gap where a later record proves that this one was durable, otherwise a torn tail."""
+    """Return a gap if a later record proves that the expected one was durable, otherwise a torn tail."""
     if found is not None and found.durable_sequence >= expected_sequence:
         message = f"record {found.sequence} where {expected_sequence} was expected"
         return Damage(DamageKind.GAP, offset, message, offset, found.sequence)
@@ -198,7 +200,10 @@
 
 
 def _intact_records_from(data: bytes, start: int, salt: int) -> Iterator[_LocatedRecord]:
-    """Yield intact records at any byte from `start` on: the length of a damaged record cannot be trusted."""
+    """Yield the intact records at any offset from `start`.
+
+    Every offset is tried, because the length field of a damaged record cannot be trusted.
+    """
     for offset in range(start, len(data) - RECORD_PREFIX_BYTES):
         record = _record_at(data, offset, salt)
         if record is not None:
--- a/kelpfront/store/resource_store.py
+++ b/kelpfront/store/resource_store.py
@@ -1,11 +1,11 @@
-"""Objects of the API with revisions, bounded history, consistent lists and watches. No I/O.
+"""The objects of the API with revisions, a bounded history, consistent lists and watches. No I/O.
 
-A revision is one number for the whole store and grows with each change. It starts from a number that the
-caller gives, which must be above all that an earlier store of the same address gave out. A client that
-resumes with an old revision is then told that it has expired, and is never shown a history that it did not
-see.
+The revision is one number for the whole store that increases with each change. The caller sets the first one,
+which must be above every revision that an earlier store at the same address used. A client that resumes with
+a revision of the earlier store then gets an error that it has expired, and never the changes of a different
+history.
 
-Pages of lists are left to `listing`, past changes to `history` and delivery to watches to `watch`.
+`listing` splits lists into pages, `history` keeps past changes, and `watch` delivers changes to watches.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """What the store may hold; each is a bound on memory."""
+    """The limits of the store; each of them bounds its memory."""
 
-    objects: int = 200_000  # of all resources together
-    history_weight: int = 50_000  # of one resource's changes; an object weighs 1, and 1 for each task
-    watches: int = 10_000  # of one resource
-    watch_buffer_events: int = 2_000  # that a watch may be behind
-    open_lists: int = 64  # lists of which a client has read a part
-    page_objects: int = 5_000  # objects of one answer
+    objects: int = 200_000  # in total over all resources
+    history_weight: int = 50_000  # per resource; an object weighs 1, plus 1 for each task
+    watches: int = 10_000  # per resource
+    watch_buffer_events: int = 2_000  # undelivered events per watch
+    open_lists: int = 64  # lists that a client has read in part
+    page_objects: int = 5_000  # objects per response
 
 
 class _ResourceTable:
-    """The objects of one resource, the changes that led to them, and its watches."""
+    """The objects of one resource, the history of their changes, and the watches."""
 
     __slots__ = ("history", "objects", "watches")
 
@@ -46,9 +46,9 @@
 
 
 class ResourceStore:
-    """All objects of one placer. Every method returns at once.
+    """All API objects of one placer. No method blocks.
 
-    Methods raise ApiError where the API answers with one. `revision` is that of the latest change.
+    Methods raise the ApiError that the API returns to the client. `revision` is that of the latest change.
     """
 
     def __init__(self, first_revision: int, limits: StoreLimits | None = None) -> None:
@@ -58,26 +58,26 @@
         self._pager = ListPager(self.limits.open_lists)
 
     def find(self, resource: Resource, key: ObjectKey) -> StoredObject | None:
-        """Return an object, or None where there is none of this key."""
+        """Return an object, or None if it does not exist."""
         return self._tables[resource.plural].objects.get(key)
 
     def get(self, resource: Resource, key: ObjectKey) -> StoredObject:
-        """Return an object. Raises ApiError 404."""
+        """Return an object. Raises ApiError 404 if it does not exist."""
         stored = self.find(resource, key)
         if stored is None:
             raise not_found(resource, key[1])
         return stored
 
     def count(self, resource: Resource) -> int:
-        """Return how many objects a resource has."""
+        """Return the number of objects of a resource."""
         return len(self._tables[resource.plural].objects)
 
     def objects(self, resource: Resource) -> Iterator[StoredObject]:
-        """Iterate over a resource's objects, which must not change meanwhile."""
+        """Iterate over the objects of a resource; none may be added or deleted during the iteration."""
         return iter(self._tables[resource.plural].objects.values())
 
     def check_revision(self, resource: Resource, stored: StoredObject, given: str | None) -> None:
-        """Raise ApiError 409 where a write names a resource version that the object no longer has."""
+        """Raise ApiError 409 if the resource version `given` by a write is not that of the object."""
         if given and given != str(stored.revision):
             raise conflict(
                 resource,
@@ -87,7 +87,7 @@
             )
 
     def check_can_create(self, resource: Resource, key: ObjectKey) -> None:
-        """Raise ApiError 409 where the key is in use, and 429 where the store is full."""
+        """Raise ApiError 409 if the key is in use, or 429 if the store is full."""
         if key in self._tables[resource.plural].objects:
             raise already_exists(resource, key[1])
         object_count = sum(len(table.objects) for table in self._tables.values())
@@ -95,17 +95,17 @@
             raise ApiError(429, f"the store holds its most of {self.limits.objects} objects", retry_after_s=1)
 
     def create(self, resource: Resource, key: ObjectKey, body: Object, weight: int = 1) -> StoredObject:
-        """Add an object. Raises ApiError as `check_can_create` does."""
+        """Add an object. Raises ApiError if `check_can_create` does."""
         self.check_can_create(resource, key)
         return self._write(resource, key, body, weight)
 
     def update(self, resource: Resource, key: ObjectKey, body: Object, weight: int = 1) -> StoredObject:
-        """Replace an object. Raises ApiError 404."""
+        """Replace an object. Raises ApiError 404 if it does not exist."""
         self.get(resource, key)
         return self._write(resource, key, body, weight)
 
     def delete(self, resource: Resource, key: ObjectKey) -> StoredObject:
-        """Remove an object and return its last state. Raises ApiError 404."""
+        """Remove an object and return its last state. Raises ApiError 404 if it does not exist."""
         table = self._tables[resource.plural]
         before = self.get(resource, key)
         self.revision += 1
@@ -134,10 +134,10 @@
         limit: int = 0,
         token: str = "",
     ) -> ListPage:
-        """Return objects in the order of their names, in pages of `limit` that together show one revision.
+        """Return one page of at most `limit` objects, sorted by key; all pages of a list show one revision.
 
-        A limit of 0 asks for all. With a token, the page is the one after that which the token came with;
-        ApiError 410, with a token that goes on at the present revision, where that list is no longer kept.
+        A limit of 0 returns all objects. With the token of a page, the page after it is returned. Raises
+        ApiError 410, with a token that continues at the current revision, if the list is no longer kept.
         """
         page_limit = min(limit, self.limits.page_objects) if limit > 0 else 0
         scope = ObjectScope(namespace, selector)
@@ -148,7 +148,7 @@
     def _continue_list(
         self, resource: Resource, scope: ObjectScope, limit: int, token: ContinueToken
     ) -> ListPage:
-        if not token.is_at_present:
+        if not token.is_at_current_revision:
             return self._pager.next_page(token, limit)
         rest = [stored for stored in self._matching(resource, scope) if stored.key > token.after]
         return self._pager.first_page(rest, limit, self.revision)
@@ -158,9 +158,9 @@
         if scope.key is not None:
             stored = objects.get(scope.key)
             return [stored] if stored is not None and scope.includes(stored) else []
-        found = [stored for stored in objects.values() if scope.includes(stored)]
-        found.sort(key=lambda stored: stored.key)
-        return found
+        matching = [stored for stored in objects.values() if scope.includes(stored)]
+        matching.sort(key=lambda stored: stored.key)
+        return matching
 
     def watch(
         self,
@@ -170,10 +170,11 @@
         selector: Selector = EVERYTHING,
         since_revision: int | None = None,
     ) -> Watch:
-        """Return a watch of the changes after a revision, or of all objects and then their changes if None.
+        """Return a watch of the changes after `since_revision`.
 
-        Raises ApiError 410 where the history no longer reaches back to the revision or the store never had
-        it, and 429 where too many watches are open. `wake` is called as `Watch` says.
+        If it is None, the watch starts with all existing objects. Raises ApiError 410 if the history no
+        longer reaches back to the revision or the store never had it, and 429 if too many watches are open.
+        See `Watch` for when `wake` is called.
         """
         table = self._tables[resource.plural]
         scope = ObjectScope(namespace, selector)
@@ -192,9 +193,9 @@
         if revision < compacted or revision > self.revision:
             raise expired(f"too old resource version: {revision} (oldest {compacted})")
         if scope.key is not None:
-            return table.history.since_of(scope.key, revision)
+            return table.history.since_for_object(scope.key, revision)
         return table.history.since(revision)
 
     def watch_count(self, resource: Resource) -> int:
-        """Return how many watches of a resource are open."""
+        """Return the number of open watches of a resource."""
         return len(self._tables[resource.plural].watches)
--- a/kelpfront/store/segments.py
+++ b/kelpfront/store/segments.py
@@ -1,8 +1,9 @@
-"""Which files form a log, in which order they are read, and which can be removed. No I/O.
+"""Determines which files form a log, in which order they are read, and which can be removed. No I/O.
 
 A log consists of segments `log-N`, where N is the sequence number of the first record in the file, and of
-snapshots `snapshot-S`, which hold the state after all records up to S. A file that is being written has the
-suffix `.part` and does not count until it is renamed. Bytes within a file are the matter of `records`.
+snapshots `snapshot-S`, which contain the state after all records up to S. A snapshot that is being written
+has the suffix `.part` and does not belong to the log until it is renamed. `records` defines the bytes within
+a file.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from kelpfront.store.errors import LogCorruptedError
 from kelpfront.store.records import DamageKind, FileScan, LogRecord
 
-SEQUENCE_DIGITS = 20  # of a 64-bit number, so that names sort as their numbers do
+SEQUENCE_DIGITS = 20  # fits a 64-bit number; with leading zeros, names sort in the order of their numbers
 PARTIAL_SUFFIX = ".part"
 _FILE_NAME = re.compile(rf"(log|snapshot)-([0-9]{{{SEQUENCE_DIGITS}}})")
 
 
 def segment_name(first_sequence: int) -> str:
-    """Return the file name of the segment that begins with this record."""
+    """Return the file name of the segment that starts with this record."""
     return f"log-{first_sequence:0{SEQUENCE_DIGITS}}"
 
 
@@ -31,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFiles:
-    """The files of a log's directory, each kind in ascending order.
+    """The files of a log directory, each kind in ascending order.
 
-    `snapshots` are the last sequence numbers of snapshots and `segments` the first ones of segments.
-    `partial` are files whose writing a crash interrupted; `unrelated` files do not belong to the log.
+    `snapshots` has the last sequence number of each snapshot, `segments` the first of each segment. `partial`
+    names the files that a crash left incomplete; `unrelated` names the files that do not belong to the log.
     """
 
     snapshots: tuple[int, ...]
@@ -44,21 +45,21 @@
 
     @property
     def latest_snapshot(self) -> int | None:
-        """The last sequence number of the latest snapshot, or None without one."""
+        """The last sequence number of the latest snapshot, or None if there is no snapshot."""
         return self.snapshots[-1] if self.snapshots else None
 
     def segments_to_read(self) -> tuple[int, ...]:
         """Return the segments that may hold a record after the latest snapshot.
 
-        These are all from the last segment that begins at or before the first such record.
+        These are the last segment that starts at or before the first such record, and all later ones.
         """
         first_needed = 0 if self.latest_snapshot is None else self.latest_snapshot + 1
-        not_after = [first for first in self.segments if first <= first_needed]
-        start = not_after[-1] if not_after else -1
+        at_or_before = [first for first in self.segments if first <= first_needed]
+        start = at_or_before[-1] if at_or_before else -1
         return tuple(first for first in self.segments if first >= start)
 
     def removable(self) -> tuple[str, ...]:
-        """Return the names that the latest snapshot supersedes, and those that crashes left."""
+        """Return the names of the files that the latest snapshot supersedes, and of partial files."""
         if self.latest_snapshot is None:
             return self.partial
         retained = self.segments_to_read()
@@ -68,7 +69,7 @@
 
 
 def classify_files(names: Iterable[str]) -> LogFiles:
-    """Sort the names of a directory by what they mean for the log."""
+    """Classify the file names of a directory by their role in the log."""
     snapshots: list[int] = []
     segments: list[int] = []
     partial: list[str] = []
@@ -87,23 +88,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ScannedSegment:
-    """A segment, by the sequence number in its name, and what its file holds."""
+    """The content of a segment file, and the sequence number in its name."""
 
     first_sequence: int
     scan: FileScan
 
     @property
     def name(self) -> str:
-        """The file's name."""
+        """The name of the file."""
         return segment_name(self.first_sequence)
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredRecords:
-    """The records after the snapshot, and the sequence number of the next one.
+    """The records after the snapshot, and the next sequence number to assign.
 
-    `torn_tails` has a message for each torn tail. `empty_segments` are names of files without an intact
-    record, which must be removed because a new segment needs the name.
+    `torn_tails` has a message for each torn tail. `empty_segments` names the files without an intact record
+    that must be removed, because the next segment will have the same name.
     """
 
     records: tuple[LogRecord, ...]
@@ -113,22 +114,22 @@
 
 
 def join_segments(segments: Sequence[ScannedSegment], snapshot: int | None) -> RecoveredRecords:
-    """Join the records of segments that are given in their order.
+    """Join the records of segments, which are given in ascending order.
 
-    A torn tail is accepted only where nothing follows it: in the last segment, or in one whose successor
-    begins with the very record that is torn, because an earlier recovery continued there.
+    A torn tail is accepted only if no record is missing after it: in the last segment, or in a segment whose
+    successor starts with the sequence number of the torn record, because an earlier recovery continued there.
 
-    Raises LogCorruptedError where durable records are missing.
+    Raises LogCorruptedError if durable records are missing.
     """
-    join = _SegmentJoin(0 if snapshot is None else snapshot)
+    joiner = _SegmentJoiner(0 if snapshot is None else snapshot)
     for position, segment in enumerate(segments):
         successor = segments[position + 1] if position + 1 < len(segments) else None
-        join.add(segment, successor)
-    return join.result()
+        joiner.add(segment, successor)
+    return joiner.result()
 
 
-class _SegmentJoin:
-    """The state of one `join_segments`."""
+class _SegmentJoiner:
+    """Collects the records and checks that the segments follow each other without a gap."""
 
     def __init__(self, snapshot_sequence: int) -> None:
         self._snapshot_sequence = snapshot_sequence
@@ -150,7 +151,7 @@
         self._check_damage(segment)
         if scan.header is None:
             if successor is not None:
-                raise LogCorruptedError(f"{name}: its header is missing, and {successor.name} follows")
+                raise LogCorruptedError(f"{name}: the header is missing, but {successor.name} follows")
             self._empty_segments.append(name)
             return
         if scan.header.first_sequence != segment.first_sequence:
@@ -161,8 +162,8 @@
                 f"where {self._expected_sequence} was expected"
             )
         self._add_records(segment)
-        name_is_needed = segment.first_sequence == self._expected_sequence
-        if successor is None and not scan.records and name_is_needed:
+        is_next_segment_name = segment.first_sequence == self._expected_sequence
+        if successor is None and not scan.records and is_next_segment_name:
             self._empty_segments.append(name)
 
     def _check_damage(self, segment: ScannedSegment) -> None:
@@ -180,4 +181,4 @@
                 self._records.append(record)
                 self._expected_sequence = record.sequence + 1
             elif record.sequence > self._snapshot_sequence:
-                raise LogCorruptedError(f"{segment.name}: record {record.sequence} is there twice")
+                raise LogCorruptedError(f"{segment.name}: record {record.sequence} is duplicated")
--- a/kelpfront/store/watch.py
+++ b/kelpfront/store/watch.py
@@ -1,8 +1,8 @@
-"""Watches: which change goes to which watch, through a bounded buffer for each.
+"""Watches: dispatches each change to the watches that it concerns, each with a bounded buffer.
 
-A watch never delays a writer. One that is read too slowly loses its buffer and expires, and its client lists
-again, as the public API conventions say. Changes before a watch began come from `history`; sending events to
-clients is left to the fronts.
+A watch never delays a writer. If it is read too slowly, its buffer is dropped and the watch expires; its
+client must then list again, as in the Kubernetes API conventions. `history` provides the changes from before
+a watch was opened, and the API front ends send the events to clients.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EventType(StrEnum):
-    """What happened to an object, in the words that clients read."""
+    """The type of a watch event, as sent to clients."""
 
     ADDED = "ADDED"
     MODIFIED = "MODIFIED"
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEvent:
-    """One change as a watch sees it, with the object after it (for DELETED: its last state)."""
+    """One change as seen by a watch, with the object after the change (for DELETED, its last state)."""
 
     type: EventType
     revision: int
@@ -36,36 +36,37 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectScope:
-    """Which objects of a resource a list or watch is about; `namespace` None means all namespaces."""
+    """The objects of a resource that a list or watch selects; `namespace` None means all namespaces."""
 
     namespace: str | None = None
     selector: Selector = EVERYTHING
 
     @property
     def name(self) -> str | None:
-        """The only name that can match, if there is one."""
+        """The only name that can match, or None if several can."""
         return self.selector.name
 
     @property
     def key(self) -> ObjectKey | None:
-        """The only object that can match, if there is one."""
+        """The key of the only object that can match, or None if several can."""
         name = self.name
         if self.namespace is None or name is None:
             return None
         return self.namespace, name
 
     def includes(self, stored: StoredObject) -> bool:
-        """Return whether an object is in the scope."""
+        """Return whether the scope includes an object."""
         if self.namespace is not None and stored.namespace != self.namespace:
             return False
         return self.selector.matches(stored)
 
 
 class Watch:
-    """One reader's view of the changes of a resource.
+    """The buffered events of one reader of the changes of a resource.
 
-    `wake` is called when the buffer stops being empty, and when it overflows. It must not block. The reader
-    then calls `next_events`. `expired` is set by an overflow: events were lost, and none will follow.
+    `wake` is called when an event is added to an empty buffer, and when the buffer overflows. It must not
+    block. The reader then calls `next_events`. An overflow sets `expired`: events were lost, and no more
+    follow.
     """
 
     def __init__(
@@ -84,26 +85,26 @@
         self._on_close = on_close
         events = (self._event_for(change) for change in initial)
         self._buffer = deque(event for event in events if event is not None)
-        # The initial events do not count, because the bounds of the store and its history limit them.
+        # Initial events do not count towards the limit, because the limits of the store already bound them.
         self._max_buffered = max_buffered + len(self._buffer)
 
     def __len__(self) -> int:
         return len(self._buffer)
 
     def next_events(self, limit: int) -> list[WatchEvent]:
-        """Remove and return the next events in order, at most `limit`."""
+        """Remove and return at most `limit` of the next events, in order."""
         buffer = self._buffer
         return [buffer.popleft() for _ in range(min(limit, len(buffer)))]
 
     def close(self) -> None:
-        """Drop the buffer and receive no more changes. Closing again does nothing."""
+        """Drop the buffer and stop receiving changes. Closing again has no effect."""
         if not self.closed:
             self.closed = True
             self._buffer.clear()
             self._on_close(self)
 
     def receive(self, change: Change) -> None:
-        """Buffer a change if it concerns this watch. Called by the registry for each change."""
+        """Buffer the event for a change, if the change concerns this watch. The registry calls this."""
         if self.expired:
             return
         event = self._event_for(change)
@@ -118,7 +119,7 @@
             self._wake()
 
     def _event_for(self, change: Change) -> WatchEvent | None:
-        """Return the change as this watch sees it: an object that leaves its scope is deleted to it."""
+        """Return the event for a change, or None. An object that leaves the scope is reported as deleted."""
         was_included = change.before is not None and self.scope.includes(change.before)
         if change.after is not None and self.scope.includes(change.after):
             event_type = EventType.MODIFIED if was_included else EventType.ADDED
@@ -132,36 +133,36 @@
 class WatchRegistry:
     """The open watches of one resource.
 
-    Watches of a single object are found by its name. Otherwise each change would be offered to all of
-    thousands of clients that each watch their own job.
+    Watches of a single name are indexed by it. Without the index, each change would be offered to all watches
+    of thousands of clients that each watch one job.
     """
 
     def __init__(self) -> None:
-        self._of_many: dict[Watch, None] = {}
+        self._of_all_names: dict[Watch, None] = {}
         self._by_name: dict[str, dict[Watch, None]] = {}
 
     def __len__(self) -> int:
-        return len(self._of_many) + sum(len(group) for group in self._by_name.values())
+        return len(self._of_all_names) + sum(len(watches) for watches in self._by_name.values())
 
     def add(self, watch: Watch) -> None:
-        """Let a watch receive changes from now on."""
-        group = self._of_many if watch.name is None else self._by_name.setdefault(watch.name, {})
-        group[watch] = None
+        """Start dispatching changes to a watch."""
+        watches = self._of_all_names if watch.name is None else self._by_name.setdefault(watch.name, {})
+        watches[watch] = None
 
     def remove(self, watch: Watch) -> None:
-        """Let a watch receive no more changes."""
+        """Stop dispatching changes to a watch."""
         if watch.name is None:
-            self._of_many.pop(watch, None)
+            self._of_all_names.pop(watch, None)
             return
-        group = self._by_name.get(watch.name, {})
-        group.pop(watch, None)
-        if not group:
+        watches = self._by_name.get(watch.name, {})
+        watches.pop(watch, None)
+        if not watches:
             self._by_name.pop(watch.name, None)
 
     def dispatch(self, change: Change) -> None:
-        """Offer a change to each watch that it may concern."""
-        # Copies, because a watch may be closed by what its `wake` calls.
-        for watch in list(self._of_many):
+        """Pass a change to each watch that it may concern."""
+        # Iterates over copies, because `wake` may close a watch.
+        for watch in list(self._of_all_names):
             watch.receive(change)
         _, name = change.key
         for watch in list(self._by_name.get(name, ())):
--- a/kelpfront/store/write_ahead_log.py
+++ b/kelpfront/store/write_ahead_log.py
@@ -1,11 +1,12 @@
 """A write-ahead log in a directory: appends, group commit, snapshots and recovery.
 
-A record is durable, and present after any crash, once `commit` has returned. Of the records that were
-appended and not committed, any prefix may survive. A write or commit that fails ends the log, because after a
-failed fsync it is unknown what the disk holds (https://lwn.net/Articles/752063/); it must be opened again.
+A record is durable, and survives any crash, once `commit` has returned. Of the records that were appended but
+not committed, any prefix may survive a crash. After a failed write or fsync, the log accepts no more records
+and must be opened again, because the content of the disk is unknown after a failed fsync
+(https://lwn.net/Articles/752063/).
 
-The byte format is left to `records` and `snapshots`, the choice of files to `segments`, and the file system
-to `log_directory`.
+`records` and `snapshots` define the byte format, `segments` the choice of files, and `log_directory` the
+access to the file system.
 """
 
 from __future__ import annotations
@@ -34,13 +35,16 @@
 )
 from kelpfront.store.snapshots import decode_snapshot, encode_snapshot
 
-MAX_UNCOMMITTED_BYTES = 16 << 20  # bounds memory: an append that finds so much commits it first
-MAX_SEGMENT_BYTES = 64 << 20  # bounds what one recovery reads at once; then the next segment is begun
+MAX_UNCOMMITTED_BYTES = 16 << 20  # bounds memory: with this many bytes pending, an append commits them first
+MAX_SEGMENT_BYTES = 64 << 20  # bounds what a recovery reads at once; a segment of this size is closed
 
 
 @dataclass(frozen=True, slots=True)
 class RecoveredLog:
-    """What `open` found: the snapshot's parts (None without one), the records after it, and torn tails."""
+    """The result of `open`: the parts of the snapshot (None if there is none) and the records after it.
+
+    `torn_tails` has a message for each torn tail that was dropped.
+    """
 
     snapshot: tuple[bytes, ...] | None
     records: tuple[LogRecord, ...]
@@ -48,9 +52,9 @@
 
 
 class WriteAheadLog:
-    """A log in `directory`. It is not safe for use by several threads.
+    """A log in `directory`. It is not thread-safe.
 
-    `draw_salt` returns 32 random bits for each file. A segment is closed when it has `max_segment_bytes`.
+    `draw_salt` returns 32 random bits for each file. A segment is closed once it reaches `max_segment_bytes`.
     """
 
     def __init__(
@@ -73,27 +77,27 @@
 
     @property
     def next_sequence(self) -> int:
-        """The sequence number of the next record that is appended."""
+        """The sequence number that the next appended record will get."""
         return self._next_sequence
 
     def open(self) -> RecoveredLog:
-        """Recover what the directory holds, and begin a new segment after it.
+        """Recover the snapshot and the records in the directory, and start a new segment.
 
-        Raises LogCorruptedError where durable records are missing; then nothing was changed.
+        Raises LogCorruptedError if durable records are missing; the directory is then unchanged.
         """
         files = classify_files(self._directory.names())
         snapshot = None if files.latest_snapshot is None else self._read_snapshot(files.latest_snapshot)
-        to_read = files.segments_to_read()
-        segments = [ScannedSegment(first, self._scan(segment_name(first))) for first in to_read]
+        first_sequences = files.segments_to_read()
+        segments = [ScannedSegment(first, self._scan(segment_name(first))) for first in first_sequences]
         recovered = join_segments(segments, files.latest_snapshot)
-        # What was read may be in the host's memory only, and must be durable before anything follows it.
+        # The data read may still be only in the page cache, and must be durable before new records follow it.
         for segment in segments:
             self._directory.sync_file(segment.name)
         for name in (*recovered.empty_segments, *files.removable()):
             self._directory.remove(name)
         self._next_sequence = recovered.next_sequence
         self._durable_sequence = self._next_sequence - 1
-        self._begin_segment()
+        self._start_segment()
         return RecoveredLog(snapshot, recovered.records, recovered.torn_tails)
 
     def append(self, payload: bytes) -> int:
@@ -112,39 +116,39 @@
         return sequence
 
     def commit(self) -> int:
-        """Make all appended records durable with one fsync, and return the last one's sequence number.
+        """Make all appended records durable with one fsync, and return the last sequence number.
 
         Raises LogFailedError.
         """
         self._check_usable()
         if self._uncommitted:
-            with self._failing_on_os_error():
+            with self._fail_on_os_error():
                 self._write_uncommitted()
         return self._next_sequence - 1
 
     def snapshot(self, parts: Iterable[bytes]) -> int:
-        """Commit, store `parts` as the state after all records so far, and remove the files it supersedes.
+        """Commit, write `parts` as a snapshot of the state after all records, and remove superseded files.
 
         Returns the sequence number of the last record that the snapshot includes. Raises ValueError for a
         part that is empty or too long, and LogFailedError.
         """
         last_sequence = self.commit()
         state = list(parts)
-        for part in state:  # before a file is begun, which could not be completed
+        for part in state:  # checked before a file is created that could not be completed
             check_payload(part)
-        with self._failing_on_os_error():
+        with self._fail_on_os_error():
             name = snapshot_name(last_sequence)
             if name in self._directory.names():
-                return last_sequence  # no record was added since
+                return last_sequence  # no record was added since that snapshot
             self._write_snapshot(name, state)
             if segment_name(self._next_sequence) not in self._directory.names():
-                self._begin_next_segment()
+                self._start_next_segment()
             for superseded in classify_files(self._directory.names()).removable():
                 self._directory.remove(superseded)
         return last_sequence
 
     def close(self) -> None:
-        """Close the segment without a commit."""
+        """Close the segment without committing appended records."""
         if self._handle is not None:
             with contextlib.suppress(OSError):
                 self._directory.close(self._handle)
@@ -160,8 +164,8 @@
         name = snapshot_name(last_sequence)
         return decode_snapshot(name, self._scan(name))
 
-    def _begin_segment(self) -> None:
-        """Create a segment; its name and header are durable before the first record is written."""
+    def _start_segment(self) -> None:
+        """Create a segment, and make its name and header durable before any record is written to it."""
         self._segment_salt = self._draw_salt()
         handle = self._directory.create(segment_name(self._next_sequence))
         header = FileHeader(self._segment_salt, self._next_sequence).encode()
@@ -171,10 +175,10 @@
         self._handle = handle
         self._segment_bytes = len(header)
 
-    def _begin_next_segment(self) -> None:
+    def _start_next_segment(self) -> None:
         assert self._handle is not None
         self._directory.close(self._handle)
-        self._begin_segment()
+        self._start_segment()
 
     def _write_uncommitted(self) -> None:
         assert self._handle is not None
@@ -186,10 +190,10 @@
         self._durable_sequence = self._next_sequence - 1
         self._segment_bytes += len(data)
         if self._segment_bytes >= self._max_segment_bytes:
-            self._begin_next_segment()
+            self._start_next_segment()
 
     def _write_snapshot(self, name: str, parts: list[bytes]) -> None:
-        """Write a snapshot under a partial name, and rename it when it is durable."""
+        """Write a snapshot to a partial file, and rename the file once it is durable."""
         handle = self._directory.create(name + PARTIAL_SUFFIX)
         for data in encode_snapshot(self._draw_salt(), parts):
             self._directory.append(handle, data)
@@ -205,7 +209,7 @@
             raise LogFailedError("the log is not open")
 
     @contextlib.contextmanager
-    def _failing_on_os_error(self) -> Iterator[None]:
+    def _fail_on_os_error(self) -> Iterator[None]:
         try:
             yield
         except OSError as error:
--- a/tests/store/test_write_ahead_log.py
+++ b/tests/store/test_write_ahead_log.py
@@ -1,4 +1,4 @@
-"""The write-ahead log, crashed at every operation: what was committed is there, and nothing false."""
+"""The write-ahead log with a crash at every operation: committed records survive, no false ones appear."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from kelpfront.store.write_ahead_log import WriteAheadLog
 
 APPEND, COMMIT, SNAPSHOT = "append", "commit", "snapshot"
-Operation = str  # one of the three
+Operation = str  # APPEND, COMMIT or SNAPSHOT
 OPERATIONS = st.lists(st.sampled_from([APPEND, APPEND, APPEND, COMMIT, COMMIT, SNAPSHOT]), max_size=14)
 
 
 class LogModel:
-    """A log beside the list that it should hold. The state is all payloads, a snapshot one part for each."""
+    """A log, and the list of payloads that it should contain. A snapshot has one part for each payload."""
 
     def __init__(self, directory: FaultyFiles, seed: int = 0, max_segment_bytes: int = 200) -> None:
         self.rng = random.Random(seed)
@@ -54,14 +54,14 @@
                 self.committed_count = len(self.appended)
 
 
-def opened(directory: FaultyFiles, max_segment_bytes: int = 200) -> LogModel:
+def open_model(directory: FaultyFiles, max_segment_bytes: int = 200) -> LogModel:
     model = LogModel(directory, max_segment_bytes=max_segment_bytes)
     model.open()
     return model
 
 
 def crash_and_check(model: LogModel, seed: int) -> tuple[FaultyFiles, list[bytes]]:
-    """After a crash: all that was committed, and a prefix of what was appended."""
+    """Crash, and check that recovery returns all committed records and a prefix of the appended ones."""
     directory = model.directory.crashed(random.Random(seed))
     state = LogModel(directory, seed + 1).open()
     assert state[: model.committed_count] == model.appended[: model.committed_count]
@@ -71,14 +71,12 @@
 
 @settings(max_examples=60)
 @given(OPERATIONS, st.integers(0, 1000))
-def test_a_crash_at_any_operation_loses_nothing_that_was_committed(
-    operations: list[Operation], seed: int
-) -> None:
-    uninterrupted = opened(FaultyFiles())
+def test_a_crash_at_any_operation_loses_no_committed_record(operations: list[Operation], seed: int) -> None:
+    uninterrupted = open_model(FaultyFiles())
     uninterrupted.apply(operations)
     for crash_at in range(1, uninterrupted.directory.operations + 1):
         model = LogModel(FaultyFiles(crash_at))
-        with pytest.raises(CrashError):  # noqa: PT012 - the crash may come in the recovery or after it
+        with pytest.raises(CrashError):  # noqa: PT012 - the crash may happen during the recovery or after it
             model.open()
             model.apply(operations)
         crash_and_check(model, seed)
@@ -86,10 +84,10 @@
 
 @settings(max_examples=40)
 @given(OPERATIONS, OPERATIONS, st.integers(0, 1000))
-def test_a_recovery_that_crashes_repeatedly_changes_nothing(
-    first: list[Operation], then: list[Operation], seed: int
+def test_repeated_crashes_during_recovery_do_not_change_the_recovered_state(
+    first: list[Operation], second: list[Operation], seed: int
 ) -> None:
-    model = opened(FaultyFiles())
+    model = open_model(FaultyFiles())
     model.apply(first)
     directory, state = crash_and_check(model, seed)
     for crash_at in range(1, 12):
@@ -100,15 +98,15 @@
         directory = crashing.crashed(random.Random(seed * 31 + crash_at))
     recovered = LogModel(directory, seed + 5)
     assert recovered.open() == state
-    recovered.apply(then)
+    recovered.apply(second)
     crash_and_check(recovered, seed + 9)
 
 
-def test_a_sync_that_fails_once_ends_the_log() -> None:
+def test_after_one_failed_sync_the_log_accepts_no_more_records() -> None:
     directory = FaultyFiles(fails={6: OSError(5, "Input/output error")})
-    log = opened(directory).log
+    log = open_model(directory).log
     log.append(b"a")
-    with pytest.raises(LogFailedError, match="Input/output error"):  # noqa: PT012 - in one of the commits
+    with pytest.raises(LogFailedError, match="Input/output error"):  # noqa: PT012 - raised by one of the commits
         for _ in range(6):
             log.commit()
             log.append(b"b")
@@ -120,8 +118,8 @@
     assert set(after_crash.open()) <= {b"a", b"b"}
 
 
-def test_a_full_disk_is_an_error_and_what_was_durable_stays() -> None:
-    model = opened(FaultyFiles())
+def test_a_full_disk_raises_an_error_and_keeps_durable_records() -> None:
+    model = open_model(FaultyFiles())
     model.apply([APPEND, COMMIT])
     directory = model.directory
     directory.fails = {directory.operations + 1: OSError(28, "No space left on device")}
@@ -131,14 +129,14 @@
     crash_and_check(model, 3)
 
 
-def filled() -> FaultyFiles:
-    model = opened(FaultyFiles())
+def populated_directory() -> FaultyFiles:
+    model = open_model(FaultyFiles())
     model.apply([APPEND] * 5 + [COMMIT, SNAPSHOT] + [APPEND, COMMIT] * 6)
     return model.directory
 
 
-def filled_with_flipped_bit(name: str, offset: int) -> FaultyFiles:
-    damaged = filled()
+def populated_directory_with_flipped_bit(name: str, offset: int) -> FaultyFiles:
+    damaged = populated_directory()
     damaged._names[name].data[offset] ^= 1 << (offset % 8)
     for file in damaged._names.values():
         file.synced = len(file.data)
@@ -156,30 +154,30 @@
         return error
 
 
-def test_a_flipped_bit_in_durable_data_is_never_read_as_something_else() -> None:
-    directory = filled()
-    truth = LogModel(directory.crashed(random.Random(0))).open()
-    refused = shorter = 0
+def test_a_flipped_bit_in_durable_data_never_yields_a_false_record() -> None:
+    directory = populated_directory()
+    expected = LogModel(directory.crashed(random.Random(0))).open()
+    rejected = truncated = 0
     for name in directory.names():
         for offset in range(len(directory.read(name))):
-            damaged = filled_with_flipped_bit(name, offset)
+            damaged = populated_directory_with_flipped_bit(name, offset)
             before = contents(damaged)
-            found = open_or_error(damaged)
-            if isinstance(found, LogCorruptedError):
-                assert name in str(found) or "log-" in str(found)
-                assert contents(damaged) == before, "a refused recovery changes nothing"
-                refused += 1
+            result = open_or_error(damaged)
+            if isinstance(result, LogCorruptedError):
+                assert name in str(result) or "log-" in str(result)
+                assert contents(damaged) == before, "a rejected recovery leaves the directory unchanged"
+                rejected += 1
             else:
-                assert found == truth[: len(found)]
-                shorter += len(found) < len(truth)
-    assert refused > 100
-    # The last record of the last file cannot be told from one that was being written.
-    assert 0 < shorter < 60
+                assert result == expected[: len(result)]
+                truncated += len(result) < len(expected)
+    assert rejected > 100
+    # Damage to the last record of the last file is indistinguishable from an interrupted write.
+    assert 0 < truncated < 60
 
 
 def test_a_missing_segment_is_a_gap() -> None:
     directory = FaultyFiles()
-    model = opened(directory, max_segment_bytes=60)
+    model = open_model(directory, max_segment_bytes=60)
     model.apply([APPEND, COMMIT] * 5)
     segments = classify_files(directory.names()).segments
     assert len(segments) > 3
@@ -188,8 +186,8 @@
         LogModel(directory).open()
 
 
-def test_a_snapshot_without_its_end_is_refused() -> None:
-    directory = filled()
+def test_a_snapshot_without_its_end_marker_is_rejected() -> None:
+    directory = populated_directory()
     name = snapshot_name(classify_files(directory.names()).snapshots[-1])
     del directory._names[name].data[-10:]
     with pytest.raises(LogCorruptedError, match=name):
@@ -198,31 +196,31 @@
 
 def test_a_snapshot_removes_the_files_that_it_supersedes() -> None:
     directory = FaultyFiles()
-    model = opened(directory, max_segment_bytes=60)
+    model = open_model(directory, max_segment_bytes=60)
     for _ in range(20):
         model.apply([APPEND] * 5 + [COMMIT, SNAPSHOT])
         assert len(directory.names()) <= 3
 
 
-class SyncsNoFile(FaultyFiles):
-    """A mutant: the sync of a file does nothing."""
+class WithoutFileSync(FaultyFiles):
+    """A faulty directory in which the sync of a file has no effect."""
 
-    def sync(self, handle: int) -> None:  # noqa: ARG002 - the interface's argument
+    def sync(self, handle: int) -> None:  # noqa: ARG002 - an argument of the interface
         self._step()
 
 
-class SyncsNoFolder(FaultyFiles):
-    """A mutant: the sync of the folder does nothing."""
+class WithoutDirectorySync(FaultyFiles):
+    """A faulty directory in which the sync of the directory has no effect."""
 
     def sync_folder(self) -> None:
         self._step()
 
 
-@pytest.mark.parametrize("mutant", [SyncsNoFile, SyncsNoFolder])
-def test_the_crash_checks_detect_a_directory_that_does_not_sync(mutant: type[FaultyFiles]) -> None:
+@pytest.mark.parametrize("directory_class", [WithoutFileSync, WithoutDirectorySync])
+def test_the_crash_checks_detect_missing_syncs(directory_class: type[FaultyFiles]) -> None:
     detected = 0
     for seed in range(20):
-        model = opened(mutant())
+        model = open_model(directory_class())
         model.apply([APPEND, COMMIT, APPEND, COMMIT, SNAPSHOT, APPEND, COMMIT])
         try:
             crash_and_check(model, seed)
@@ -231,9 +229,9 @@
     assert detected > 3
 
 
-def test_a_directory_of_the_host_is_for_one_process_and_keeps_what_was_committed(tmp_path: Path) -> None:
+def test_a_host_directory_is_locked_for_one_process_and_keeps_committed_records(tmp_path: Path) -> None:
     directory = HostDirectory(tmp_path / "store")
-    with pytest.raises(LogLockedError, match="another process"):
+    with pytest.raises(LogLockedError, match="another process has this log open"):
         HostDirectory(tmp_path / "store")
     log = WriteAheadLog(directory, lambda: 5)
     assert log.open().records == ()
@@ -252,7 +250,7 @@
     reopened.release()
 
 
-def test_the_cost_of_durability_is_measured_for_each_store(tmp_path: Path) -> None:
+def test_the_cost_of_durability_is_measured_for_each_storage_engine(tmp_path: Path) -> None:
     rows = measure_store((1, 5), 4, 2, tmp_path, lambda _: None)
     assert [(row["way"], row["group"]) for row in rows] == [
         (way, group) for group in (1, 5) for way in ("log", "sqlite", "lmdb")
@@ -261,20 +259,20 @@
     assert list(tmp_path.iterdir()) == []
 
 
-def test_a_snapshot_with_an_invalid_part_changes_nothing() -> None:
-    model = opened(FaultyFiles())
+def test_a_snapshot_with_an_invalid_part_is_rejected_before_any_file_changes() -> None:
+    model = open_model(FaultyFiles())
     model.apply([APPEND, COMMIT])
     before = model.directory.names()
-    with pytest.raises(ValueError, match="are allowed"):
+    with pytest.raises(ValueError, match="payload has 0 bytes, expected 1 to"):
         model.log.snapshot([b"valid", b""])
     assert model.directory.names() == before
     model.apply([SNAPSHOT, APPEND, COMMIT])
     crash_and_check(model, 1)
 
 
-def test_uncommitted_records_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_uncommitted_bytes_are_bounded_by_an_automatic_commit(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("kelpfront.store.write_ahead_log.MAX_UNCOMMITTED_BYTES", 100)
-    model = opened(FaultyFiles())
+    model = open_model(FaultyFiles())
     before = model.directory.operations
     model.apply([APPEND] * 20)
     assert model.directory.operations > before
