--- a/kelpfront/service/__init__.py
+++ b/kelpfront/service/__init__.py
@@ -1,5 +1,5 @@
-"""The placer as a process: its controller with a clock, its APIs, its links to machines, its shutdown.
+"""The placer process: its controller with a clock, its APIs, its links to machines and its shutdown.
 
-What is decided lies in `kelpfront.controller`, which has no I/O; how the APIs speak lies in
+The decisions are in `kelpfront.controller`, which has no I/O, and the protocols of the APIs are in
 `kelpfront.fronts`. This package connects them with sockets, timers and signals.
 """
--- a/kelpfront/service/background_tasks.py
+++ b/kelpfront/service/background_tasks.py
@@ -1,7 +1,6 @@
-"""Ownership of asyncio tasks that run beside their owner until it is closed.
+"""Owns asyncio tasks that run in the background until their owner is closed.
 
-The owner starts each task here and ends all of them at once. What a task does, and when its owner is closed,
-is left to the owner.
+The owner starts its tasks here and cancels all of them together when it is closed.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 def log_task_failure(error: BaseException) -> None:
-    """Log the failure of a task for whose result nobody waits."""
+    """Log the failure of a task whose result is not awaited."""
     log.error("background task failed", exc_info=error)
 
 
@@ -24,8 +23,8 @@
     """The running tasks of one owner, in the order in which they were started.
 
     Args:
-        on_failure: called with the exception of a task that failed. Without it the exception is left to the
-            event loop's exception handler.
+        on_failure: called with the exception of a task that failed. If it is None, the event loop's exception
+            handler receives the exception.
     """
 
     def __init__(self, on_failure: Callable[[BaseException], None] | None = None) -> None:
@@ -33,24 +32,24 @@
         self._tasks: dict[asyncio.Task[None], None] = {}
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task; it is forgotten when it ends."""
+        """Start a task and keep a reference to it until it ends."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks[task] = None
         task.add_done_callback(self._on_done)
         return task
 
     def cancel(self) -> None:
-        """Request the end of all tasks but the one that calls."""
+        """Request the cancellation of all tasks except the calling one."""
         for task in self._others():
             task.cancel()
 
     async def cancel_and_wait(self) -> None:
-        """End all tasks but the one that calls, and return when they have ended."""
+        """Cancel all tasks except the calling one, and return when they have ended."""
         self.cancel()
         await self.wait()
 
     async def wait(self) -> None:
-        """Return when all present tasks but the one that calls have ended, whatever came of them."""
+        """Return when all current tasks except the calling one have ended, whether or not they failed."""
         await asyncio.gather(*self._others(), return_exceptions=True)
 
     def _others(self) -> list[asyncio.Task[None]]:
--- a/kelpfront/service/composition.py
+++ b/kelpfront/service/composition.py
@@ -1,6 +1,6 @@
-"""Builds the parts of a placer from its settings.
+"""Builds the components of a placer from its settings.
 
-How the parts work together and when they start and stop is left to `placer`.
+The module `placer` connects, starts and stops them.
 """
 
 from __future__ import annotations
@@ -25,23 +25,23 @@
     from kelpfront.fronts.grpc import GrpcLimits
     from kelpfront.tracing.export import Tracer
 
-OBJECT_SLACK = 10_000
-"""Objects of the store beyond jobs and machines of the settings: machines that are added later, levels."""
+EXTRA_OBJECTS = 10_000
+"""Objects in the store beyond the configured jobs and machines: levels, and machines added later."""
 REVISION_SHIFT_BITS = 10
-"""Revisions begin at the clock's milliseconds shifted so far: above all that an earlier start gave out."""
+"""The first revision is the clock in ms shifted left by this, above all revisions of earlier starts."""
 INCARNATION_BITS = 48
 
 
 @dataclass(frozen=True, slots=True)
 class PlacerOptions:
-    """What a placer may be given beyond its settings, by tests and the laboratory.
+    """Overrides of a placer's settings and environment, for tests and the laboratory.
 
     Attributes:
-        seed: of all that is drawn; None for the one of the settings.
+        seed: seed of the random number generator; None for the one in the settings.
         clock: the common clock; None for the host's.
-        watch_times: of the REST API's watches; None for the usual.
-        stopwatch: tells seconds of the process's own time, for what work costs.
-        use_threads: False where there are none; traces are then written at once.
+        watch_times: intervals of the REST API's watches; None for the defaults.
+        stopwatch: a monotonic clock in seconds, used to measure how long work takes.
+        use_threads: False where threads are not available; traces are then written synchronously.
     """
 
     seed: int | None = None
@@ -57,7 +57,7 @@
     return ResourceStore(
         int(now_ms) << REVISION_SHIFT_BITS,
         StoreLimits(
-            objects=limits.jobs + limits.finished_jobs + machine_count + OBJECT_SLACK,
+            objects=limits.jobs + limits.finished_jobs + machine_count + EXTRA_OBJECTS,
             history_weight=limits.history,
             watches=limits.watches,
             watch_buffer_events=limits.watch_buffer,
@@ -72,7 +72,7 @@
     controller_class: type[JobController],
     stopwatch: Callable[[], float],
 ) -> JobController:
-    """Build the controller. It draws its identity from `rng`, and uids as long as it lives."""
+    """Build the controller. It draws its incarnation and all uids from `rng`."""
     limits = config.limits
     controller = controller_class(
         build_cluster(config),
@@ -90,13 +90,13 @@
 
 
 def build_tracer(config: Config, rng: random.Random, *, synchronous: bool) -> Tracer | None:
-    """Build the writer of traces; None where the settings name no file."""
+    """Build the writer of traces, or return None if the settings name no file."""
     settings = config.tracing
     if settings.file is None:
         return None
     from kelpfront.tracing.export import Tracer, TracerSettings  # tracing is an optional dependency
 
-    separate_rng = random.Random(0)  # a run with traces draws what one without them draws
+    separate_rng = random.Random(0)  # tracing must not change what `rng` draws later
     separate_rng.setstate(rng.getstate())
     return Tracer(
         Path(settings.file),
@@ -110,8 +110,8 @@
     )
 
 
-def http_limits(config: Config) -> HttpLimits:
-    """Return what the HTTP server spends on its clients."""
+def build_http_limits(config: Config) -> HttpLimits:
+    """Build the HTTP server's limits on connections, request sizes and waiting times."""
     limits = config.limits
     return HttpLimits(
         connections=limits.connections,
@@ -123,8 +123,8 @@
     )
 
 
-def grpc_limits(config: Config) -> GrpcLimits:
-    """Return what the gRPC server spends on its clients."""
+def build_grpc_limits(config: Config) -> GrpcLimits:
+    """Build the gRPC server's limits on connections, message sizes and streams."""
     from kelpfront.fronts.grpc import GrpcLimits  # gRPC is an optional dependency
 
     limits = config.limits
--- a/kelpfront/service/control_loop.py
+++ b/kelpfront/service/control_loop.py
@@ -1,7 +1,7 @@
-"""Drives the controller on the event loop: its timers, and the intents that come of each event.
+"""Drives the controller on the event loop: runs its timers and executes its intents.
 
-The controller decides and has no clock. Whoever reports something to it calls `schedule`; carrying intents
-out is left to `machine_links`.
+The controller makes the decisions and has no clock of its own. After each report to the controller, call
+`ControlLoop.schedule`. The intents are executed by `machine_links`.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from kelpfront.service.machine_links import MachineLinks
 
 STALL_MS = 100.0
-"""A timer that is later than this: the process was stopped, or its host."""
+"""A timer that fires later than this shows that the process or its host was stopped for a while."""
 SOCKET_CATCH_UP_ITERATIONS = 6
-"""Of the event loop: from bytes in a socket to the controller it takes up to four."""
+"""Iterations of the event loop to wait after a stall: received bytes take up to four to the controller."""
 SOCKET_CATCH_UP_MS = 20.0
-"""The longest catch-up, where iterations are long: what is due is late already."""
+"""Upper bound of this wait where the iterations are slow: the timers are late already."""
 
 
 class ControlLoop:
-    """Calls the controller when something was reported to it, and when its next timer is due.
+    """Calls the controller after each report to it, and when its next timer is due.
 
     Args:
-        controller: decides.
+        controller: makes the decisions.
         now: the common clock, in milliseconds since the epoch.
-        links: carry the controller's intents out.
+        links: execute the controller's intents.
     """
 
     def __init__(self, controller: JobController, now: Callable[[], float], links: MachineLinks) -> None:
@@ -37,15 +37,15 @@
         self._now = now
         self._links = links
         self._is_scheduled = False
-        self._iterated = asyncio.Event()
+        self._iteration_done = asyncio.Event()
         self._timer: asyncio.Handle | None = None
         self._timer_at = math.inf
         self._is_catching_up = False
         self._is_closed = False
-        self._worst_lag_ms = 0.0
+        self._max_lag_ms = 0.0
 
     def schedule(self) -> None:
-        """To be called after each report to the controller: intents are carried out soon, once for many."""
+        """Execute the controller's intents in the next iteration, once for all calls until then."""
         if not self._is_scheduled:
             self._is_scheduled = True
             asyncio.get_running_loop().call_soon(self._iterate)
@@ -56,23 +56,23 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def take_worst_lag_ms(self) -> float:
-        """Return by how much a timer was late at the worst since the last call."""
-        worst = self._worst_lag_ms
-        self._worst_lag_ms = 0.0
-        return worst
+    def take_max_lag_ms(self) -> float:
+        """Return the largest delay of a timer since the last call."""
+        max_lag_ms = self._max_lag_ms
+        self._max_lag_ms = 0.0
+        return max_lag_ms
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> None:
-        """Wait until a condition holds that only the controller can bring about, or the time is up."""
+        """Wait until a condition on the controller's state holds, or the timeout expires."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
                 while not condition():
-                    self._iterated.clear()
-                    await self._iterated.wait()
+                    self._iteration_done.clear()
+                    await self._iteration_done.wait()
 
     def _iterate(self) -> None:
         self._is_scheduled = False
-        self._iterated.set()
+        self._iteration_done.set()
         self._controller.publish_due(self._now())
         for intent in self._controller.take_intents():
             self._links.execute(intent)
@@ -80,7 +80,7 @@
         self._set_timer()
 
     def _set_timer(self) -> None:
-        """Set the timer for the controller's next; one that is set for an earlier time is left."""
+        """Set the timer for the controller's next due time, unless it is set for an earlier time already."""
         due_at = self._controller.next_timer()
         if due_at >= self._timer_at:
             return
@@ -105,16 +105,17 @@
             self._advance()
 
     def _record_lag(self, now: float, lag_ms: float) -> None:
-        self._worst_lag_ms = max(self._worst_lag_ms, lag_ms)
+        self._max_lag_ms = max(self._max_lag_ms, lag_ms)
         self._controller.degradation.process_load.record_timer_lag(lag_ms)
         if lag_ms > STALL_MS and not self._is_catching_up:
             self._is_catching_up = True
             self._catch_up(SOCKET_CATCH_UP_ITERATIONS, now + SOCKET_CATCH_UP_MS)
 
     def _catch_up(self, iterations_left: int, until: float) -> None:
-        """Let the sockets be read first: the process stalled, and their bytes came before what is due now.
+        """Let the event loop read its sockets before the due timers are handled.
 
-        Without this an offer whose answer has come is timed out, and its task is sent once more.
+        Their bytes may have arrived during the stall, before the timers were due. Without this wait, an offer
+        whose answer has arrived would time out, and its task would be sent again.
         """
         if self._is_closed:
             return
@@ -126,4 +127,4 @@
 
     def _advance(self) -> None:
         self._controller.advance(self._now())
-        self._iterate()  # at once: what is due now may be an answer
+        self._iterate()  # immediately, because an answer may be due
--- a/kelpfront/service/garbage_collection.py
+++ b/kelpfront/service/garbage_collection.py
@@ -1,10 +1,9 @@
-"""Paces Python's garbage collection so that it does not make answers late.
+"""Paces Python's garbage collection so that it does not delay answers.
 
-A full collection visits every object of the process and stops it meanwhile: with some hundred thousand tasks
-and events that takes tenths of a second, longer than an answer may be late. Objects that live long are
-therefore frozen, out of the collector's sight, once a second; collections then visit one second's worth of
-objects. Objects are freed by their reference counts all the same. Only cyclic garbage that was frozen stays,
-and is collected when the placer has nothing to answer.
+A full collection visits every object and pauses the process. With some hundred thousand tasks and events the
+pause takes tenths of a second, which is longer than an answer may be late. The pacer therefore calls
+`gc.freeze` once a second, so that a collection visits only the objects of the last second. Reference counting
+still frees frozen objects. Only frozen cyclic garbage remains; it is collected while no task is open.
 """
 
 from __future__ import annotations
@@ -23,23 +22,23 @@
 log = structlog.get_logger("kelpfront.garbage")
 
 FREEZE_INTERVAL_S = 1.0
-"""Bounds what one collection visits to the objects of a second."""
+"""A collection visits only objects that were created since the last freeze."""
 FULL_COLLECTION_INTERVAL_S = 600.0
-"""At least, between full collections: each stops the process, also where nothing is to be answered."""
+"""Minimum time between full collections: each pauses the process, even while no task is open."""
 
 
 class GarbageCollectionPacer:
-    """Paces the collections of this process, within a `with` block.
+    """Paces the garbage collection of this process within a `with` block.
 
     Args:
         max_pause_ms: a collection that takes longer is logged.
-        is_idle: whether nothing is to be answered, so that a full collection delays nobody.
+        is_idle: returns whether no task is open, so that a full collection delays no answer.
     """
 
     def __init__(self, max_pause_ms: float, is_idle: Callable[[], bool]) -> None:
         self._max_pause_ms = max_pause_ms
         self._is_idle = is_idle
-        self._collection_began_s = 0.0
+        self._collection_started_s = 0.0
         self._full_collection_at_s = time.monotonic()
 
     def __enter__(self) -> Self:
@@ -59,7 +58,7 @@
         gc.unfreeze()
 
     async def run(self) -> None:
-        """Freeze what lives long, until the task is cancelled."""
+        """Freeze all current objects once per interval until the task is cancelled."""
         while True:
             await asyncio.sleep(FREEZE_INTERVAL_S)
             self._freeze()
@@ -75,9 +74,9 @@
 
     def _on_collection(self, phase: Literal["start", "stop"], info: dict[str, int]) -> None:
         if phase == "start":
-            self._collection_began_s = time.perf_counter()
+            self._collection_started_s = time.perf_counter()
             return
-        duration_ms = (time.perf_counter() - self._collection_began_s) * MS_PER_S
+        duration_ms = (time.perf_counter() - self._collection_started_s) * MS_PER_S
         if duration_ms > self._max_pause_ms:
             log.warning(
                 "garbage collection slow", duration_ms=round(duration_ms), generation=info["generation"]
--- a/kelpfront/service/grpc_channel.py
+++ b/kelpfront/service/grpc_channel.py
@@ -1,6 +1,6 @@
-"""gRPC channels to machines: their options, their connection, and calls that need no stream.
+"""gRPC channels to machines: their options, connecting, and calls outside of the stream.
 
-The stream and its reconnects are left to the link.
+The stream and its reconnects are handled by the link.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.http2.max_pings_without_data", 0),
 ]
-"""No retry of gRPC's own, which would send an offer twice, and no connection shared with another channel."""
+"""gRPC must not retry, which would send an offer twice, nor share a connection between channels."""
 
 
 async def wait_until_connected(channel: grpc.aio.Channel) -> None:
-    """Return when the channel is connected. Raises ValueError where it cannot be."""
+    """Return when the channel is connected. Raises ValueError if the connection fails."""
     state = channel.get_state(try_to_connect=True)
     while state is not grpc.ChannelConnectivity.READY:
         if state is grpc.ChannelConnectivity.TRANSIENT_FAILURE:
@@ -37,9 +37,9 @@
 
 
 async def read_output(target: str, request: pb.LogRequest) -> bytes | None:
-    """Return a task's output over a connection of its own, or None where the machine has none.
+    """Return a task's output over a separate connection, or None if the machine has none.
 
-    Raises TaskOutputUnavailableError where the machine does not answer.
+    Raises TaskOutputUnavailableError if the machine does not answer.
     """
     async with grpc.aio.insecure_channel(target, options=CHANNEL_OPTIONS) as channel:
         stub: Any = rpc.NodeStub(channel)
--- a/kelpfront/service/grpc_link.py
+++ b/kelpfront/service/grpc_link.py
@@ -1,8 +1,9 @@
-"""The link to a machine over one gRPC stream: offers out, answers and the machine's own messages in.
+"""The link to a machine over one gRPC stream, which carries offers out and answers and reports in.
 
-It keeps the same promises as the link over HTTP: the controller clears an offer right before it is written;
-an offer that was not written is known not to have been executed; one that was written and not answered when
-the stream breaks may have been. The stream's offset, its backoff and its reports lie in `stream_session`.
+It gives the same guarantees as the link over HTTP. The controller clears an offer right before it is written.
+An offer that was not written has certainly not been executed. An offer that was written but not answered
+when the stream breaks may have been executed. `stream_session` handles the stream's offset, its backoff and
+its reports to the controller.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 from kelpfront.v1 import node_pb2_grpc as rpc
 
 HEALTH_CHECK_TIMEOUT_S = 10.0
-"""A check that is not answered by then has failed."""
+"""A health check that is not answered within this time has failed."""
 STREAM_BROKE = "the stream broke"
 
 
@@ -59,15 +60,15 @@
         self._channel: grpc.aio.Channel | None = None
         self._write_lock = asyncio.Lock()
         self._unwritten: dict[OfferKey, asyncio.Task[None]] = {}
-        self._in_flight: dict[OfferKey, None] = {}  # offers that are written and not answered
-        self._health_checks: dict[int, float] = {}  # when each that is not answered began, by number
+        self._in_flight: dict[OfferKey, None] = {}  # offers that are written but not answered
+        self._health_checks: dict[int, float] = {}  # start times of unanswered checks, by number
         self._last_health_check = 0
         self._output_reads = asyncio.Semaphore(MAX_CONCURRENT_OUTPUT_READS)
         self._tasks = BackgroundTasks()
         self._tasks.spawn(self._follow_stream())
 
     async def close(self) -> None:
-        """End the link's tasks and connections."""
+        """Cancel the link's tasks and close its connections."""
         await self._tasks.cancel_and_wait()
 
     # ---- Offers -------------------------------------------------------------------------------------------
@@ -80,7 +81,7 @@
         task.add_done_callback(lambda _: self._unwritten.pop(key, None))
 
     def abandon_offer(self, task: str, attempt: int) -> None:
-        """Drop an offer that is not written yet; let the machine know of one that is."""
+        """Drop an offer that is not written yet, or notify the machine if it is written."""
         key = OfferKey(task, attempt)
         sending = self._unwritten.get(key)
         if sending is not None:
@@ -91,7 +92,7 @@
             self._tasks.spawn(self._send(pb.PlacerMessage(abandon=abandon)))
 
     async def _send_offer(self, key: OfferKey, offer: Offer) -> None:
-        """Wait for the stream and write one offer. Until it is written a cancellation reports nothing."""
+        """Wait for the stream and write one offer. A cancellation before the write reports nothing."""
         message = pb.PlacerMessage(offer=offer_message(offer))
         try:
             async with asyncio.timeout(self._connect_timeout_s):
@@ -117,7 +118,7 @@
         self._notify_changed()
 
     async def _write_offer(self, key: OfferKey, message: pb.PlacerMessage) -> None:
-        """Write an offer that is cleared. From the first line on it may have been executed."""
+        """Write a cleared offer. From the first statement on, it counts as possibly executed."""
         # Both entries change before the write: a break during the write must find the offer in flight.
         self._unwritten.pop(key, None)
         self._in_flight[key] = None
@@ -132,7 +133,7 @@
         self._controller.on_offer_failed(self._now(), key.task, key.attempt, cause)
 
     async def _write(self, message: pb.PlacerMessage) -> bool:
-        """Write a message and return whether it went out."""
+        """Write a message and return whether it was written."""
         async with self._write_lock:
             if not self._connected.is_set():
                 return False
@@ -148,7 +149,7 @@
     # ---- Stop requests, health checks and output ----------------------------------------------------------
 
     def send_stop(self, request: StopRequest) -> None:
-        """Send a stop request once; the controller repeats it when the machine's stream is back."""
+        """Send a stop request once; the controller repeats it when the machine's stream reconnects."""
         stop = pb.Stop(task=request.task, attempt=request.attempt, why=request.why)
         self._tasks.spawn(self._send(pb.PlacerMessage(stop=stop)))
 
@@ -157,23 +158,23 @@
         self._tasks.spawn(self._check_health())
 
     async def _check_health(self) -> None:
-        began = self._now()
+        started_at = self._now()
         self._last_health_check += 1
         number = self._last_health_check
-        self._health_checks[number] = began
+        self._health_checks[number] = started_at
         if await self._write(pb.PlacerMessage(probe=pb.Probe(number=number))):
             await asyncio.sleep(HEALTH_CHECK_TIMEOUT_S)
         if number not in self._health_checks:
             return  # answered
         del self._health_checks[number]
-        result = HealthCheckResult(ok=False, elapsed_ms=self._now() - began)
+        result = HealthCheckResult(ok=False, elapsed_ms=self._now() - started_at)
         self._controller.on_health_check(self._now(), self.host, result)
         self._notify_changed()
 
     async def read_task_output(self, task: str, attempt: int, max_bytes: int) -> bytes | None:
-        """Return the last bytes of a task's output, or None where the machine has none.
+        """Return the last bytes of a task's output, or None if the machine has none.
 
-        Raises TaskOutputUnavailableError where the machine does not answer.
+        Raises TaskOutputUnavailableError if the machine does not answer.
         """
         request = pb.LogRequest(task=task, attempt=attempt, tail_bytes=max_bytes)
         async with self._output_reads:
@@ -182,7 +183,7 @@
     # ---- The stream ---------------------------------------------------------------------------------------
 
     async def _follow_stream(self) -> None:
-        """Keep the stream connected for as long as the link lives, each time from where it broke."""
+        """Read the stream until the link is closed. After each break, reconnect and resume at its offset."""
         try:
             while True:
                 try:
@@ -196,11 +197,11 @@
                     await self._disconnect()
                 await self._session.wait_before_reconnect(error)
         finally:
-            # A cancellation within the inner `finally` leaves what it had not come to.
+            # A cancellation within the inner `finally` can leave the disconnection incomplete.
             await self._disconnect()
 
     async def _disconnect(self) -> None:
-        """Close the connection, if there is one, and report what was lost with it."""
+        """Close the connection, if there is one, and report the offers that were in flight as failed."""
         self._connected.clear()
         call = self._call
         self._call = None
@@ -215,7 +216,7 @@
             await channel.close()
 
     async def _read_stream(self) -> None:
-        # Each attempt has a channel of its own: one that failed would reconnect at its own pace.
+        # Each attempt opens a new channel, because gRPC reconnects a failed channel with its own backoff.
         self._channel = grpc.aio.insecure_channel(self._target, options=CHANNEL_OPTIONS)
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             await wait_until_connected(self._channel)
@@ -243,7 +244,7 @@
         resume = self._session.resume_point
         if resume is not None:
             opened.boot = resume.boot
-            setattr(opened, "from", resume.next_seq)  # the field's name is a keyword of Python
+            setattr(opened, "from", resume.next_seq)  # the field's name is a Python keyword
         return opened
 
     def _receive(self, message: pb.NodeMessage) -> None:
@@ -259,7 +260,7 @@
                 return
         reported = read_stream_message(message)
         if reported is None:
-            return  # of a later version
+            return  # a message type of a later version
         if isinstance(reported, Hello):
             self._connected.set()
         self._session.receive(reported)
@@ -272,9 +273,9 @@
         self._controller.on_offer_answered(self._now(), key.task, key.attempt, read_answer(message))
 
     def _receive_health(self, message: pb.ProbeAnswer) -> None:
-        began = self._health_checks.pop(message.number, None)
-        if began is None:
-            return  # too late
+        started_at = self._health_checks.pop(message.number, None)
+        if started_at is None:
+            return  # answered after the timeout
         now = self._now()
-        result = HealthCheckResult(ok=True, elapsed_ms=now - began, load=read_load(message.load))
+        result = HealthCheckResult(ok=True, elapsed_ms=now - started_at, load=read_load(message.load))
         self._controller.on_health_check(now, self.host, result)
--- a/kelpfront/service/http_link.py
+++ b/kelpfront/service/http_link.py
@@ -1,7 +1,7 @@
-"""The link to a machine over HTTP: one connection for each offer, and one for the machine's stream.
+"""The link to a machine over HTTP: one connection per offer, and one for the machine's stream.
 
-Requests that are in flight each hold a connection of a bounded pool. The stream's offset, its backoff and its
-reports lie in `stream_session`.
+Each request in flight holds a connection from a bounded pool. `stream_session` handles the stream's offset,
+its backoff and its reports to the controller.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
 from kelpfront.service.stream_session import StreamSession
 
 MAX_CONNECTIONS = 32
-"""To one machine, besides the stream; each offer in flight holds one."""
+"""Connections to one machine in addition to the stream; each offer in flight holds one."""
 MAX_CONCURRENT_STOPS = 4
-"""To one machine, so that stop requests leave connections for offers."""
+"""Stop requests in flight to one machine; the bound leaves connections for offers."""
 
 
 class HttpLink:
@@ -70,7 +70,7 @@
         self._tasks.spawn(self._follow_stream())
 
     async def close(self) -> None:
-        """End the link's tasks and connections."""
+        """Close the link's connections and cancel its tasks."""
         self._pool.close()
         await self._tasks.cancel_and_wait()
 
@@ -84,13 +84,13 @@
         task.add_done_callback(lambda _: self._offers.pop(key, None))
 
     def abandon_offer(self, task: str, attempt: int) -> None:
-        """Break the connection of an offer, by which the machine sees that nobody waits for its answer."""
+        """Close the connection of an offer; this shows the machine that nobody waits for its answer."""
         sending = self._offers.get(OfferKey(task, attempt))
         if sending is not None:
             sending.cancel()
 
     async def _send_offer(self, offer: Offer) -> None:
-        """Send one offer. A cancellation at any point breaks its connection and reports nothing."""
+        """Send one offer. A cancellation at any point closes its connection and reports nothing."""
         try:
             reply = await self._request_offer(offer)
         except HttpError as error:
@@ -122,7 +122,7 @@
     # ---- Stop requests, health checks and output ----------------------------------------------------------
 
     def send_stop(self, request: StopRequest) -> None:
-        """Send a stop request once; the controller repeats it when the machine's stream is back."""
+        """Send a stop request once; the controller repeats it when the machine's stream reconnects."""
         self._tasks.spawn(self._send_stop(request))
 
     async def _send_stop(self, request: StopRequest) -> None:
@@ -140,13 +140,13 @@
         self._tasks.spawn(self._check_health())
 
     async def _check_health(self) -> None:
-        began = self._now()
+        started_at = self._now()
         try:
             load = decode_load(await self._request("GET", "/v1/probe"))
         except (HttpError, msgspec.DecodeError, TimeoutError):
-            result = HealthCheckResult(ok=False, elapsed_ms=self._now() - began)
+            result = HealthCheckResult(ok=False, elapsed_ms=self._now() - started_at)
         else:
-            result = HealthCheckResult(ok=True, elapsed_ms=self._now() - began, load=load)
+            result = HealthCheckResult(ok=True, elapsed_ms=self._now() - started_at, load=load)
         self._controller.on_health_check(self._now(), self.host, result)
         self._notify_changed()
 
@@ -160,10 +160,10 @@
         return reply.body
 
     async def read_task_output(self, task: str, attempt: int, max_bytes: int) -> bytes | None:
-        """Return the last bytes of a task's output, or None where the machine has none.
+        """Return the last bytes of a task's output, or None if the machine has none.
 
-        The connection is one of its own: offers must not wait for it. Raises TaskOutputUnavailableError where
-        the machine does not answer.
+        Uses a connection outside of the pool, so that no offer waits for it. Raises
+        TaskOutputUnavailableError if the machine does not answer.
         """
         target = f"{self._path}/v1/logs?task={quote(task)}&attempt={attempt}&tailBytes={max_bytes}"
         try:
@@ -180,7 +180,7 @@
     # ---- The stream ---------------------------------------------------------------------------------------
 
     async def _follow_stream(self) -> None:
-        """Read the machine's stream for as long as the link lives, each time from where it broke."""
+        """Read the stream until the link is closed. After each break, reconnect and resume at its offset."""
         while True:
             try:
                 await self._read_stream()
@@ -189,7 +189,7 @@
                 error = f"{type(caught).__name__}: {caught}"
             self._session.report_down()
             await self._session.wait_before_reconnect(error)
-            self._pool.close_idle()  # connections of before the break are not to be trusted
+            self._pool.close_idle()  # connections from before the break may be dead
 
     async def _read_stream(self) -> None:
         target = f"{self._path}/v1/stream?placer={quote(self._controller.name)}"
--- a/kelpfront/service/http_stream.py
+++ b/kelpfront/service/http_stream.py
@@ -1,6 +1,6 @@
-"""Reads a machine's stream over one HTTP connection, as lines.
+"""Reads a machine's stream as lines over one HTTP connection.
 
-What the lines mean, and connecting again, are left to the link.
+The link decodes the lines and reconnects.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 
 async def read_stream(hostname: str, port: int, target: str) -> AsyncGenerator[list[bytes], None]:
-    """Yield the complete lines of each fragment that arrives, until the machine ends the stream.
+    """Yield the complete lines after each fragment that arrives, until the machine ends the stream.
 
-    To be closed with `contextlib.aclosing`, which closes the connection. Raises HttpError or OSError where
-    the connection fails, TimeoutError where the machine is silent for too long, and ValueError for an answer
-    that is no stream or a line that is too long.
+    Use it with `contextlib.aclosing`, which closes the connection. Raises HttpError or OSError if the
+    connection fails, TimeoutError if the machine sends nothing within the timeout, and ValueError if the
+    response status is not OK or a line is too long.
     """
     async with asyncio.timeout(CONNECT_TIMEOUT_S):
         connection = await HttpConnection.open(hostname, port)
--- a/kelpfront/service/inventory_reload.py
+++ b/kelpfront/service/inventory_reload.py
@@ -1,6 +1,6 @@
-"""The inventory file of a placer: read at the start, and again when the file has changed.
+"""Reads the inventory file of a placer at the start and again when the file has changed.
 
-What an inventory means for machines and tasks is decided by the controller.
+The controller applies the inventory to its machines and tasks.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class FileStamp(NamedTuple):
-    """What tells that a file was changed or replaced; zeros where there is none."""
+    """Attributes that show whether a file was changed or replaced; all zero if the file does not exist."""
 
     modified_ns: int
     size: int
@@ -28,11 +28,11 @@
 
 
 class InventoryReloader:
-    """Reads the inventory file again when it has changed, and hands over what it holds.
+    """Reads the inventory file again when it has changed, and applies its contents.
 
     Args:
-        config: names the file.
-        apply: called with each inventory that could be read.
+        config: contains the path of the file.
+        apply: called with each inventory that was read without errors.
     """
 
     def __init__(self, config: Config, apply: Callable[[Inventory], None]) -> None:
@@ -42,30 +42,30 @@
         self._stamp = FileStamp(0, 0, 0)
 
     def mark_current(self) -> None:
-        """Take the file as it is now for the one that is in use."""
-        self._stamp = _stamp_of(self._path)
+        """Record that the current version of the file is the one in use."""
+        self._stamp = _read_stamp(self._path)
 
     async def reload_if_changed(self) -> None:
-        """Reload the file if it is not the one that was read last."""
-        stamp = _stamp_of(self._path)
+        """Reload the file if it has changed since it was last read."""
+        stamp = _read_stamp(self._path)
         if stamp != self._stamp:
             self._stamp = stamp
             await self.reload()
 
     async def reload(self) -> None:
-        """Read the file, in a thread; a faulty file is logged and changes nothing."""
+        """Read the file in a thread and apply it; the problems of an invalid file are only logged."""
         try:
             inventory = await asyncio.to_thread(load_inventory, self._config)
         except InventoryError as error:
             for problem in error.problems:
-                log.error("inventory rejected", problem=str(problem))  # noqa: TRY400 - the file's fault
+                log.error("inventory rejected", problem=str(problem))  # noqa: TRY400 - an error in the file
             return
         self._apply(inventory)
         log.info("inventory applied", machines=len(inventory.hosts))
 
 
 def load_inventory(config: Config) -> Inventory:
-    """Read the inventory that the settings name. Raises InventoryError where it cannot be used."""
+    """Read the inventory file named in the settings. Raises InventoryError if the file is invalid."""
     sizes = {name: KindSize(kind.cores, kind.memory) for name, kind in config.kinds.items()}
     inventory, warnings = read_inventory(Path(config.placer.inventory), sizes, config.cluster.rooms or ())
     for warning in warnings:
@@ -73,7 +73,7 @@
     return inventory
 
 
-def _stamp_of(path: Path) -> FileStamp:
+def _read_stamp(path: Path) -> FileStamp:
     with contextlib.suppress(OSError):
         status = path.stat()
         return FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
--- a/kelpfront/service/machine_link.py
+++ b/kelpfront/service/machine_link.py
@@ -1,7 +1,7 @@
-"""What the placer requires of a link to one machine, whichever protocol the link speaks.
+"""The interface of a link to one machine, independent of the link's protocol.
 
-A link carries out what the controller decides and reports what came of it. It decides nothing: not the
-machine, not the timeout, not whether to try again.
+A link executes the decisions of the controller and reports the results. The controller chooses the machine,
+the timeout and whether to retry.
 """
 
 from __future__ import annotations
@@ -20,30 +20,30 @@
 log = structlog.get_logger(LOGGER_NAME)
 
 CONNECT_TIMEOUT_S = 2.0
-"""For the connection of a stream: a machine that is up accepts in milliseconds."""
+"""Timeout for connecting a stream: a machine that is up accepts within milliseconds."""
 SILENCE_TIMEOUT_S = 10.0
-"""Without any message for so long a connection is dead, whatever TCP reports: heartbeats come far oftener."""
+"""A connection without messages for this long is dead even if TCP is fine: heartbeats are more frequent."""
 TASK_OUTPUT_TIMEOUT_S = 10.0
-"""For one read of a task's output."""
+"""Timeout for reading a task's output once."""
 MAX_CONCURRENT_OUTPUT_READS = 2
-"""On one machine: output is read by people, and must not take the machine's time from offers."""
+"""Concurrent reads of task output per machine; reads by users must not slow down offers."""
 MAX_MESSAGE_BYTES = 64 << 20
-"""Of one message of a stream: a snapshot of some ten thousand tasks."""
+"""Maximum size of a stream message, enough for a snapshot of some ten thousand tasks."""
 
 
 class TaskOutputUnavailableError(Exception):
-    """A machine did not answer a request for a task's output; the message says why."""
+    """A machine did not answer a request for a task's output. The message gives the cause."""
 
 
 @dataclass(frozen=True, slots=True)
 class LinkContext:
-    """What all links of one placer share.
+    """The objects that all links of one placer share.
 
     Attributes:
-        controller: receives what machines answer and report.
+        controller: receives the answers and reports of machines.
         now: the common clock, in milliseconds since the epoch.
-        notify_changed: to be called after each report to the controller.
-        rng: spreads reconnects.
+        notify_changed: must be called after each report to the controller.
+        rng: randomizes the delays between reconnects.
     """
 
     controller: JobController
@@ -53,7 +53,7 @@
 
 
 class MachineLink(Protocol):
-    """The link to one machine. It connects by itself, and again after each break, until it is closed."""
+    """The link to one machine. It connects when created and reconnects after each break until closed."""
 
     address: str
 
@@ -61,22 +61,22 @@
         """Send an offer once the controller clears it; its outcome is reported to the controller."""
 
     def abandon_offer(self, task: str, attempt: int) -> None:
-        """Wait no longer for the answer to an offer, and let the machine know where it was sent."""
+        """Stop waiting for the answer to an offer, and notify the machine if the offer was sent."""
 
     def send_stop(self, request: StopRequest) -> None:
         """Send a stop request once.
 
-        It is not retried: the controller repeats it when the machine's stream is back.
+        The link does not retry it; the controller repeats it when the machine's stream reconnects.
         """
 
     def check_health(self) -> None:
         """Check the machine's health; the result is reported to the controller."""
 
     async def read_task_output(self, task: str, attempt: int, max_bytes: int) -> bytes | None:
-        """Return the last bytes of a task's output, or None where the machine has none.
+        """Return the last bytes of a task's output, or None if the machine has none.
 
-        Raises TaskOutputUnavailableError where the machine does not answer.
+        Raises TaskOutputUnavailableError if the machine does not answer.
         """
 
     async def close(self) -> None:
-        """End the link's tasks and connections."""
+        """Cancel the link's tasks and close its connections."""
--- a/kelpfront/service/machine_links.py
+++ b/kelpfront/service/machine_links.py
@@ -1,7 +1,7 @@
-"""The links of one placer, one for each machine that it knows, and what the controller asks of them.
+"""The links of one placer, one per known machine, and the execution of the controller's intents.
 
-The machines come from the controller's registry; a link opens and closes with its machine. How a link speaks
-is left to `http_link` and `grpc_link`.
+The machines come from the controller's registry. A link is opened when its machine is added and closed when
+it is removed. The protocols are implemented in `http_link` and `grpc_link`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     """Opens, uses and closes the links.
 
     Attributes:
-        by_host: the open links by their machines' names.
+        by_host: the open links by machine name.
     """
 
     def __init__(self, context: LinkContext) -> None:
@@ -34,7 +34,7 @@
         self._closing = BackgroundTasks(log_task_failure)
 
     def execute(self, intent: Intent) -> None:
-        """Carry out what the controller decided."""
+        """Execute an intent of the controller."""
         match intent:
             case SendOffer(host=host, offer=offer):
                 self._link(host).send_offer(offer)
@@ -48,40 +48,40 @@
                 getattr(log, level)(event, **fields)
 
     def sync_after_changes(self) -> None:
-        """Open and close links where machines came or went."""
+        """Open and close links if the number of machines differs from the number of links."""
         if len(self.by_host) != len(self._registry.entries):
             self.sync()
 
     def sync(self) -> None:
-        """Hold one link for each machine of the registry; a removed machine without tasks has none."""
+        """Keep one link open per machine in the registry, except removed machines without tasks."""
         entries = self._registry.entries
         for name, entry in entries.items():
-            is_wanted = not entry.removed or bool(entry.task_count)
+            is_link_needed = not entry.removed or bool(entry.task_count)
             link = self.by_host.get(name)
-            if link is not None and not (is_wanted and link.address == entry.host.address):
+            if link is not None and not (is_link_needed and link.address == entry.host.address):
                 self._drop(name)
-            if is_wanted and name not in self.by_host:
+            if is_link_needed and name not in self.by_host:
                 self._open(name, entry)
         unknown = [name for name in self.by_host if name not in entries]
         for name in unknown:
             self._drop(name)
 
     async def read_task_output(self, host: str, task: str, attempt: int, max_bytes: int) -> bytes:
-        """Return the last bytes of a task's output; ApiError where there is none to be had."""
+        """Return the last bytes of a task's output. Raises ApiError if they are not available."""
         link = self.by_host.get(host)
         if link is None:
             raise ApiError(404, f"machine {host} is gone, and the output of its tasks with it")
         try:
             output = await link.read_task_output(task, attempt, max_bytes)
         except TaskOutputUnavailableError as error:
-            why = str(error) or "no answer in time"
-            raise ApiError(503, f"machine {host} does not tell: {why}", retry_after_s=1) from error
+            cause = str(error) or "no answer in time"
+            raise ApiError(503, f"machine {host} does not tell: {cause}", retry_after_s=1) from error
         if output is None:
             raise ApiError(404, f"machine {host} keeps no output of attempt {attempt} of task {task}")
         return output
 
     async def close(self) -> None:
-        """Close all links, and return when those that were dropped before are closed too."""
+        """Close all links, and return when links that were dropped earlier are closed too."""
         await asyncio.gather(*(link.close() for link in self.by_host.values()))
         await self._closing.wait()
 
@@ -100,7 +100,7 @@
 
 
 def _make_link(host: str, address: str, context: LinkContext) -> MachineLink:
-    """Open the link for an address, grpc://HOST:PORT or http://HOST:PORT. It begins to connect at once."""
+    """Open the link for an address, grpc://HOST:PORT or http://HOST:PORT. It connects immediately."""
     if address.startswith("grpc://"):
         from kelpfront.service.grpc_link import GrpcLink  # gRPC is an optional dependency
 
--- a/kelpfront/service/maintenance.py
+++ b/kelpfront/service/maintenance.py
@@ -1,6 +1,6 @@
-"""What a placer checks regularly: late timers, its memory, its links and its inventory file.
+"""Periodic checks of a placer: late timers, memory use, links and the inventory file.
 
-What late timers and memory lead to is decided by the controller's degradation.
+The controller's degradation decides how to react to late timers and memory use.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 log = structlog.get_logger("kelpfront.controller")
 
 CHECK_INTERVAL_S = 0.25
-"""Overload is to be seen within a second, from several observations."""
+"""Short enough to detect overload within a second from several observations."""
 INVENTORY_CHECK_INTERVAL_S = 2.0
-"""A new inventory is in use a few seconds after it was put in place."""
+"""A changed inventory file takes effect within a few seconds."""
 
 
 class Maintenance:
-    """Checks a running placer in regular intervals. It runs as one task, which its owner cancels.
+    """Checks a running placer at regular intervals, in one task that its owner cancels.
 
     Args:
-        controller: is told of late timers and memory.
-        control_loop: measures the timers.
-        links: are brought in line with the machines that are left.
+        controller: receives the memory use; its settings say from which lag on timers are logged as late.
+        control_loop: measures the lag of timers.
+        links: are synchronized with the machines of the registry.
         inventory: is reloaded when its file has changed.
-        memory_limit_bytes: what the process may use; None where its memory is not measured.
+        memory_limit_bytes: memory limit of the process; None if its memory use is not measured.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         self._process = None if memory_limit_bytes is None else psutil.Process()
 
     async def run(self) -> None:
-        """Check until the task is cancelled."""
+        """Run the checks until the task is cancelled."""
         loop = asyncio.get_running_loop()
         self._inventory.mark_current()
         inventory_check_at = loop.time() + INVENTORY_CHECK_INTERVAL_S
@@ -71,6 +71,6 @@
         self._controller.degradation.process_load.memory_share = used_bytes / self._memory_limit_bytes
 
     def _check_timers(self) -> None:
-        lag_ms = self._control_loop.take_worst_lag_ms()
+        lag_ms = self._control_loop.take_max_lag_ms()
         if lag_ms > self._controller.cluster.settings.timer_resolution_ms:
             log.warning("timers late", lag_ms=round(lag_ms))
--- a/kelpfront/service/placer.py
+++ b/kelpfront/service/placer.py
@@ -1,7 +1,7 @@
-"""A placer as it runs: its parts put together, and its life from start to shutdown.
+"""The placer service: connects the placer's components and controls its lifecycle.
 
-The parts are built in `composition`, the controller is driven by `control_loop`, machines are reached by
-`machine_links`, and what is checked regularly lies in `maintenance`.
+`composition` builds the components, `control_loop` drives the controller, `machine_links` connects to the
+machines, and `maintenance` runs the periodic checks.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
 log = structlog.get_logger("kelpfront.controller")
 
 MAX_RECONCILIATION_WAIT_S = 3.0
-"""For machines to report what they run, before jobs are accepted."""
+"""Maximum wait for the machines to report what they run, before jobs are accepted."""
 SHUTDOWN_SLACK_S = 2.0
-"""Beyond the last task's deadline: an answer that is due at it is still to be published and read."""
+"""Added to the last task's deadline, so that an answer due at the deadline is still published and read."""
 STARTING = "the placer starts: it asks its machines what they hold"
 STOPPING = "the placer stops: it answers what it has taken and takes no more"
 
@@ -50,9 +50,9 @@
 
     Args:
         config: the settings.
-        inventory: the machines to begin with.
-        controller_class: for tests and the laboratory, which need controllers that are faulty or watched.
-        options: for tests and the laboratory.
+        inventory: the initial machines.
+        controller_class: replaced by tests and the laboratory with faulty or instrumented controllers.
+        options: overrides for tests and the laboratory.
     """
 
     def __init__(
@@ -78,9 +78,9 @@
         self.operations.starting = True
         self.links = MachineLinks(LinkContext(self.controller, self.clock.now, self.notify_changed, rng))
         self._control_loop = ControlLoop(self.controller, self.clock.now, self.links)
-        pacer = RequestPacer(clock=options.stopwatch)  # one for both APIs: they share the event loop
+        pacer = RequestPacer(clock=options.stopwatch)  # shared, because both APIs use one event loop
         self.rest = self._make_rest_front(rng, options.watch_times or WatchTimes())
-        self.http = HttpServer(self.rest.handle, composition.http_limits(config), error_body, pacer)
+        self.http = HttpServer(self.rest.handle, composition.build_http_limits(config), error_body, pacer)
         self.grpc = self._make_grpc_front(pacer)
         self.inventory_reloader = InventoryReloader(config, self._apply_inventory)
         self._maintenance = self._make_maintenance()
@@ -94,7 +94,7 @@
     def _trace_finished_tasks(self) -> None:
         if self._tracer is None:
             return
-        from kelpfront.tracing.finished_tasks import trace_finished_tasks  # an optional dependency
+        from kelpfront.tracing.finished_tasks import trace_finished_tasks  # tracing is an optional dependency
 
         trace_finished_tasks(self.controller, self._tracer.write, self.clock.now)
 
@@ -113,7 +113,7 @@
             return None
         from kelpfront.fronts.grpc import GrpcFront  # gRPC is an optional dependency
 
-        limits = composition.grpc_limits(self.config)
+        limits = composition.build_grpc_limits(self.config)
         return GrpcFront(self.operations, self.clock.now, pacer, self.notify_changed, limits)
 
     def _make_maintenance(self) -> Maintenance:
@@ -125,16 +125,16 @@
             memory_limit_bytes=self.config.levels.memory,
         )
 
-    # ---- What others see ----------------------------------------------------------------------------------
+    # ---- Public state and notifications -------------------------------------------------------------------
 
     @property
     def url(self) -> str:
-        """Where the REST API is served."""
+        """The URL of the REST API."""
         return f"http://{self.config.placer.listen.rpartition(':')[0]}:{self.http.port}"
 
     @property
     def grpc_target(self) -> str:
-        """HOST:PORT of the gRPC API; empty where it is not served."""
+        """HOST:PORT of the gRPC API; empty if it is not served."""
         if self.grpc is None or self.config.placer.grpc is None:
             return ""
         return f"{self.config.placer.grpc.rpartition(':')[0]}:{self.grpc.port}"
@@ -144,11 +144,11 @@
         return Health(ready=self.operations.closed)
 
     def notify_changed(self) -> None:
-        """To be called after each report to the controller: what it decides is carried out soon."""
+        """Execute the controller's intents soon. Must be called after each report to the controller."""
         self._control_loop.schedule()
 
     def _common_time(self, loop_time_s: float) -> float:
-        """Turn a time of the event loop into the common clock's milliseconds."""
+        """Convert a time of the event loop to milliseconds of the common clock."""
         age_s = asyncio.get_running_loop().time() - loop_time_s
         return self.clock.now() - age_s * MS_PER_S
 
@@ -156,12 +156,12 @@
         self.controller.apply_inventory(self.clock.now(), inventory)
         self.notify_changed()
 
-    # ---- From start to shutdown ---------------------------------------------------------------------------
+    # ---- Start and shutdown -------------------------------------------------------------------------------
 
     async def run(self, on_start: Callable[[PlacerService], None] | None = None) -> None:
-        """Serve until SIGTERM or SIGINT and answer what was accepted; a second signal ends at once.
+        """Serve until SIGTERM or SIGINT, then answer all accepted jobs. A second signal exits immediately.
 
-        `on_start` is called when the APIs are served, before jobs are accepted.
+        `on_start` is called once the APIs are served, before jobs are accepted.
         """
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
@@ -183,7 +183,7 @@
         self._tasks.spawn(self.stop())
 
     async def start(self) -> None:
-        """Listen and connect to the machines; jobs are accepted once these have reported what they run."""
+        """Serve the APIs and connect to the machines. Jobs are accepted after the machines have reported."""
         host, _, port = self.config.placer.listen.rpartition(":")
         await self.http.start(host, int(port))
         if self.grpc is not None:
@@ -194,7 +194,7 @@
         log.info("placer started", url=self.url, machines=len(self._inventory.hosts))
 
     async def _accept_jobs_when_reconciled(self) -> None:
-        """Wait for the machines' reports: until then a job that is submitted again might run already."""
+        """Wait for the machines' reports, because a resubmitted job may be running on one of them already."""
         entries = self.controller.registry.entries
 
         def all_reconciled() -> bool:
@@ -211,7 +211,7 @@
         log.info("placer ready", machines_reconciled=reconciled, machines=len(entries))
 
     async def stop(self) -> None:
-        """Accept no more jobs, answer all that were accepted, then end the watches and close."""
+        """Reject new jobs, answer all accepted ones, then end the watches and close."""
         if self._is_stopping:
             return
         self._is_stopping = True
@@ -222,8 +222,8 @@
         await self._control_loop.wait_until(
             lambda: not self.controller.open_tasks, self._longest_answer_s() + SHUTDOWN_SLACK_S
         )
-        # Cancelled before this line, by a second signal, what is open stays unanswered; from here on all is
-        # answered, and only the streams break off instead of ending.
+        # If a second signal cancels this method before this line, open tasks stay unanswered. After it, all
+        # tasks are answered, and a cancellation only interrupts the streams.
         self.controller.flush(self.clock.now())
         self.rest.end_watches()
         if self.grpc is not None:
@@ -235,13 +235,13 @@
         self._stopped.set()
 
     def _longest_answer_s(self) -> float:
-        """Return how long it can take until all accepted tasks are answered."""
+        """Return the maximum time until all accepted tasks are answered."""
         longest_deadline_ms = max(cls.deadline_ms for cls in self.controller.cluster.settings.classes)
         remaining_ms = self.controller.longest_remaining_ms(self.clock.now())
         return max(longest_deadline_ms, remaining_ms) / MS_PER_S
 
     async def close(self) -> None:
-        """Close everything at once, without answering what is open. A second call does nothing."""
+        """Close everything immediately, leaving open tasks unanswered. A second call does nothing."""
         if self._is_closed:
             return
         self._control_loop.close()
--- a/kelpfront/service/stream_session.py
+++ b/kelpfront/service/stream_session.py
@@ -1,6 +1,6 @@
-"""A machine's stream across reconnects, whichever protocol carries it: offset, backoff and reports.
+"""The state of a machine's stream across reconnects, for all protocols: offset, backoff and reports.
 
-Connecting, reading and decoding are left to the link of the protocol.
+The link of each protocol connects, reads and decodes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class StreamSession:
-    """Hands a stream's messages to the controller, each once, and paces reconnects."""
+    """Passes each message of a stream to the controller once, and paces reconnects."""
 
     def __init__(self, host: str, context: LinkContext) -> None:
         self._host = host
@@ -26,13 +26,13 @@
 
     @property
     def resume_point(self) -> ResumePoint | None:
-        """Where the next connection is to resume; None where the stream is to begin anew."""
+        """The offset at which the next connection resumes; None if the stream must start anew."""
         return self._offset.resume
 
     def receive(self, message: StreamMessage) -> None:
-        """Hand a message to the controller unless it was received before the last break.
+        """Pass a message to the controller unless it was received before the last break.
 
-        Raises StreamGapError where a message before it is missing.
+        Raises StreamGapError if the message before it is missing.
         """
         if isinstance(message, Hello):
             self._backoff.reset()
@@ -44,7 +44,7 @@
         self._context.controller.on_machine_message(self._context.now(), self._host, message)
 
     def report_down(self) -> None:
-        """Report to the controller that the machine cannot be heard."""
+        """Report to the controller that the link to the machine is down."""
         self._context.controller.on_link_down(self._context.now(), self._host)
         self._context.notify_changed()
 
@@ -52,9 +52,7 @@
         """Log why the stream broke and wait for the backoff's delay."""
         delay_ms = self._backoff.next_delay_ms()
         is_first_failure = self._backoff.failure_count == 1
-        level = (
-            logging.INFO if is_first_failure else logging.DEBUG
-        )  # a machine that is down fails all the time
+        level = logging.INFO if is_first_failure else logging.DEBUG  # a machine that is down fails repeatedly
         fields = {"machine": self._host, "error": error, "retry_in_ms": round(delay_ms)}
         log.log(level, "machine stream broken", **fields)
         await asyncio.sleep(delay_ms / MS_PER_S)
