--- a/kelpfront/api/__init__.py
+++ b/kelpfront/api/__init__.py
@@ -1,5 +1,5 @@
-"""The resources of the REST API: their shapes, their errors, and how they are selected and patched.
+"""The resources of the REST API: their models, errors, selectors and patches.
 
-The form is that of the public Kubernetes API conventions (objects with apiVersion, kind, metadata, spec and
-status; lists; Status errors). Nothing here does I/O.
+They follow the public Kubernetes API conventions: objects with apiVersion, kind, metadata, spec and status,
+lists, and Status errors. This package does no I/O.
 """
--- a/kelpfront/api/decode.py
+++ b/kelpfront/api/decode.py
@@ -1,6 +1,6 @@
-"""Request bodies to models, with all mistakes of a body reported at once.
+"""Decodes request bodies into models and reports all errors of a body at once.
 
-What the fields mean is left to the models; HTTP is left to the fronts.
+The models define the fields; the fronts handle HTTP.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from kelpfront.api.errors import ApiError, Cause, invalid
 from kelpfront.api.meta import Resource
 
-M = TypeVar("M", bound=BaseModel)
+ModelT = TypeVar("ModelT", bound=BaseModel)
 
 FieldValidation = Literal["Strict", "Warn", "Ignore"]
-MAX_CAUSES = 50  # of one answer: a body can be wrong in as many places as it has fields
-MAX_DEPTH = 32  # of nested objects and lists; resources need six
+MAX_CAUSES = 50  # per error response, because a body can have an error in every field
+MAX_DEPTH = 32  # nested objects and lists; resources need six
 
 _REASONS = {
     "missing": "FieldValueRequired",
@@ -29,15 +29,15 @@
 }
 
 
-class Decoded(NamedTuple, Generic[M]):
-    """A model, and warnings about fields that were ignored."""
+class Decoded(NamedTuple, Generic[ModelT]):
+    """A decoded model with warnings about its ignored fields."""
 
-    model: M
+    model: ModelT
     warnings: tuple[str, ...]
 
 
 def parse_json(body: bytes) -> Any:
-    """Return the JSON object of a body. Raises ApiError 400, which says where it stops being JSON."""
+    """Return the JSON object of a body. Raises ApiError 400, which gives the position of a syntax error."""
     if not body:
         raise ApiError(400, "the request has no body; a JSON object is expected")
     try:
@@ -54,11 +54,11 @@
 
 
 def decode(
-    adapter: TypeAdapter[M], resource: Resource, data: Any, validation: FieldValidation = "Strict"
-) -> Decoded[M]:
-    """Validate data and return the model. Raises ApiError 422, which names all that is wrong.
+    adapter: TypeAdapter[ModelT], resource: Resource, data: Any, validation: FieldValidation = "Strict"
+) -> Decoded[ModelT]:
+    """Validate data and return the model. Raises ApiError 422, which lists all errors.
 
-    `Strict` rejects unknown fields. `Warn` and `Ignore` drop them, the first with a warning for each.
+    `Strict` rejects unknown fields. `Warn` drops them with a warning for each, `Ignore` without.
     """
     warnings: list[str] = []
     while True:
@@ -97,7 +97,7 @@
 
 
 def _without(data: Any, location: tuple[str | int, ...]) -> Any:
-    """Return a copy of the data without the member at a location."""
+    """Return a copy of the data without the field at a location."""
     head, *rest = location
     if isinstance(data, dict):
         if not rest:
@@ -114,7 +114,7 @@
 
 def _depth(data: Any) -> int:
     deepest = 0
-    stack = [(data, 1)]  # not recursive: the data's depth is the client's choice
+    stack = [(data, 1)]  # not recursive, because the client controls the depth
     while stack:
         value, depth = stack.pop()
         deepest = max(deepest, depth)
--- a/kelpfront/api/errors.py
+++ b/kelpfront/api/errors.py
@@ -1,7 +1,6 @@
-"""Errors of the API as `Status` objects, by the public conventions.
+"""Errors of the API as `Status` objects of the Kubernetes API conventions.
 
-Each function here makes one kind of error. When to raise it is for the callers to decide; the fronts send it
-as HTTP or gRPC status.
+Each function builds one kind of error. Callers raise it, and the fronts send it as an HTTP or gRPC status.
 """
 
 from __future__ import annotations
@@ -32,14 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Cause:
-    """What is wrong with one field; `reason` is one of the conventions' `FieldValue...` reasons."""
+    """The error of one field; `reason` is one of the conventions' `FieldValue...` reasons."""
 
     field: str
     message: str
     reason: str = "FieldValueInvalid"
 
     def render(self) -> Object:
-        """Return the cause as the details of a `Status` object have it."""
+        """Return the cause as an entry of a `Status` object's details."""
         return {"reason": self.reason, "message": self.message, "field": self.field}
 
 
@@ -48,15 +47,15 @@
 
     Attributes:
         code: The HTTP status.
-        reason: The conventions' reason; that of the code if none is given.
-        resource: The kind of object that the error is about, if any.
+        reason: The reason in the conventions; derived from the code by default.
+        resource: The kind of the object that the error is about, if any.
         name: The name of that object.
-        causes: What is wrong with single fields.
-        retry_after_s: After how many seconds the client may try again; 0 says nothing of it.
-        continue_token: For a list that has expired: where it can go on.
+        causes: The errors of individual fields.
+        retry_after_s: Seconds after which the client may retry; 0 if not specified.
+        continue_token: The token with which an expired list can be continued.
     """
 
-    def __init__(  # noqa: PLR0913 - the fields of a Status, all by keyword but the first two
+    def __init__(  # noqa: PLR0913 - the fields of a Status, by keyword except the first two
         self,
         code: int,
         message: str,
@@ -106,7 +105,7 @@
 
 
 def success(resource: Resource, name: str, uid: str) -> Object:
-    """Return the `Status` that answers a delete."""
+    """Return the `Status` object of a successful delete."""
     return {
         "kind": "Status",
         "apiVersion": "v1",
@@ -133,7 +132,7 @@
 
 
 def conflict(resource: Resource, name: str, message: str) -> ApiError:
-    """Return the error for a write that does not fit the present state of the object."""
+    """Return the error for a write that conflicts with the current state of the object."""
     return ApiError(
         409,
         f'operation cannot be fulfilled on {resource.plural}.{GROUP} "{name}": {message}',
@@ -155,5 +154,5 @@
 
 
 def expired(message: str, continue_token: str = "") -> ApiError:
-    """Return the error for a revision or list that is no longer kept."""
+    """Return the error for a revision or list that is no longer available."""
     return ApiError(410, message, reason="Expired", continue_token=continue_token)
--- a/kelpfront/api/jobs.py
+++ b/kelpfront/api/jobs.py
@@ -1,8 +1,8 @@
-"""Jobs: tasks with the same resource request that their owner wants placed.
+"""Jobs: groups of tasks with the same resource request that their owner wants placed.
 
 Each of a job's `count` tasks gets exactly one answer (Placed, Refused or Failed) within the job's `patience`.
-The answer never changes; the state goes on after it (Placed, Running, then Ended or Lost). Names of fields
-are those of the API's JSON.
+The answer never changes, but the task's state may change after it (Placed, Running, then Ended or Lost). The
+fields have the names of the API's JSON in snake case.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from kelpfront.api.meta import API_VERSION, ApiModel, ObjectMeta
 from kelpfront.units import DURATION_FORM, format_duration, parse_duration
 
-MAX_COUNT = 1000  # tasks of one job: bounds the size of its object and of each event that shows it
+MAX_COUNT = 1000  # tasks per job; bounds the size of its object and of each event that contains it
 
 
-MIN_DURATION_MS = 10.0  # below it, no answer can come in time
+MIN_DURATION_MS = 10.0  # no answer can be given in less time
 MAX_DURATION_MS = 3_600_000.0  # one hour
 
 
-def _canonical_duration(text: str) -> str:
+def _normalize_duration(text: str) -> str:
     duration_ms = parse_duration(text)
     if not MIN_DURATION_MS <= duration_ms <= MAX_DURATION_MS:
         raise ValueError(f"{text!r} is not from 10ms to 1h")
@@ -32,23 +32,23 @@
 
 Duration = Annotated[
     str,
-    AfterValidator(_canonical_duration),
+    AfterValidator(_normalize_duration),
     WithJsonSchema({"type": "string", "description": DURATION_FORM, "examples": ["5s", "800ms"]}),
 ]
 
 
 MAX_ARGV = 256  # entries of a command
 MAX_ENV = 100  # entries of its environment
-MAX_RUN_BYTES = 32_768  # of a command with its environment, in UTF-8: offers carry it
+MAX_RUN_BYTES = 32_768  # of a command and its environment in UTF-8, because offers contain them
 
 
-def _no_nul(text: str) -> str:
+def _reject_nul(text: str) -> str:
     if "\0" in text:
         raise ValueError("has a NUL character, which no process can be given")
     return text
 
 
-def _env_name(text: str) -> str:
+def _check_env_name(text: str) -> str:
     if not _ENV_NAME.fullmatch(text):
         raise ValueError(f"{text!r} is not a name: letters, digits and '_', the first no digit")
     if text.startswith("KELPFRONT_"):
@@ -56,16 +56,16 @@
     return text
 
 
-def _absolute(text: str) -> str:
+def _check_absolute_path(text: str) -> str:
     if not text.startswith("/"):
         raise ValueError(f"{text!r} is not an absolute path")
-    return _no_nul(text)
+    return _reject_nul(text)
 
 
 _ENV_NAME = re.compile(r"[A-Za-z_][A-Za-z0-9_]{0,127}")
-Argument = Annotated[str, AfterValidator(_no_nul)]
-EnvName = Annotated[str, AfterValidator(_env_name)]
-Folder = Annotated[str, Field(max_length=4096), AfterValidator(_absolute)]
+Argument = Annotated[str, AfterValidator(_reject_nul)]
+EnvName = Annotated[str, AfterValidator(_check_env_name)]
+AbsolutePath = Annotated[str, Field(max_length=4096), AfterValidator(_check_absolute_path)]
 
 
 class TaskState(StrEnum):
@@ -138,7 +138,7 @@
     env: dict[EnvName, Argument] | None = Field(
         None, max_length=MAX_ENV, description="Variables of its environment; the machine adds KELPFRONT_*."
     )
-    workdir: Folder | None = Field(
+    workdir: AbsolutePath | None = Field(
         None, description="Where it runs: an absolute path; a folder of the task's own if absent."
     )
     stop_grace: Duration | None = Field(
@@ -148,7 +148,7 @@
     @model_validator(mode="after")
     def _check_command(self) -> JobSpec:
         if self.command is None:
-            self._check_nothing_needs_a_command()
+            self._reject_fields_without_command()
             return self
         if not self.command[0]:
             raise ValueError("command: its first word, the program, is empty")
@@ -159,7 +159,7 @@
             raise ValueError(f"command and env: {size} bytes together; {MAX_RUN_BYTES} are allowed")
         return self
 
-    def _check_nothing_needs_a_command(self) -> None:
+    def _reject_fields_without_command(self) -> None:
         fields = (("env", self.env), ("workdir", self.workdir), ("stopGrace", self.stop_grace))
         given = [name for name, value in fields if value is not None]
         if given:
--- a/kelpfront/api/levels.py
+++ b/kelpfront/api/levels.py
@@ -1,6 +1,6 @@
-"""Degradation levels: one object for each placer, to be listed and watched; operators may pin its level.
+"""Degradation levels: one object per placer, which clients list and watch. Operators can pin its level.
 
-Names of fields are those of the API's JSON. The decisions are in `kelpfront.degradation`.
+The fields have the names of the API's JSON in snake case. `kelpfront.degradation` decides the levels.
 """
 
 from __future__ import annotations
--- a/kelpfront/api/machines.py
+++ b/kelpfront/api/machines.py
@@ -1,6 +1,6 @@
-"""Machines: what the inventory says of them, what they report, and whether they accept new work.
+"""Machines: their data from the inventory, their reported status, and whether they accept new work.
 
-Names of fields are those of the API's JSON.
+The fields have the names of the API's JSON in snake case.
 """
 
 from __future__ import annotations
--- a/kelpfront/api/meta.py
+++ b/kelpfront/api/meta.py
@@ -1,4 +1,4 @@
-"""What all resources have in common: names, labels, metadata, and the kinds of resources themselves.
+"""Definitions shared by all resources: names, labels, metadata, and the kinds of resources.
 
 The fields of each kind are in `jobs`, `machines` and `levels`.
 """
@@ -35,21 +35,21 @@
 
 
 def check_name(value: str) -> str:
-    """Return a resource's name; raise ValueError if it is no RFC 1123 subdomain."""
+    """Return a resource's name. Raises ValueError if it is not an RFC 1123 subdomain."""
     if not _DNS_NAME.fullmatch(value):
         raise ValueError(f"{value!r} is not a name: {DNS_NAME_FORM}")
     return value
 
 
 def check_namespace(value: str) -> str:
-    """Return a namespace; raise ValueError if it is no RFC 1123 label."""
+    """Return a namespace. Raises ValueError if it is not an RFC 1123 label."""
     if not _DNS_LABEL.fullmatch(value):
         raise ValueError(f"{value!r} is not a namespace: {DNS_LABEL_FORM}")
     return value
 
 
 def check_label_key(value: str) -> str:
-    """Return a label's key; raise ValueError if it has not the form [PREFIX/]NAME."""
+    """Return a label's key. Raises ValueError if it does not have the form [PREFIX/]NAME."""
     prefix, slash, name = value.rpartition("/")
     if slash and not _DNS_NAME.fullmatch(prefix):
         raise ValueError(f"prefix of {value!r} is not a name: {DNS_NAME_FORM}")
@@ -59,7 +59,7 @@
 
 
 def check_label_value(value: str) -> str:
-    """Return a label's value; raise ValueError if it is not valid. It may be empty."""
+    """Return a label's value, which may be empty. Raises ValueError if it is not valid."""
     if value and not _LABEL_NAME.fullmatch(value):
         raise ValueError(f"{value!r} is not a label's value: {LABEL_FORM}")
     return value
@@ -101,7 +101,7 @@
     deletion_timestamp: str | None = None
     deletion_grace_period_seconds: int | None = None
     self_link: str | None = None
-    # Accepted from clients that read an object and write it back; kelpfront keeps none of them.
+    # Accepted so that clients can write back an object that they read; kelpfront does not store them.
     finalizers: list[str] | None = Field(None, max_length=0)
     owner_references: list[dict[str, Any]] | None = Field(None, max_length=0)
     managed_fields: list[dict[str, Any]] | None = None
@@ -123,7 +123,7 @@
     namespaced: bool
     verbs: tuple[str, ...]
     fields: tuple[str, ...]
-    """What a field selector may name, besides metadata.name and metadata.namespace."""
+    """Fields that selectors may use in addition to metadata.name and metadata.namespace."""
 
     @property
     def list_kind(self) -> str:
@@ -132,7 +132,7 @@
 
     @property
     def selectable(self) -> tuple[str, ...]:
-        """All that a field selector may name."""
+        """All fields that a field selector may use."""
         names = ("metadata.name", "metadata.namespace") if self.namespaced else ("metadata.name",)
         return names + self.fields
 
@@ -165,7 +165,7 @@
 
 
 def field_of(obj: Object, path: str) -> str:
-    """Return the value at a dotted path as field selectors compare it: text, with booleans in lower case."""
+    """Return the value at a dotted path as the text that field selectors compare; booleans in lower case."""
     value: Any = obj
     for part in path.split("."):
         value = value.get(part) if isinstance(value, dict) else None
--- a/kelpfront/api/selectors.py
+++ b/kelpfront/api/selectors.py
@@ -1,4 +1,4 @@
-"""Label and field selectors, by the public conventions: how they are read, and which objects they match."""
+"""Parses and matches label and field selectors of the Kubernetes API conventions."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Selectable(Protocol):
-    """What selectors look at of an object."""
+    """The attributes of an object that selectors match."""
 
     @property
     def labels(self) -> Mapping[str, str]:
@@ -26,13 +26,13 @@
         ...
 
     def field(self, path: str) -> str:
-        """Return the value at a path that the resource lets a field selector name, as text."""
+        """Return the value of a selectable field as text."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One requirement on a label. `values` are those of the operators `in` and `notin`."""
+    """One requirement on a label. Only the operators `in` and `notin` have `values`."""
 
     key: str
     operator: Literal["in", "notin", "exists", "absent"]
@@ -43,7 +43,7 @@
         match self.operator:
             case "in":
                 return labels.get(self.key) in self.values
-            case "notin":  # also where the label is absent, as the conventions have it
+            case "notin":  # also matches if the label is absent, as in the conventions
                 return labels.get(self.key) not in self.values
             case "exists":
                 return self.key in labels
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldTerm:
-    """One requirement on a field: that it has the value, or (not `equal`) that it has another."""
+    """One requirement on a field: its value equals `value`, or differs from it if `equal` is False."""
 
     path: str
     value: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Selector:
-    """Which objects of a resource a list or watch is about: those that meet all requirements."""
+    """Selects the objects of a list or watch: those that meet all requirements."""
 
     labels: tuple[Term, ...] = ()
     fields: tuple[FieldTerm, ...] = ()
@@ -75,7 +75,7 @@
 
     @property
     def name(self) -> str | None:
-        """The only name that can match, if there is one, by which watches can be looked up."""
+        """The only object name that can match, or None; watches are indexed by it."""
         for term in self.fields:
             if term.path == "metadata.name" and term.equal:
                 return term.value
@@ -86,7 +86,7 @@
 
 
 def parse_selector(resource: Resource, labels: str, fields: str) -> Selector:
-    """Read `labelSelector` and `fieldSelector`. Raises ApiError 400, which names the term that is wrong."""
+    """Parse `labelSelector` and `fieldSelector`. Raises ApiError 400, which names the invalid term."""
     return Selector(_label_terms(labels), _field_terms(resource, fields))
 
 
@@ -99,7 +99,7 @@
             continue
         if len(terms) == MAX_TERMS:
             raise ApiError(400, f"labelSelector: more than {MAX_TERMS} terms")
-        # In this order: each form's text begins like the one after it.
+        # The order matters, because a later form also matches the start of an earlier one.
         match = _SET.match(text, offset) or _EQUALITY.match(text, offset) or _EXISTS.match(text, offset)
         if match is None:
             raise ApiError(400, f"labelSelector: not understood from {text[offset:]!r} on")
@@ -109,7 +109,7 @@
 
 
 def _next_term_offset(text: str, term_end: int) -> int:
-    """Return where the term after the next comma begins, or the end of the text."""
+    """Return the offset after the next comma, or the end of the text if there is none."""
     rest = text[term_end:].lstrip()
     if not rest:
         return len(text)
@@ -121,18 +121,18 @@
 
 
 def _term(match: re.Match[str]) -> Term:
-    found = match.groupdict()
+    groups = match.groupdict()
     try:
-        key = check_label_key(found["key"])
+        key = check_label_key(groups["key"])
         if match.re is _SET:
-            values = frozenset(check_label_value(value.strip()) for value in found["values"].split(","))
-            return Term(key, "in" if found["op"] == "in" else "notin", values)
+            values = frozenset(check_label_value(value.strip()) for value in groups["values"].split(","))
+            return Term(key, "in" if groups["op"] == "in" else "notin", values)
         if match.re is _EQUALITY:
-            value = check_label_value(found["value"])
-            return Term(key, "notin" if found["op"] == "!=" else "in", frozenset({value}))
+            value = check_label_value(groups["value"])
+            return Term(key, "notin" if groups["op"] == "!=" else "in", frozenset({value}))
     except ValueError as error:
         raise ApiError(400, f"labelSelector: {error}") from error
-    return Term(key, "absent" if found["no"] else "exists")
+    return Term(key, "absent" if groups["no"] else "exists")
 
 
 def _field_terms(resource: Resource, text: str) -> tuple[FieldTerm, ...]:
--- a/kelpfront/rpc/__init__.py
+++ b/kelpfront/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""What both ends of gRPC share: resources to messages and back, errors to status and back. No I/O.
+"""Conversions shared by gRPC clients and servers: resources and messages, errors and status. No I/O.
 
 The services are in `kelpfront.fronts.grpc`, the clients in `kelpfront.client`.
 """
--- a/kelpfront/rpc/enums.py
+++ b/kelpfront/rpc/enums.py
@@ -1,7 +1,7 @@
-"""The API's names of the values of protobuf enumerations.
+"""Maps values of protobuf enumerations to their names in the API's JSON.
 
-A value `TASK_STATE_PENDING` is `Pending` in the API's JSON. The value 0, which protobuf has for a field that
-is not set, has no name.
+The value `TASK_STATE_PENDING` is `Pending` in the API's JSON. The value 0, protobuf's default of an unset
+field, has no name.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class EnumNames:
-    """Names and numbers of one enumeration, whose values begin with `prefix`."""
+    """The names and numbers of one enumeration whose values start with `prefix`."""
 
     def __init__(self, enum: Any, prefix: str) -> None:
         self.numbers: dict[str, Any] = {
@@ -23,7 +23,7 @@
         self._names: dict[int, str] = {number: name for name, number in self.numbers.items()}
 
     def find(self, number: int) -> str | None:
-        """Return the name of a number, or None where this version knows none."""
+        """Return the name of a number, or None if this version does not know the number."""
         return self._names.get(number)
 
 
--- a/kelpfront/rpc/jobs.py
+++ b/kelpfront/rpc/jobs.py
@@ -1,7 +1,7 @@
-"""Jobs between the API's JSON data and the messages of resources.proto, which have the same fields.
+"""Converts jobs between the API's JSON data and the messages of resources.proto, which have the same fields.
 
-What a client sends as a message becomes the data that a REST client would have sent, and the API checks it as
-that: the two fronts cannot differ in what they accept.
+A message from a client is converted to the JSON data that a REST client would send, and the API validates
+that data. Both fronts therefore accept the same jobs.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from kelpfront.v1 import resources_pb2 as pb
 
 _REQUIRED_SPEC_FIELDS = ("class", "service", "cores", "memory")
-# Each with the message's name of a field, and the API's.
+# Pairs of a field's name in the message and its name in the API.
 _OPTIONAL_SPEC_FIELDS = (
     ("count", "count"),
     ("key", "key"),
@@ -94,7 +94,7 @@
 def spec_data(spec: pb.JobSpec) -> Object:
     """Return a job's specification as JSON data.
 
-    Fields that are not set are left out, so that the API's check reports them as missing.
+    Fields that are not set are left out, so that the API's validation reports them as missing.
     """
     data: Object = {}
     for name in _REQUIRED_SPEC_FIELDS:
@@ -115,7 +115,7 @@
 
 
 def job_data(metadata: pb.ObjectMeta, spec: pb.JobSpec) -> Object:
-    """Return the data that a REST client would POST."""
+    """Return the JSON data that a REST client would POST for this job."""
     meta: Object = {}
     if metadata.name:
         meta["name"] = metadata.name
@@ -127,7 +127,7 @@
 
 
 def job_object(job: pb.Job) -> Object:
-    """Return a job as the REST API shows it."""
+    """Return a job as the REST API represents it."""
     status = job.status
     tasks = [_task_object(task) for task in status.tasks]
     return {
--- a/kelpfront/rpc/limits.py
+++ b/kelpfront/rpc/limits.py
@@ -1,4 +1,4 @@
-"""Bounds that both ends of a stream keep to."""
+"""Limits that the client and the server of a stream both enforce."""
 
 MAX_STREAM_JOBS = 1_000
-"""Jobs of one Bindings stream that have not ended; bounds what the server keeps for one client."""
+"""Open jobs of one Bindings stream; bounds the state that the server keeps for one client."""
--- a/kelpfront/rpc/machines.py
+++ b/kelpfront/rpc/machines.py
@@ -1,4 +1,4 @@
-"""Machines between the API's JSON data and the messages of resources.proto, which have the same fields."""
+"""Converts machines between the API's JSON data and the messages of resources.proto with the same fields."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def machine_object(machine: pb.Machine) -> Object:
-    """Return a machine as the REST API shows it."""
+    """Return a machine as the REST API represents it."""
     spec, status = machine.spec, machine.status
     status_data: Object = {
         "state": MACHINE_STATES.find(status.state) or "Unknown",
--- a/kelpfront/rpc/metadata.py
+++ b/kelpfront/rpc/metadata.py
@@ -1,4 +1,4 @@
-"""Metadata of resources between the API's JSON data and messages."""
+"""Converts the metadata of resources between the API's JSON data and messages."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from kelpfront.rpc.times import timestamp_message, timestamp_text
 from kelpfront.v1 import resources_pb2 as pb
 
-_SECONDS_END = 19  # of a time's text: creation times have no digits of the second
+_WHOLE_SECONDS_LENGTH = 19  # of a timestamp's text; creation times have no fraction of a second
 
 
 def metadata_message(metadata: Object) -> pb.ObjectMeta:
@@ -24,20 +24,20 @@
 
 
 def metadata_object(metadata: pb.ObjectMeta) -> Object:
-    """Return metadata as the REST API shows it; fields that are not set are left out."""
-    found: Object = {
+    """Return metadata as the REST API represents it; unset fields are omitted."""
+    data: Object = {
         "name": metadata.name,
         "uid": metadata.uid,
         "resourceVersion": metadata.resource_version,
     }
     if metadata.namespace:
-        found["namespace"] = metadata.namespace
+        data["namespace"] = metadata.namespace
     if metadata.generation:
-        found["generation"] = metadata.generation
+        data["generation"] = metadata.generation
     if metadata.HasField("creation_time"):
-        found["creationTimestamp"] = timestamp_text(metadata.creation_time)[:_SECONDS_END] + "Z"
+        data["creationTimestamp"] = timestamp_text(metadata.creation_time)[:_WHOLE_SECONDS_LENGTH] + "Z"
     if metadata.labels:
-        found["labels"] = dict(metadata.labels)
+        data["labels"] = dict(metadata.labels)
     if metadata.annotations:
-        found["annotations"] = dict(metadata.annotations)
-    return found
+        data["annotations"] = dict(metadata.annotations)
+    return data
--- a/kelpfront/rpc/status.py
+++ b/kelpfront/rpc/status.py
@@ -1,8 +1,8 @@
-"""Errors of the API as gRPC status with google.rpc details, and back; one to one with the REST API's Status.
+"""Converts errors of the API to gRPC status with google.rpc details and back, one to one with the REST API.
 
-The status code is the nearest of gRPC's. Two REST reasons with the same code are told apart by the reason
-itself, in `ErrorInfo`. A status without `ErrorInfo` is not from the placer but from the transport; whether
-the call arrived is for the caller to decide.
+Each error gets the closest gRPC status code. `ErrorInfo` contains the REST API's reason, which distinguishes
+errors with the same code. A status without `ErrorInfo` is from the transport and not from the placer; the
+caller must then decide whether the call may have arrived.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     "ServiceUnavailable": grpc.StatusCode.UNAVAILABLE,
     "Timeout": grpc.StatusCode.DEADLINE_EXCEEDED,
 }
-HTTP_OF_CODE = {
+HTTP_STATUS_OF_CODE = {
     grpc.StatusCode.INVALID_ARGUMENT: 400,
     grpc.StatusCode.NOT_FOUND: 404,
     grpc.StatusCode.UNIMPLEMENTED: 405,
@@ -50,7 +50,7 @@
 
 
 class _Details(NamedTuple):
-    """What the details of a placer's status say."""
+    """The decoded details of a placer's status."""
 
     info: error_details_pb2.ErrorInfo
     causes: tuple[Cause, ...]
@@ -63,7 +63,7 @@
 
 
 def status_message(error: ApiError) -> status_pb2.Status:
-    """Return the complete status, with its details."""
+    """Return the complete status of an error, with its details."""
     code: int = code_of(error).value[0]
     status = status_pb2.Status(code=code, message=error.message)
     metadata = {"code": str(error.code)}
@@ -96,14 +96,14 @@
 def error_of(
     code: grpc.StatusCode, message: str, metadata: Iterable[tuple[str, str | bytes]] | None
 ) -> ApiError | None:
-    """Return the placer's error that a call ended with, or None where the status is the transport's."""
+    """Return the placer's error that ended a call, or None if the status is from the transport."""
     raw = next((value for key, value in metadata or () if key == DETAILS_KEY), None)
     details = _read_details(raw) if isinstance(raw, bytes) else None
     if details is None:
         return None
     http_status = details.info.metadata.get("code", "")
     return ApiError(
-        int(http_status) if http_status.isdigit() else HTTP_OF_CODE.get(code, 500),
+        int(http_status) if http_status.isdigit() else HTTP_STATUS_OF_CODE.get(code, 500),
         message,
         reason=details.info.reason,
         name=details.info.metadata.get("name", ""),
@@ -113,7 +113,7 @@
 
 
 def _read_details(raw: bytes) -> _Details | None:
-    """Return the details of a serialized status, or None where it is not a placer's."""
+    """Return the details of a serialized status, or None if it is not from a placer."""
     status = status_pb2.Status()
     try:
         status.ParseFromString(raw)
--- a/kelpfront/rpc/times.py
+++ b/kelpfront/rpc/times.py
@@ -1,4 +1,4 @@
-"""Times and durations between the API's text and protobuf's well-known types."""
+"""Converts times and durations between the API's text and protobuf's well-known types."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def timestamp_message(text: str | None) -> Timestamp | None:
-    """Return the message for a time in the API's form, or None for none."""
+    """Return the message for a time in the API's format, or None if there is no text."""
     if not text:
         return None
     timestamp = Timestamp()
@@ -18,7 +18,7 @@
 
 
 def timestamp_text(timestamp: Timestamp) -> str:
-    """Return a time in the API's form, which has six digits of the second."""
+    """Return a time in the API's format, with six digits after the decimal point."""
     text: str = timestamp.ToJsonString()
     if "." not in text:
         return text.rstrip("Z") + ".000000Z"
@@ -27,7 +27,7 @@
 
 
 def duration_message(text: str | None) -> Duration | None:
-    """Return the message for a duration in the API's form, or None for none."""
+    """Return the message for a duration in the API's format, or None if there is no text."""
     if not text:
         return None
     duration = Duration()
@@ -36,6 +36,6 @@
 
 
 def duration_text(duration: Duration) -> str:
-    """Return a duration in the API's form; one that is not valid there is left for the API's check."""
+    """Return a duration in the API's format. The API's validation rejects a negative one."""
     duration_ms = duration.seconds * 1000.0 + duration.nanos / 1e6
     return format_duration(duration_ms) if duration_ms >= 0 else f"{duration_ms:g}ms"
