--- a/kelpfront/service/machine_link.py
+++ b/kelpfront/service/machine_link.py
@@ -22,7 +22,7 @@
 CONNECT_TIMEOUT_S = 2.0
 """Timeout for connecting a stream: a machine that is up accepts within milliseconds."""
 SILENCE_TIMEOUT_S = 10.0
-"""A connection without messages for this long is dead even if TCP is fine: heartbeats are more frequent."""
+"""A connection that is silent for this long is dead even if TCP reports no error: heartbeats are frequent."""
 TASK_OUTPUT_TIMEOUT_S = 10.0
 """Timeout for reading a task's output once."""
 MAX_CONCURRENT_OUTPUT_READS = 2
--- a/tests/api/test_api.py
+++ b/tests/api/test_api.py
@@ -1,4 +1,4 @@
-"""Selectors, merge patch, request bodies, units and the clock."""
+"""Selectors, merge patches, request bodies, units and the common clock."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 }
 
 
-def stored(resource: Resource = JOBS, **body: Any) -> StoredObject:
+def stored_object(resource: Resource = JOBS, **body: Any) -> StoredObject:
     labels = body.pop("labels", {})
     return StoredObject.encode(resource, ("climate", "a"), 1, {"metadata": {"labels": labels}, **body})
 
 
-def labelled(**labels: str) -> StoredObject:
-    return stored(labels=labels)
+def labelled_object(**labels: str) -> StoredObject:
+    return stored_object(labels=labels)
 
 
 @pytest.mark.parametrize(
@@ -51,9 +51,9 @@
 def test_a_label_selector_matches_objects_that_meet_all_terms(selector: str, expected: set[str]) -> None:
     parsed = parse_selector(JOBS, selector, "")
     objects = {
-        "blue": labelled(team="blue", tier="web"),
-        "red": labelled(team="red"),
-        "none": labelled(),
+        "blue": labelled_object(team="blue", tier="web"),
+        "red": labelled_object(team="red"),
+        "none": labelled_object(),
     }
     assert {name for name, obj in objects.items() if parsed.matches(obj)} == expected
 
@@ -67,8 +67,8 @@
     assert error.value.code == 400
 
 
-def test_a_field_selector_compares_text_and_names_what_is_supported() -> None:
-    machine = stored(MACHINES, spec={"unschedulable": True, "room": "east"})
+def test_a_field_selector_compares_text_and_an_error_lists_the_supported_fields() -> None:
+    machine = stored_object(MACHINES, spec={"unschedulable": True, "room": "east"})
     assert parse_selector(MACHINES, "", "spec.unschedulable=true,metadata.name=a").matches(machine)
     assert not parse_selector(MACHINES, "", "spec.room!=east").matches(machine)
     assert parse_selector(MACHINES, "", "metadata.name=n1").name == "n1"
@@ -78,7 +78,7 @@
 
 @pytest.mark.parametrize(
     ("target", "patch", "result"),
-    [  # of RFC 7396, appendix A
+    [  # examples from RFC 7396, appendix A
         ({"a": "b"}, {"a": "c"}, {"a": "c"}),
         ({"a": "b"}, {"b": "c"}, {"a": "b", "b": "c"}),
         ({"a": "b"}, {"a": None}, {}),
@@ -115,7 +115,7 @@
     assert error.value.code == 400
 
 
-def test_all_mistakes_of_a_body_are_reported_at_once() -> None:
+def test_all_errors_of_a_body_are_reported_at_once() -> None:
     invalid = {
         "kind": "Pod",
         "metadata": {"name": "UPPER", "labels": {"a b": "x"}},
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize("text", ["5", "s", "-1s", "1 fortnight", "1e3ms", "", "1s 2s"])
-def test_a_text_that_is_no_duration_is_rejected(text: str) -> None:
+def test_a_text_that_is_not_a_duration_is_rejected(text: str) -> None:
     with pytest.raises(ValueError, match="a number and a unit"):
         parse_duration(text)
 
@@ -182,16 +182,16 @@
 
 
 def test_the_common_clock_never_goes_back_and_follows_the_wall_clock_slowly() -> None:
-    wall = [1000.0]
-    steady = [50.0]
-    clock = CommonClock(lambda: wall[0], lambda: steady[0])
+    wall_s = [1000.0]
+    monotonic_s = [50.0]
+    clock = CommonClock(lambda: wall_s[0], lambda: monotonic_s[0])
     assert clock.now() == 1_000_000.0
     for step in (0.0, 10.0, -3600.0):
         before = clock.now()
-        wall[0] += step + 2.0
-        steady[0] += 2.0
-        passed = clock.now() - before
-        assert passed == pytest.approx(2000.0, abs=1.0 + 1e-6), step
+        wall_s[0] += step + 2.0
+        monotonic_s[0] += 2.0
+        elapsed_ms = clock.now() - before
+        assert elapsed_ms == pytest.approx(2000.0, abs=1.0 + 1e-6), step
     assert clock.wall_clock_offset_ms() < -3_500_000.0
     assert clock.now() == clock.now()
 
--- a/tests/service/test_placer_process.py
+++ b/tests/service/test_placer_process.py
@@ -1,4 +1,4 @@
-"""The placer as a process: slow clients, its inventory file, its signals and its errors."""
+"""The placer process: slow clients, changes of its inventory file, signals and errors in its files."""
 
 from __future__ import annotations
 
@@ -23,9 +23,9 @@
 async def test_slow_clients_do_not_delay_others() -> None:
     async with cluster(2, "limits.request_time=1s", "limits.connections=300") as (_, service, client):
         connections = [await asyncio.open_connection("127.0.0.1", service.http.port) for _ in range(200)]
-        for n, (_, writer) in enumerate(connections):
+        for size, (_, writer) in enumerate(connections):
             writer.write(
-                b"POST /apis/kelpfront.dev/v1/namespaces/c/jobs HTTP/1.1\r\nhost: x\r\nx: " + b"y" * n
+                b"POST /apis/kelpfront.dev/v1/namespaces/c/jobs HTTP/1.1\r\nhost: x\r\nx: " + b"y" * size
             )
         job = await client.submit("climate", spec())
         async with asyncio.timeout(10):
@@ -63,19 +63,21 @@
         await test_cluster.close()
 
 
-def kelpfront(*args: str, **more: Any) -> subprocess.Popen[str]:
+def start_kelpfront(*args: str, **popen_options: Any) -> subprocess.Popen[str]:
     command = [sys.executable, "-m", "kelpfront", *args]
-    return subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, **more)
+    return subprocess.Popen(
+        command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, **popen_options
+    )
 
 
-async def line_of(process: subprocess.Popen[str]) -> Any:
+async def read_json_line(process: subprocess.Popen[str]) -> Any:
     assert process.stdout is not None
     async with asyncio.timeout(60):
         return json.loads(await asyncio.to_thread(process.stdout.readline))
 
 
 async def submit_when_ready(client: Client, job_spec: JobSpec) -> Job:
-    """Submits a job, again and again until the placer's machines have reported what they run."""
+    """Submit a job, and retry until the placer's machines have reported what they run."""
     while True:
         try:
             return await client.submit("climate", job_spec)
@@ -86,7 +88,7 @@
 
 
 async def submit_until_rejected(client: Client) -> None:
-    """Submits jobs until one is rejected, which raises."""
+    """Submit jobs until one is rejected, which raises ApiError."""
     async with asyncio.timeout(30):
         while True:
             await client.submit("climate", spec())
@@ -97,20 +99,20 @@
     await test_cluster.start()
     write_csv(tmp_path / "inventory.csv", test_cluster.inventory)
     (tmp_path / "k.ini").write_text(SETTINGS)
-    process = kelpfront("serve", "-c", str(tmp_path / "k.ini"))
+    process = start_kelpfront("serve", "-c", str(tmp_path / "k.ini"))
     try:
-        client = Client((await line_of(process))["url"], seed=1)
+        client = Client((await read_json_line(process))["url"], seed=1)
         jobs = [
             await submit_when_ready(client, spec(cores=1.0, patience="5s", count=3)),
-            await submit_when_ready(client, spec(cores=1000.0, patience="1500ms", count=3)),  # has no machine
+            await submit_when_ready(client, spec(cores=1000.0, patience="1500ms", count=3)),  # too large
         ]
         waits = [asyncio.create_task(client.wait_answers(job)) for job in jobs]
         await asyncio.sleep(0.1)
         process.send_signal(signal.SIGTERM)
         await asyncio.sleep(0.2)
-        with pytest.raises((ApiError, ServerUnreachableError)) as refused:
+        with pytest.raises((ApiError, ServerUnreachableError)) as rejected:
             await client.submit("climate", spec())
-        assert getattr(refused.value, "code", 503) == 503
+        assert getattr(rejected.value, "code", 503) == 503
         done = [await wait for wait in waits]
         answers = [[task.answer for task in job.status.tasks] for job in done if job.status is not None]
         assert answers == [["Placed"] * 3, ["Refused"] * 3]
@@ -129,12 +131,12 @@
     await machines.start()
     write_csv(tmp_path / "inventory.csv", machines.inventory)
     (tmp_path / "k.ini").write_text(SETTINGS)
-    process = kelpfront("serve", "-c", str(tmp_path / "k.ini"))
+    process = start_kelpfront("serve", "-c", str(tmp_path / "k.ini"))
     try:
-        client = Client((await line_of(process))["url"], seed=1)
+        client = Client((await read_json_line(process))["url"], seed=1)
         await submit_when_ready(client, spec(cores=1000.0, patience="1h"))
         process.send_signal(signal.SIGTERM)
-        with pytest.raises(ApiError) as rejected:  # the first signal was received
+        with pytest.raises(ApiError) as rejected:  # the first signal was handled
             await submit_until_rejected(client)
         assert rejected.value.code == 503
         assert process.poll() is None, "it waits for the open task"
@@ -149,11 +151,11 @@
         machines.fleet.close()
 
 
-def test_a_placer_names_what_is_wrong_in_its_files(tmp_path: Path) -> None:
+def test_errors_in_a_placers_files_are_reported_on_standard_error(tmp_path: Path) -> None:
     (tmp_path / "k.ini").write_text(SETTINGS)
 
     def run_to_end(*args: str) -> tuple[int, str]:
-        process = kelpfront(*args)
+        process = start_kelpfront(*args)
         _, text = process.communicate(timeout=60)
         return process.returncode, text
 
--- a/tests/service/test_placer_restarts.py
+++ b/tests/service/test_placer_restarts.py
@@ -1,4 +1,4 @@
-"""Placers that are killed, and clients that disconnect or wait in vain."""
+"""Placers that are killed, and clients that disconnect or wait for a job that is deleted."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     try:
         first = await test_cluster.placer()
         client = test_cluster.client(first)
-        for n in range(6):
-            await client.submit("climate", spec("blend" if n % 2 else "web", count=2), name=f"j{n}")
+        for index in range(6):
+            await client.submit("climate", spec("blend" if index % 2 else "web", count=2), name=f"j{index}")
         await until(lambda: len(test_cluster.events("start")) >= 6)
-        await first.close()  # all its connections break; it answers nobody any more
+        await first.close()  # all its connections break, and it answers no requests
         second = await test_cluster.placer()
         placed = {line["task"] for line in test_cluster.events("start")}
         running = {
--- a/tests/service/test_watch_resumption.py
+++ b/tests/service/test_watch_resumption.py
@@ -19,9 +19,9 @@
 async def test_a_watch_whose_connection_breaks_repeatedly_receives_every_change_once(
     bytes_between_cuts: int,
 ) -> None:
-    async with cluster(4) as (_, service, client), proxy(service.http.port) as cutting:
-        cutting.cut_after = bytes_between_cuts
-        watcher = Client(cutting.url, seed=3)
+    async with cluster(4) as (_, service, client), proxy(service.http.port) as cutting_proxy:
+        cutting_proxy.cut_after = bytes_between_cuts
+        watcher = Client(cutting_proxy.url, seed=3)
         received: list[Event] = []
 
         async def read() -> None:
@@ -29,12 +29,12 @@
                 received.append(event)  # noqa: PERF401 - read below while the watch goes on
 
         reading = asyncio.create_task(read())
-        for n in range(12):
-            await client.submit("climate", spec(cores=0.5), name=f"j{n}")
+        for index in range(12):
+            await client.submit("climate", spec(cores=0.5), name=f"j{index}")
             await asyncio.sleep(0.005)
-        if bytes_between_cuts < 1000:  # too little for even one list: nothing can come through yet
-            await until(lambda: cutting.connections >= 5)
-            cutting.cut_after = 20_000
+        if bytes_between_cuts < 1000:  # less than one list, so no response can be complete
+            await until(lambda: cutting_proxy.connections >= 5)
+            cutting_proxy.cut_after = 20_000
         await until(lambda: service.store.count(JOBS) == 12 and service.controller.open_tasks == 0)
         service.controller.flush(service.clock.now())
         final = {stored.name: stored.revision for stored in service.store.objects(JOBS)}
@@ -46,14 +46,14 @@
             return last == final
 
         await until(caught_up)
-        assert cutting.connections > 3
+        assert cutting_proxy.connections > 3
         for name in final:
             revisions = [
                 int(e.object["metadata"]["resourceVersion"])
                 for e in received
                 if e.object["metadata"]["name"] == name
             ]
-            assert revisions == sorted(set(revisions)), "in order, none twice"
+            assert revisions == sorted(set(revisions)), "revisions must arrive in order, each once"
             answers = [
                 e.object["status"]["tasks"][0].get("answer")
                 for e in received
@@ -65,8 +65,11 @@
 
 
 async def test_a_client_whose_revision_has_expired_lists_again_and_reports_the_difference() -> None:
-    async with cluster(2, "limits.history=100") as (_, service, client), proxy(service.http.port) as cutting:
-        watcher = Client(cutting.url, seed=3)
+    async with (
+        cluster(2, "limits.history=100") as (_, service, client),
+        proxy(service.http.port) as cutting_proxy,
+    ):
+        watcher = Client(cutting_proxy.url, seed=3)
         received: list[tuple[str, str]] = []
 
         async def read() -> None:
@@ -78,13 +81,13 @@
         await client.submit("climate", spec(), name="goes")
         reading = asyncio.create_task(read())
         await until(lambda: {name for _, name in received} == {"stays", "goes"})
-        target, cutting._to = cutting._to, 1  # nobody listens there
-        cutting.cut()
+        target, cutting_proxy._to = cutting_proxy._to, 1  # no server listens on this port
+        cutting_proxy.cut()
         await client.delete_job("climate", "goes")
-        for n in range(60):
-            await client.submit("climate", spec(cores=0.1, memory=0.1), name=f"new{n}")
+        for index in range(60):
+            await client.submit("climate", spec(cores=0.1, memory=0.1), name=f"new{index}")
         received.clear()
-        cutting._to = target
+        cutting_proxy._to = target
         await until(lambda: ("ADDED", "new59") in received)
         assert ("DELETED", "goes") in received
         assert [event for event in received if event[1] == "stays" and event[0] == "ADDED"] == []
@@ -92,13 +95,13 @@
         watcher.close()
 
 
-async def test_a_watch_that_is_not_read_ends_with_an_error_and_delays_nobody() -> None:
+async def test_a_watch_that_is_not_read_ends_with_an_error_and_does_not_delay_other_clients() -> None:
     async with cluster(2, "limits.watch_buffer=10") as (_, service, client):
         connection = await HttpConnection.open("127.0.0.1", service.http.port)
         _, _, fragments = await connection.stream("GET", "/apis/kelpfront.dev/v1/jobs?watch=1")
-        for n in range(30):  # far more than socket buffers hold
-            await client.submit("climate", spec(cores=1000.0, count=900, patience="1h"), name=f"wide{n}")
-            await client.delete_job("climate", f"wide{n}")
+        for index in range(30):  # far more than socket buffers hold
+            await client.submit("climate", spec(cores=1000.0, count=900, patience="1h"), name=f"wide{index}")
+            await client.delete_job("climate", f"wide{index}")
         job = await client.submit("climate", spec(), name="after")
         async with asyncio.timeout(20):
             placed = await client.wait_answers(job)
@@ -116,13 +119,13 @@
             connection = await HttpConnection.open("127.0.0.1", service.http.port)
             await connection.stream("GET", "/apis/kelpfront.dev/v1/jobs?watch=1&allowWatchBookmarks=1")
             connection.abort()
-        half, writer = await asyncio.open_connection("127.0.0.1", service.http.port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", service.http.port)
         writer.write(b"GET /apis/kelpfront.dev/v1/jobs?watch=1 HTTP/1.1\r\nhost: x\r\n\r\n")
         writer.write_eof()
         await client.submit("climate", spec(), name="a")
         async with asyncio.timeout(20):
-            head = await half.readuntil(b"ADDED")
-        assert b"200" in head, "a half-closed client still reads"
+            head = await reader.readuntil(b"ADDED")
+        assert b"200" in head, "a client that closed only its sending side still receives events"
         writer.transport.abort()
         await until(lambda: service.store.watch_count(JOBS) == 0)
         await until(lambda: service.http.connections <= 2)
