--- a/kelpfront/agent/adoption.py
+++ b/kelpfront/agent/adoption.py
@@ -1,6 +1,6 @@
-"""Adopts what an earlier agent left, before the agent serves: from its records, and from folders without one.
+"""Adopts the tasks of an earlier agent process at startup: recorded tasks, and folders without a record.
 
-What each task is found to be is classified by `recovery`; tasks that go on are followed by the runtime.
+`recovery` classifies the state of each task; the runtime monitors the tasks that have not ended.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 class OpenTask(NamedTuple):
-    """A task that was not over when the earlier agent ended, with its folder."""
+    """A task that the state does not record as ended, with its folder."""
 
     record: TaskRecord
     folder: Path
 
 
 class TaskAdoption:
-    """Used once. `found_states` counts the adopted tasks by the value of their `RecoveredState`."""
+    """Adopts all tasks of one node, once. `found_states` counts them by the values of `RecoveredState`."""
 
     def __init__(self, runtime: Runtime, idempotency_records: FileIdempotencyRecords | None) -> None:
         self.runtime = runtime
@@ -44,26 +44,26 @@
         self.found_states: Counter[str] = Counter()
 
     def adopt_all(self, now: float, stored: StoredState) -> None:
-        """Adopt all tasks on record, and those whose folder has no record."""
+        """Adopt all recorded tasks, and the tasks whose folder has no entry in the state."""
         shutil.rmtree(task_folder.trash_folder(self.context.tasks_folder), ignore_errors=True)
         open_tasks = self._adopt_records(stored)
         if self._idempotency_records is not None:
             uids = frozenset(record.request.offer.task for record, _ in open_tasks)
             self._idempotency_records.remove_machine(self.node.settings.name, uids)
         for record, folder in open_tasks:
-            # A record from a damaged state may be older than the removal of its folder.
+            # A record recovered from a damaged state may be of a task whose folder was removed since.
             is_doubtful = stored.quarantine is not None and not folder.exists()
             self.adopt(now, record, folder, is_doubtful=is_doubtful)
 
     def _adopt_records(self, stored: StoredState) -> list[OpenTask]:
-        """Adopt the ended tasks, and return the others."""
+        """Adopt the tasks that are recorded as ended, and return the others."""
         open_tasks: list[OpenTask] = []
         recorded_folders = set()
         for record in sorted(stored.records, key=lambda record: record.since):
             try:
                 name = task_folder.folder_name(record.key.task, record.started_attempt)
-            except ValueError as error:  # only a damaged state has such
-                log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            except ValueError as error:  # only a damaged state contains an invalid uid or attempt
+                log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                     "invalid task record ignored", error=str(error)
                 )
                 continue
@@ -88,20 +88,24 @@
         self.runtime.retain_folder(record.key, folder)
 
     def _read_unrecorded(self, folder: Path) -> TaskRecord | None:
-        """Return a record for a folder that the state does not know, from the task record in it.
+        """Rebuild the state's record of a task from the task record in its folder.
 
-        The state was lost, or damaged where the record was.
+        A folder has no entry in the state if the state was lost, or if the entry was in its damaged part.
         """
         try:
             return _read_task_record(folder)
         except (UnreadableRecordError, KeyError, ValueError) as error:
-            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                 "task folder unreadable", folder=str(folder), error=str(error)
             )
             return None
 
     def adopt(self, now: float, record: TaskRecord, folder: Path, *, is_doubtful: bool) -> None:
-        """Adopt one task that was not over; where `is_doubtful` its missing folder proves nothing."""
+        """Adopt one task that is not recorded as ended.
+
+        `is_doubtful` is whether its record may be outdated: then a missing folder does not prove that it was
+        never started.
+        """
         inspection = self._inspect(record, folder)
         state = RecoveredState.ENDED_UNOBSERVED if is_doubtful else classify(inspection.evidence)
         if state is RecoveredState.UNCLAIMED:
@@ -109,8 +113,8 @@
                 void_start(folder)
                 inspection = self._inspect(record, folder)
                 state = classify(inspection.evidence)
-            except OSError as error:  # adopted as one that starts, and voided once that works
-                log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            except OSError as error:  # adopted as starting; the runtime retries to void the start
+                log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                     "start not voided", task=record.key.task, error=str(error)
                 )
         self.found_states[state.value] += 1
@@ -118,19 +122,19 @@
         self.context.state.record_intent(record)
         match state:
             case RecoveredState.NOT_EXECUTED:
-                self._end_not_executed(record, folder, inspection)
+                self._record_not_executed(record, folder, inspection)
             case RecoveredState.ENDED | RecoveredState.ENDED_UNOBSERVED:
-                self._end_exited(record, folder, inspection)
+                self._record_exited(record, folder, inspection)
             case _:
-                self._continue(now, OpenTask(record, folder), state, inspection)
+                self._resume(now, OpenTask(record, folder), state, inspection)
 
     def _inspect(self, record: TaskRecord, folder: Path) -> FolderInspection:
         return inspect_folder(folder, self.context.boot_id, record.boot_id)
 
-    def _continue(
+    def _resume(
         self, now: float, task: OpenTask, state: RecoveredState, inspection: FolderInspection
     ) -> None:
-        """Restore a task to the node and have the runtime go on with it."""
+        """Restore a task in the node, and hand it over to the runtime."""
         phase = Phase.STARTING
         if inspection.stop_cause:
             phase = Phase.STOPPING
@@ -141,40 +145,40 @@
         self.node.restore(now, RestoredTask(record.request, phase, record.since, cause))
         self.runtime.adopt(record, task.folder, state, inspection)
 
-    def _end_not_executed(self, record: TaskRecord, folder: Path, inspection: FolderInspection) -> None:
+    def _record_not_executed(self, record: TaskRecord, folder: Path, inspection: FolderInspection) -> None:
         reason = "" if inspection.exit is None else inspection.exit.error
         message = reason or "its agent went down before it was started"
         self.record_end(record, folder, TaskEnd("failed", ran=False, message=message))
 
-    def _end_exited(self, record: TaskRecord, folder: Path, inspection: FolderInspection) -> None:
-        ending = inspection.exit or UNKNOWN_EXIT
+    def _record_exited(self, record: TaskRecord, folder: Path, inspection: FolderInspection) -> None:
+        exited = inspection.exit or UNKNOWN_EXIT
         cause = end_cause(
             inspection.stop_cause,
             same_boot=record.boot_id == self.context.boot_id,
             exit_known=inspection.exit is not None,
         )
-        end = TaskEnd(cause, ran=True, exit_code=ending.code, cpu_s=ending.cpu_s, message=ending.error)
+        end = TaskEnd(cause, ran=True, exit_code=exited.code, cpu_s=exited.cpu_s, message=exited.error)
         self.record_end(record, folder, end)
 
     def record_end(self, record: TaskRecord, folder: Path, end: TaskEnd) -> None:
-        """Record a task that was over before this agent started; it is reported in the next snapshot."""
+        """Record the end of a task that ended before this agent started; the next snapshot reports it."""
         record.end = end
-        record.end_seq = self.node.incarnation.first_seq - 1  # the number of this agent's first snapshots
+        record.end_seq = self.node.incarnation.first_seq - 1  # the sequence number of the first snapshots
         self.node.restore_ended(record.request.placer, record.report(), record.end_seq)
         self.context.state.record_end(record)
         self.runtime.retain_folder(record.key, folder)
 
 
 def _read_task_record(folder: Path) -> TaskRecord | None:
-    """Read a folder's task record; None where it has none.
+    """Read a folder's task record; return None if the folder has none.
 
-    Raises UnreadableRecordError, KeyError or ValueError where it is damaged.
+    Raises UnreadableRecordError, KeyError or ValueError if the record is damaged.
     """
     record = task_folder.read_record(folder, task_folder.TASK)
     if record is None:
-        return None  # made by an agent that died in that instant: nothing can have come of it
+        return None  # the agent died between creating the folder and writing the record: nothing was started
     request = decode_task_request(record)
     offer = request.offer
     if task_folder.folder_name(offer.task, offer.attempt) != folder.name:
-        raise UnreadableRecordError(f"{folder}: is of another task")
+        raise UnreadableRecordError(f"{folder}: the task record belongs to another attempt")
     return TaskRecord(request, str(record["boot"]), float(record["since"]), offer.attempt)
--- a/kelpfront/agent/background_tasks.py
+++ b/kelpfront/agent/background_tasks.py
@@ -1,6 +1,6 @@
-"""Asyncio tasks with an owner: it cancels and awaits them when it closes, and logs their failures.
+"""A set of asyncio tasks with one owner: logs their failures, and cancels and awaits them on close.
 
-What the tasks do, and what a failure of one means, is left to the owner.
+A failure is logged only; any further reaction to it is the owner's responsibility.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 
 class BackgroundTasks:
-    """The tasks of one owner, who awaits `close`."""
+    """The background tasks of one owner, which must await `close`."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine beside its caller."""
+        """Run a coroutine concurrently with its caller."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
@@ -32,7 +32,7 @@
             log.error("background task failed", exc_info=task.exception())
 
     async def close(self) -> None:
-        """Cancel all tasks, and wait for their ends."""
+        """Cancel all tasks, and wait until they have ended."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
--- a/kelpfront/agent/errors.py
+++ b/kelpfront/agent/errors.py
@@ -1,7 +1,7 @@
-"""Why an agent cannot start."""
+"""Errors of the node agent."""
 
 from __future__ import annotations
 
 
 class AgentError(Exception):
-    """An agent cannot start; the text tells its operator why."""
+    """The agent cannot start; the text states the cause for the operator."""
--- a/kelpfront/agent/evidence.py
+++ b/kelpfront/agent/evidence.py
@@ -1,6 +1,6 @@
-"""Gathers what a task's folder and the host say of it, and reads and writes the folder's task record.
+"""Collects evidence about a task from its folder and the host's processes, and encodes its task record.
 
-What the evidence means is left to `recovery`.
+`recovery` interprets the evidence.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class FolderInspection:
-    """One folder, read.
+    """The content of one task folder, and whether the processes that it names run.
 
     Attributes:
-        evidence: what was found, to be classified.
-        supervisor: the last supervisor, if any was claimed or recorded.
-        process: the task's first process, if it was recorded.
-        stop: why the task is to stop, if it is.
-        exit: how the task ended, if that is recorded.
+        evidence: the input of `recovery.classify`.
+        supervisor: the last supervisor, if a claim or a replacement record names one.
+        process: the task's first process, if it is recorded.
+        stop: the stop record, if the task was requested to stop.
+        exit: the exit record, if there is one.
     """
 
     evidence: Evidence
@@ -39,27 +39,27 @@
 
     @property
     def stop_cause(self) -> GoneCause | None:
-        """Why the task is to stop, if it is; an agent has written one of the protocol's causes."""
+        """The cause of the requested stop, or None; agents write only causes of the machine protocol."""
         return None if self.stop is None else cast("GoneCause", self.stop.cause)
 
 
 @dataclass(frozen=True, slots=True)
 class OutputLimits:
-    """Bounds of a task's output: bytes of one file, and the number of full files kept before it."""
+    """Limits of a task's output: bytes per file, and the number of older files kept after rotation."""
 
     file_bytes: int
     older_files: int
 
 
 class _FolderReader:
-    """Reads records of one folder, and remembers whether one of them was damaged."""
+    """Reads records of one folder; `damaged` is set once one of them cannot be read."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self.damaged = False
 
     def read(self, name: str) -> Record | None:
-        """Return a record; None where it does not exist or is damaged."""
+        """Return a record, or None if it does not exist or is damaged."""
         try:
             return task_folder.read_record(self._folder, name)
         except UnreadableRecordError:
@@ -67,7 +67,7 @@
             return None
 
     def read_last_replacement(self) -> Record | None:
-        """Return the record of the last supervisor that replaced one; None where none did."""
+        """Return the record of the last replacement supervisor, or None if there is none."""
         try:
             return task_folder.last_replacement(self._folder).record
         except UnreadableRecordError:
@@ -76,9 +76,9 @@
 
 
 def inspect_folder(folder: Path, boot_id: str, intent_boot_id: str) -> FolderInspection:
-    """Read a folder.
+    """Read a task's folder, and check which of its processes run.
 
-    `boot_id` is the host's current boot, `intent_boot_id` that in which the start was intended.
+    `boot_id` is the host's current boot, `intent_boot_id` the boot in which the start was recorded.
     """
     reader = _FolderReader(folder)
     exit_record = reader.read(task_folder.EXIT)
@@ -88,21 +88,21 @@
     supervisor = _identity(replacement) or _identity(claim)
     process = _identity(started)
     running = reader.read(task_folder.RUNNING)
-    exit_found = None if exit_record is None else ExitRecord.from_record(exit_record)
+    decoded_exit = None if exit_record is None else ExitRecord.from_record(exit_record)
     evidence = Evidence(
         same_boot=intent_boot_id == boot_id,
         claim=claim_state,
         started=started is not None,
         running=running is not None,
-        exit_ran=None if exit_found is None else exit_found.ran,
+        exit_ran=None if decoded_exit is None else decoded_exit.ran,
         supervisor_runs=supervisor is not None and is_running(supervisor, boot_id),
         process_runs=process is not None and is_running(process, boot_id),
         damaged=reader.damaged,
     )
-    # A damaged stop record is no evidence of whether the task ran: it is read after the evidence is complete.
+    # Read after `damaged` was evaluated: a damaged stop record does not affect whether the task ran.
     stop_record = reader.read(task_folder.STOP)
     stop = None if stop_record is None else StopRecord.from_record(stop_record)
-    return FolderInspection(evidence, supervisor, process, stop, exit_found)
+    return FolderInspection(evidence, supervisor, process, stop, decoded_exit)
 
 
 def _read_claim(folder: Path) -> tuple[ClaimState, Record | None]:
@@ -125,7 +125,10 @@
 
 
 def void_start(folder: Path) -> bool:
-    """Claim a start so that no supervisor can; return False where one has. Raises OSError."""
+    """Claim a start so that no supervisor can claim it; return False if it was already claimed.
+
+    Raises OSError.
+    """
     folder.mkdir(parents=True, exist_ok=True)
     return task_folder.write_once(folder, task_folder.CLAIM, agent_claim())
 
@@ -133,9 +136,9 @@
 def encode_task_record(
     request: OfferRequest, boot_id: str, since: float, env: dict[str, str], output: OutputLimits
 ) -> Record:
-    """Return what a supervisor needs of a task, and a later agent that has lost its state.
+    """Return a task's record, for its supervisor and for a later agent that has lost its state.
 
-    `since` is the time of the intent, in milliseconds of the cluster's clock.
+    `since` is when the start was recorded as intended, in milliseconds of the cluster's clock.
     """
     command = request.offer.run
     assert command is not None
@@ -151,7 +154,7 @@
 
 
 def decode_task_request(record: Record) -> OfferRequest:
-    """Return the offer that a task was started for. Raises UnreadableRecordError."""
+    """Return the offer from a task's record. Raises UnreadableRecordError."""
     try:
         return msgspec.convert(record["request"], OfferRequest)
     except (KeyError, msgspec.ValidationError) as error:
--- a/kelpfront/agent/folder_lock.py
+++ b/kelpfront/agent/folder_lock.py
@@ -1,4 +1,7 @@
-"""Holds an agent's state folder for one process: the lock ends with the process, however that ends."""
+"""A file lock that gives one process exclusive use of an agent's state folder.
+
+The kernel releases the lock when the process ends, also after a crash.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +18,14 @@
 
 
 class FolderLock:
-    """The lock of one state folder, which is made if it is not there."""
+    """The lock of one state folder; `acquire` creates the folder if it does not exist."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._descriptor: int | None = None
 
     def acquire(self) -> None:
-        """Lock the folder. Raises AgentError where another agent holds it, or where it cannot be used."""
+        """Lock the folder. Raises AgentError if another agent holds it, or if it is not usable."""
         path = self._folder / LOCK_FILE
         try:
             (self._folder / TASKS_FOLDER).mkdir(parents=True, exist_ok=True)
@@ -34,11 +37,11 @@
         except OSError as error:
             self.release()
             if error.errno in (errno.EWOULDBLOCK, errno.EACCES):
-                raise AgentError(f"{self._folder}: another agent has this state folder") from error
+                raise AgentError(f"{self._folder}: another agent is using this state folder") from error
             raise AgentError(f"{path}: {error.strerror}") from error
 
     def release(self) -> None:
-        """Release the folder, if it is held."""
+        """Release the lock, if it is held."""
         if self._descriptor is not None:
             with contextlib.suppress(OSError):
                 os.close(self._descriptor)
--- a/kelpfront/agent/forkserver.py
+++ b/kelpfront/agent/forkserver.py
@@ -1,9 +1,9 @@
-"""Forks supervisors: a process that has loaded what they need, so that none costs a start of Python.
+"""The fork server: forks supervisors from a preloaded process, which avoids a Python startup for each one.
 
 Run as `python -m kelpfront.agent.forkserver FD` in the agent's state folder; FD is a SOCK_SEQPACKET socket. A
-request is `start FOLDER` or `take-over FOLDER`, its answer `PID TICKS` or `error TEXT`. It ends with the
-agent, whose end closes the socket; supervisors do not. All that a supervisor uses is imported here, before
-the first fork, so that the supervisors share its memory.
+request is `start FOLDER` or `take-over FOLDER`, the answer is `PID TICKS` or `error TEXT`. The fork server
+exits when the agent ends, since that closes the socket; supervisors keep running. All modules that a
+supervisor uses are imported here, before the first fork, so that supervisors share their memory.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from kelpfront.agent.process import identify, read_boot_id
 from kelpfront.agent.supervisor import supervise
 
-MAX_REQUEST_BYTES = 4096  # a verb and a path
+MAX_REQUEST_BYTES = 4096  # a request is a verb and a path
 START = "start"
 REPLACE = "take-over"
 ERROR = "error"
 
 
 def fork_supervisor(control: socket.socket, request: str, boot_id: str) -> str:
-    """Carry out a request and return its answer."""
+    """Fork a supervisor as requested, and return the answer."""
     verb, _, folder = request.partition(" ")
     try:
         pid = os.fork()
@@ -39,7 +39,7 @@
 
 
 def _run_supervisor(control: socket.socket, folder: Path, boot_id: str, *, replaces: bool) -> None:
-    """In the new process: be a supervisor to its end, and never return into the fork server's loop."""
+    """Run a supervisor in the forked process, then exit: it must not return into the fork server's loop."""
     code = 1
     try:
         control.close()
@@ -55,13 +55,13 @@
     """Serve requests until the agent's end of the socket is closed."""
     control = socket.socket(fileno=int(sys.argv[1]))
     control.set_inheritable(False)
-    signal.signal(signal.SIGCHLD, signal.SIG_IGN)  # supervisors are reaped by the system
+    signal.signal(signal.SIGCHLD, signal.SIG_IGN)  # the kernel reaps the supervisors
     for number in (signal.SIGINT, signal.SIGHUP, signal.SIGTERM):
-        signal.signal(number, signal.SIG_IGN)  # it ends with its agent, never before
+        signal.signal(number, signal.SIG_IGN)  # only the end of the agent ends the fork server
     boot_id = read_boot_id()
     gc.collect()
-    gc.freeze()  # so that the collector does not touch, and thereby copy, what all supervisors share
-    # A connection that is reset: the agent died with an answer unread, or before it could be sent.
+    gc.freeze()  # a collection would write to shared pages, and copy-on-write would unshare them
+    # The connection is reset if the agent dies before it has read an answer.
     with contextlib.suppress(ConnectionError):
         while True:
             request = control.recv(MAX_REQUEST_BYTES)
--- a/kelpfront/agent/forkserver_client.py
+++ b/kelpfront/agent/forkserver_client.py
@@ -1,7 +1,6 @@
-"""The agent's end of the fork server: has supervisors made, and starts a new fork server where one died.
+"""The agent's client of the fork server: requests supervisors, and restarts a fork server that died.
 
-Whether a supervisor that was asked for exists, when no answer came, is told by the task's folder and is left
-to the caller.
+If a request fails, the supervisor may exist nevertheless: the caller has to check the task's folder.
 """
 
 from __future__ import annotations
@@ -19,24 +18,24 @@
 
 log = structlog.get_logger("kelpfront.agent")
 
-ANSWER_TIMEOUT_S = 10.0  # a fork takes about a millisecond: so long means that the fork server hangs
+ANSWER_TIMEOUT_S = 10.0  # a fork takes about a millisecond: after this time the fork server hangs
 MAX_ANSWER_BYTES = 4096
 
 
 class ForkServerError(Exception):
-    """The fork server did not answer: whether a supervisor was made is for the task's folder to tell."""
+    """A request to the fork server failed; only the task's folder shows whether a supervisor was started."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForkedSupervisor:
-    """A supervisor; `start_ticks` are clock ticks from the boot to its start."""
+    """A forked supervisor; `start_ticks` is its start time in clock ticks since the boot."""
 
     pid: int
     start_ticks: int
 
 
 class ForkServerClient:
-    """Runs one fork server at a time and asks it one thing at a time: a fork takes about a millisecond."""
+    """Runs one fork server at a time and sends it one request at a time: a fork takes about a millisecond."""
 
     def __init__(self, state_folder: Path) -> None:
         self._state_folder = state_folder
@@ -47,7 +46,7 @@
 
     @property
     def pid(self) -> int:
-        """The fork server's pid, or 0."""
+        """The fork server's pid, or 0 if none was started."""
         return 0 if self._process is None else self._process.pid
 
     async def open(self) -> None:
@@ -56,11 +55,11 @@
             await self._start_process()
 
     async def start_supervisor(self, folder: Path) -> ForkedSupervisor:
-        """Make the supervisor that starts a task. Raises ForkServerError where that may have failed."""
+        """Fork the supervisor that starts a task. Raises ForkServerError if the fork may have failed."""
         return await self._request(START, folder)
 
     async def replace_supervisor(self, folder: Path) -> ForkedSupervisor:
-        """Make a supervisor in place of one that died. Raises ForkServerError where that may have failed."""
+        """Fork a supervisor to replace one that died. Raises ForkServerError if the fork may have failed."""
         return await self._request(REPLACE, folder)
 
     async def _request(self, verb: str, folder: Path) -> ForkedSupervisor:
@@ -80,7 +79,7 @@
         return ForkedSupervisor(int(first), int(rest))
 
     async def _exchange(self, control: socket.socket, request: bytes) -> str:
-        """Send a request and return its answer, which is empty where the fork server has ended."""
+        """Send a request and return its answer, which is empty if the fork server has ended."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
@@ -91,14 +90,14 @@
             self._disconnect()
             raise ForkServerError(f"the forkserver does not answer: {error}") from error
         except asyncio.CancelledError:
-            # Cancelled between a request and its answer, which would be taken for the next request's.
+            # The answer is still to come, and would be mistaken for the answer to the next request.
             self._disconnect()
             raise
 
     async def _start_process(self) -> None:
         self._disconnect()
         own_end, server_end = socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        own_end.settimeout(0)  # asyncio needs a socket that does not block
+        own_end.settimeout(0)  # asyncio requires a non-blocking socket
         try:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -126,7 +125,7 @@
             self._control = None
 
     async def close(self) -> None:
-        """End the fork server; supervisors go on."""
+        """Stop the fork server; supervisors keep running."""
         self._disconnect()
         if self._process is not None:
             with contextlib.suppress(TimeoutError):
--- a/kelpfront/agent/idempotency_records.py
+++ b/kelpfront/agent/idempotency_records.py
@@ -1,8 +1,8 @@
-"""Idempotency records that agents share through a directory, with one file for each key.
+"""Idempotency records that agents share through a directory, with one file per key.
 
-A key is claimed by linking a file into place, which succeeds for exactly one of two that try at once. Agents
-need such a directory for tasks whose idempotency scope is wider than the machine; without one they refuse
-such tasks, since they could not guarantee that a repeat is discarded.
+A key is claimed by hard-linking a file into place, which succeeds for exactly one of several concurrent
+claims. Agents need a shared directory for tasks whose idempotency scope is wider than the machine; without
+one they refuse such tasks, since they could not guarantee that a duplicate is discarded.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def holder(self, scope: str, key: str) -> RecordHolder | None:
-        """Return who holds a key. A record that cannot be read counts as held by somebody."""
+        """Return the holder of a key, or None; a key whose record cannot be read counts as held."""
         try:
             record = json.loads(self._path(scope, key).read_bytes())
             return RecordHolder(str(record["machine"]), str(record["task"]))
         except FileNotFoundError:
             return None
         except (OSError, ValueError, KeyError, TypeError):
-            # Somebody may hold it: a duplicate execution is worse than a task that is refused.
+            # The key may be held: a duplicate execution is worse than a refused task.
             return RecordHolder("an unreadable entry", "")
 
     def claim(self, scope: str, key: str, machine: str, task: str) -> RecordHolder | None:
-        """Claim a key for a task; where another holds it nothing changes and that holder is returned."""
+        """Claim a key for a task; return None on success, or the other holder if there is one."""
         path = self._path(scope, key)
         partial = path.with_name(f".{path.name}.{os.getpid()}")
         record = {"group": scope, "key": key, "machine": machine, "task": task}
@@ -63,15 +63,15 @@
             with contextlib.suppress(OSError):
                 self._path(scope, key).unlink(missing_ok=True)
 
-    def remove_machine(self, machine: str, but: frozenset[str] = frozenset()) -> None:
-        """Release the keys that a machine holds, except for the tasks `but`.
+    def remove_machine(self, machine: str, except_tasks: frozenset[str] = frozenset()) -> None:
+        """Release the keys that a machine holds, except those of the tasks `except_tasks`.
 
-        After a restart of its agent all other tasks of the machine are over.
+        An agent that starts passes the tasks that have not ended: all other tasks of its machine have.
         """
         for path in self._folder.glob(f"*{FILE_SUFFIX}"):
             with contextlib.suppress(OSError, ValueError, KeyError, TypeError):
                 record = json.loads(path.read_bytes())
-                if record["machine"] == machine and record["task"] not in but:
+                if record["machine"] == machine and record["task"] not in except_tasks:
                     path.unlink(missing_ok=True)
 
     def _path(self, scope: str, key: str) -> Path:
@@ -80,27 +80,27 @@
 
 
 class LocalIdempotencyRecords:
-    """Records in memory, for a machine that shares none: only the scope of the machine itself can be kept."""
+    """Records in memory, for a machine without a shared directory: supports only the machine's own scope."""
 
     def __init__(self, own_scope: str) -> None:
         self._own_scope = own_scope
         self._holders: dict[str, RecordHolder] = {}
 
     def holder(self, scope: str, key: str) -> RecordHolder | None:
-        """Return who holds a key; for any wider scope that is unknown, and the key counts as held."""
+        """Return the holder of a key, or None; in any wider scope the key counts as held."""
         if scope != self._own_scope:
             return RecordHolder("no machine that can be told: this one has no `copies` folder to share", "")
         return self._holders.get(key)
 
     def claim(self, scope: str, key: str, machine: str, task: str) -> RecordHolder | None:
-        """Claim a key for a task; where another holds it nothing changes and that holder is returned."""
+        """Claim a key for a task; return None on success, or the other holder if there is one."""
         if scope != self._own_scope:
             return self.holder(scope, key)
         claimant = RecordHolder(machine, task)
         holder = self._holders.setdefault(key, claimant)
         return None if holder == claimant else holder
 
-    def remove(self, scope: str, key: str, machine: str, task: str) -> None:  # noqa: ARG002 - of the protocol
+    def remove(self, scope: str, key: str, machine: str, task: str) -> None:  # noqa: ARG002 - part of the protocol
         """Release a key if this task holds it."""
         if self._holders.get(key) == RecordHolder(machine, task):
             del self._holders[key]
--- a/kelpfront/agent/notices.py
+++ b/kelpfront/agent/notices.py
@@ -1,6 +1,6 @@
-"""Receives the notices of supervisors: datagrams that a task runs or has ended.
+"""Receives the notices of supervisors: datagrams which state that a task runs or has ended.
 
-They are hints, which may be lost; what they mean is read from the task's folder by the runtime.
+Notices are hints and may be lost; the task's folder is authoritative, and the runtime reads it.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 
 class NoticeReceiver:
-    """The socket in one state folder."""
+    """The datagram socket in one state folder."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self._socket: socket.socket | None = None
 
     def bind(self) -> None:
-        """Begin to receive; before any task folder is read, so that nothing after that is missed.
+        """Open the socket. Call this before reading any task folder, so that no later notice is missed.
 
         Raises AgentError.
         """
         notices = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
-        notices.settimeout(0)  # asyncio needs a socket that does not block
+        notices.settimeout(0)  # asyncio requires a non-blocking socket
         (self._folder / NOTICE_SOCKET).unlink(missing_ok=True)
-        # The path of a socket may have 107 bytes; through its folder's descriptor any folder will do.
+        # A socket's path is limited to 107 bytes; a path through the folder's descriptor is always shorter.
         descriptor = os.open(self._folder, os.O_PATH | os.O_DIRECTORY)
         try:
             notices.bind(f"/proc/self/fd/{descriptor}/{NOTICE_SOCKET}")
@@ -44,7 +44,7 @@
         self._socket = notices
 
     async def run(self, on_notice: Callable[[str, str], None]) -> None:
-        """Pass on the event and the folder of each notice, until cancelled."""
+        """Call `on_notice` with the event and the folder name of each notice, until cancelled."""
         assert self._socket is not None
         loop = asyncio.get_running_loop()
         while True:
--- a/kelpfront/agent/orphans.py
+++ b/kelpfront/agent/orphans.py
@@ -1,9 +1,9 @@
-"""Detects placers that do not come back for their tasks. Pure.
+"""Detects placers that do not reconnect for their tasks. Pure: no I/O.
 
-A placer may be disconnected for long, and by the protocol its tasks run on when it dies. But a placer that
-was taken out of the cluster never comes back, and its tasks would hold their capacity for ever. So the tasks
-of a placer that has had no stream here for a timeout without interruption are orphaned. Time in which the
-agent itself was down does not count. Stopping the tasks is left to the service.
+A placer may be disconnected for a long time, and by the protocol its tasks keep running when it dies. But a
+placer that was removed from the cluster never reconnects, and its tasks would hold their capacity forever.
+Therefore the tasks of a placer that has had no stream to this agent for a full timeout are orphaned. Time
+during which the agent itself was down does not count. The service stops the orphaned tasks.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 @dataclass(slots=True)
 class OrphanDetector:
-    """Follows the placers that own tasks here; with an infinite `timeout_ms` none ever expires."""
+    """Tracks how long task owners have been disconnected; with an infinite `timeout_ms` none ever expires."""
 
     timeout_ms: float
     _disconnected_since: dict[str, float] = field(default_factory=dict)
 
     def expired_placers(self, now: float, owners: Iterable[str], connected: Iterable[str]) -> list[str]:
-        """Return the owners that have been disconnected for the timeout; `now` in milliseconds."""
+        """Return the owners that have been disconnected for at least the timeout; `now` in milliseconds."""
         connected_placers = set(connected)
         owning_placers = set(owners)
         disconnected_owners = owning_placers - connected_placers
--- a/kelpfront/agent/process.py
+++ b/kelpfront/agent/process.py
@@ -1,8 +1,8 @@
 """Processes of this host, identified by pid, start time and boot together. Standard library only.
 
-A pid is reused. Together with the time at which its process started, in clock ticks since the boot (field 22
-of /proc/PID/stat, proc(5)), and the id of the boot it identifies one process for ever. Ticks since the boot
-do not change when the wall clock is set; times of day derived from them do.
+Pids are reused. A pid identifies one process uniquely only together with the process's start time, in clock
+ticks since the boot (field 22 of /proc/PID/stat, proc(5)), and the id of the boot. Ticks since the boot do
+not change when the wall clock is set; times of day derived from them do.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 from typing import Any
 
 ENDED_STATES = frozenset("ZXx")
-"""States in /proc/PID/stat of a process that has ended and was not waited for, or is being removed."""
+"""States in /proc/PID/stat of a process that has ended: a zombie, or one that the kernel is removing."""
 
 INIT_PID = 1
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessIdentity:
-    """One process for ever; `start_ticks` are clock ticks from the boot to its start."""
+    """A unique identity of one process; `start_ticks` is its start time in clock ticks since the boot."""
 
     pid: int
     start_ticks: int
     boot_id: str
 
     def to_record(self) -> dict[str, Any]:
-        """Return the form in which task folders hold an identity."""
+        """Return the stored form of an identity in task folders."""
         return {"pid": self.pid, "ticks": self.start_ticks, "boot": self.boot_id}
 
     @classmethod
     def from_record(cls, record: dict[str, Any]) -> ProcessIdentity:
-        """Read an identity from a record of a task folder. Raises KeyError where a field is missing."""
+        """Read an identity from a record of a task folder. Raises KeyError if a field is missing."""
         return cls(record["pid"], record["ticks"], record["boot"])
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStat:
-    """The fields of /proc/PID/stat that are needed here."""
+    """The fields of /proc/PID/stat that the agent uses."""
 
     pid: int
     state: str
@@ -63,15 +63,15 @@
 def parse_stat(pid: int, line: str) -> ProcessStat:
     """Parse a line of /proc/PID/stat.
 
-    The program's name is in parentheses and may itself contain spaces and parentheses, so that only what
-    follows the last one can be split into fields.
+    The program's name is in parentheses and may itself contain spaces and parentheses, so only the text after
+    the last closing parenthesis can be split into fields.
     """
     fields = line.rpartition(")")[2].split()
     return ProcessStat(pid, fields[0], int(fields[1]), int(fields[3]), int(fields[19]))
 
 
 def read_stat(pid: int) -> ProcessStat | None:
-    """Return what /proc says of a process; None where there is none."""
+    """Return the /proc status of a process, or None if there is no such process."""
     try:
         with open(f"/proc/{pid}/stat") as file:
             return parse_stat(pid, file.read())
@@ -80,13 +80,16 @@
 
 
 def identify(pid: int, boot_id: str) -> ProcessIdentity | None:
-    """Return the identity of the process that has this pid now; None where there is none."""
+    """Return the identity of the process that currently has this pid, or None if there is none."""
     stat = read_stat(pid)
     return None if stat is None else ProcessIdentity(pid, stat.start_ticks, boot_id)
 
 
 def is_same_running_process(identity: ProcessIdentity, boot_id: str, stat: ProcessStat | None) -> bool:
-    """Return whether `stat`, of the process that has the identity's pid now, is that process and it runs."""
+    """Return whether `stat` is of the identified process and shows it running.
+
+    `stat` is read from the identity's pid, which another process may have by now.
+    """
     if stat is None or identity.boot_id != boot_id:
         return False
     is_same_process = stat.pid == identity.pid and stat.start_ticks == identity.start_ticks
@@ -94,14 +97,15 @@
 
 
 def is_running(identity: ProcessIdentity, boot_id: str) -> bool:
-    """Return whether a process has not ended; `boot_id` is the host's current boot."""
+    """Return whether a process still runs; `boot_id` is the host's current boot."""
     return is_same_running_process(identity, boot_id, read_stat(identity.pid))
 
 
 def open_pidfd(identity: ProcessIdentity, boot_id: str) -> int | None:
-    """Open a descriptor of exactly this process, which turns readable when it ends; None where it has ended.
+    """Open a pidfd of exactly this process, which becomes readable when it ends; None if it has ended.
 
-    The identity is checked after the descriptor is open: from then on the pid cannot be another process's.
+    The identity is checked after the pidfd was opened: if it still matches then, the pidfd cannot refer to
+    another process that has reused the pid.
     """
     try:
         descriptor = os.pidfd_open(identity.pid)
@@ -114,7 +118,7 @@
 
 
 def send_signal(pidfd: int, number: int) -> bool:
-    """Send a signal to the process of a descriptor; return False where it has ended."""
+    """Send a signal to the process of a pidfd; return False if it has ended."""
     try:
         signal.pidfd_send_signal(pidfd, number)
     except ProcessLookupError:
@@ -123,7 +127,7 @@
 
 
 def all_stats() -> Iterator[ProcessStat]:
-    """Yield the state of each process of this host."""
+    """Yield the status of each process of this host."""
     for name in os.listdir("/proc"):
         if not name.isdigit():
             continue
@@ -135,10 +139,9 @@
 def select_descendants(
     stats: Iterable[ProcessStat], root: int | None, sessions: frozenset[int] = frozenset()
 ) -> list[int]:
-    """Return the pids of running processes below `root`, and of those in `sessions` with all below them.
+    """Return the pids of running descendants of `root`, and of the processes in `sessions` with theirs.
 
-    The root itself is not among them. Without a root only the sessions count: no process counts as a child
-    of nobody. Pure.
+    The root itself is not included. Without a root, only the sessions are searched. Pure: no I/O.
     """
     children: dict[int, list[int]] = {}
     found: dict[int, None] = {}
@@ -160,5 +163,5 @@
 
 
 def find_descendants(root: int | None, sessions: frozenset[int] = frozenset()) -> list[int]:
-    """Return `select_descendants` of all processes of this host."""
+    """Return `select_descendants` applied to all processes of this host."""
     return select_descendants(all_stats(), root, sessions)
--- a/kelpfront/agent/program_launch.py
+++ b/kelpfront/agent/program_launch.py
@@ -1,8 +1,8 @@
-"""Launches a task's program: the fork, the record of the new process, its release and the exec.
+"""Launches a task's program: forks, records the new process, releases it, and executes the program.
 
-The new process waits until it is on record. Where its supervisor dies before that, the pipe closes and the
-process ends, so that nothing ever runs that is not on record. Whether a task may be started at all, and what
-becomes of its process, is left to `supervisor`. Standard library only.
+The new process waits on a pipe until its identity is recorded. If its supervisor dies before that, the pipe
+closes and the process exits, so no program ever runs without a record. `supervisor` decides whether a task
+may be started, and monitors its process. Standard library only.
 """
 
 from __future__ import annotations
@@ -18,18 +18,19 @@
 from kelpfront.agent.process import ProcessIdentity, identify
 from kelpfront.agent.task_records import CommandRecord
 
-RELEASE = b"x"  # sent to the new process once it is on record
-NOT_RELEASED_CODE = 125  # the supervisor died first; nobody reads it
-NOT_LOADED_CODE = 127  # as shells have it for a command that cannot be executed
+RELEASE = b"x"  # sent to the new process once its identity is recorded
+NOT_RELEASED_CODE = 125  # exit code if the supervisor died before the release; no process reads it
+NOT_LOADED_CODE = 127  # exit code that shells use for a command that cannot be executed
 FAILURE_READ_BYTES = 4096
 
-# What the supervisor handles or ignores; a program starts with the defaults. CPython ignores the last two.
+# Signals whose disposition differs from the default in a supervisor: the program starts with the defaults.
+# The supervisor handles or ignores the first group, CPython ignores the second.
 HANDLED_SIGNALS = (signal.SIGCHLD, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 IGNORED_BY_PYTHON = (signal.SIGPIPE, signal.SIGXFSZ)
 
 
 class ProgramNotLoadedError(Exception):
-    """The process was made and its program could not be loaded; the text says why."""
+    """The process was created but its program could not be loaded; the text states the cause."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,8 +41,8 @@
     output: int
 
 
-class _ChildEnds(NamedTuple):
-    """The descriptors of the new process: its output, what it waits on, and where it reports a failure."""
+class _ChildDescriptors(NamedTuple):
+    """The new process's descriptors: its output, the release that it waits for, and its failure report."""
 
     output: int
     release: int
@@ -51,11 +52,12 @@
 def launch(folder: Path, command: CommandRecord, boot_id: str) -> LaunchedProgram:
     """Start a command and wait until its program is loaded.
 
-    Raises ProgramNotLoadedError, or OSError where no process could be made or recorded.
+    Raises ProgramNotLoadedError, or OSError if no process could be created or recorded.
     """
     fifo = folder / task_folder.OUTPUT_FIFO
     os.mkfifo(fifo, 0o600)
-    # Open for both reading and writing: the task's end never breaks, whatever becomes of its supervisor.
+    # Opened for reading and writing: the task has a reader itself, so its writes do not fail with EPIPE when
+    # its supervisor dies.
     task_output = os.open(fifo, os.O_RDWR)
     output = os.open(fifo, os.O_RDONLY | os.O_NONBLOCK)
     release_reader, release_writer = os.pipe()
@@ -63,7 +65,7 @@
     pid = os.fork()
     if pid == 0:
         os.close(release_writer)
-        _run_program(folder, command, _ChildEnds(task_output, release_reader, failure_writer))
+        _run_program(folder, command, _ChildDescriptors(task_output, release_reader, failure_writer))
     os.close(task_output)
     os.close(release_reader)
     os.close(failure_writer)
@@ -83,7 +85,7 @@
 
 
 def _record_start(folder: Path, pid: int, boot_id: str) -> ProcessIdentity:
-    """Put the process on record: nothing is released that is not."""
+    """Write the record of the new process, which must exist before the process is released."""
     identity = identify(pid, boot_id)
     if identity is None:
         raise OSError(0, "it ended at once")
@@ -92,7 +94,7 @@
 
 
 def _read_all(descriptor: int) -> bytes:
-    """Read until all writers have closed the pipe, which a successful exec does, and close it."""
+    """Read until all writers have closed the pipe, then close it; a successful exec closes the child's."""
     data = b""
     while True:
         fragment = os.read(descriptor, FAILURE_READ_BYTES)
@@ -103,15 +105,15 @@
     return data
 
 
-def _run_program(folder: Path, command: CommandRecord, ends: _ChildEnds) -> NoReturn:
-    """In the new process: wait for the release, then become the program."""
+def _run_program(folder: Path, command: CommandRecord, descriptors: _ChildDescriptors) -> NoReturn:
+    """Wait for the release in the forked process, then execute the program."""
     step = "could not be started"
     try:
         os.setsid()
-        if os.read(ends.release, 1) != RELEASE:
+        if os.read(descriptors.release, 1) != RELEASE:
             os._exit(NOT_RELEASED_CODE)
         _reset_signals()
-        _redirect_streams(ends.output)
+        _redirect_streams(descriptors.output)
         workdir = command.workdir or str(folder.absolute() / task_folder.WORK_FOLDER)
         step = f"workdir {workdir}"
         if not command.workdir:
@@ -120,9 +122,9 @@
         step = f"command {command.argv[0]}"
         os.execvpe(command.argv[0], command.argv, command.env)
     except OSError as error:
-        os.write(ends.failure, f"{step}: {error.strerror}".encode())
+        os.write(descriptors.failure, f"{step}: {error.strerror}".encode())
     except BaseException as error:
-        os.write(ends.failure, f"{step}: {error}".encode())
+        os.write(descriptors.failure, f"{step}: {error}".encode())
     finally:
         os._exit(NOT_LOADED_CODE)
 
--- a/kelpfront/agent/recovery.py
+++ b/kelpfront/agent/recovery.py
@@ -1,9 +1,9 @@
-"""Classifies what became of a task while the agent was away. Pure: evidence in, one state out.
+"""Classifies what happened to a task while the agent did not run. Pure: evidence in, one state out.
 
-The agent's state says what was intended, the task's folder what its supervisor did, and the host what runs.
-Each may be missing. Where they leave it open whether a task ran, it may have run: it is never started again,
-and never reported as one that did not run. Gathering the evidence is left to `evidence`, acting on the
-result to `supervision` and `adoption`.
+The agent's state records what was intended, the task's folder what its supervisor did, and the host's process
+table what runs. Each source may be missing. If they do not show whether a task ran, it is assumed that it may
+have run: it is never started again, and never reported as not having run. `evidence` collects the evidence;
+`supervision` and `adoption` act on the result.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class RecoveredState(Enum):
-    """What a task is found to be. The values are those of the agent's status and log."""
+    """The state in which a task is found. The values appear in the agent's status and log."""
 
     STARTING = "starting"
-    """Its supervisor runs and has not recorded that the program is loaded."""
+    """Its supervisor runs, and has not yet recorded that the program is loaded."""
     RUNNING = "running"
     UNSUPERVISED = "unwatched"
-    """It runs and its supervisor does not: another is to replace that."""
+    """Its process runs and its supervisor has died: the supervisor has to be replaced."""
     ENDED = "ended"
-    """Its exit is on record."""
+    """Its exit is recorded."""
     ENDED_UNOBSERVED = "ended-unseen"
-    """It may have run and is over; how it ended is not known."""
+    """It may have run and has ended; how it ended is unknown."""
     NOT_EXECUTED = "never-ran"
     UNCLAIMED = "unclaimed"
-    """Nobody has begun to start it: its start is to be voided, then it is classified again."""
+    """No supervisor has claimed its start: the start has to be voided, and the task classified again."""
 
 
 ClaimState = Literal["none", "supervisor", "void", "unreadable"]
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Evidence:
-    """What is known of one attempt of a task.
+    """The evidence about one attempt of a task.
 
     Attributes:
-        same_boot: whether the host has been up since the intent was recorded.
-        claim: who has claimed the start, by the folder.
-        started: whether the folder has the identity of a process.
+        same_boot: whether the host has not rebooted since the intent was recorded.
+        claim: who has claimed the start, according to the folder.
+        started: whether the folder has the identity of the first process.
         running: whether the folder records that the program was loaded.
-        exit_ran: whether the task ran, by the exit on record; None where none is.
+        exit_ran: whether the task ran, according to its exit record; None if there is no exit record.
         supervisor_runs: whether the last supervisor runs.
         process_runs: whether the first process runs.
         damaged: whether a record could not be read.
@@ -61,9 +61,9 @@
 
 
 def end_cause(stop_cause: GoneCause | None, *, same_boot: bool, exit_known: bool) -> GoneCause:
-    """Return why a task is over that ended while the agent was away: by itself, stopped, or lost.
+    """Return the cause of a task's end while the agent did not run: a regular end, a stop, or a lost host.
 
-    A host that was booted again has lost what had not ended before, whatever it was to be stopped for.
+    A reboot of the host loses every task that had not ended before, also one that was requested to stop.
     """
     if not (same_boot or exit_known):
         return "lost"
@@ -71,15 +71,15 @@
 
 
 def classify(evidence: Evidence) -> RecoveredState:
-    """Return what one attempt of a task is.
-
-    - An exit on record is believed, whatever else there is: it is written last, and complete.
-    - After another boot nothing of before runs. Folders are not forced to disk, so a claim that is missing
-      then proves nothing.
-    - A process is released only after its `started` record is there. Where the supervisor died before that,
-      it never ran.
-    - Where nobody has claimed the start, whoever writes the claim decides; the agent voids it first.
-    - A record that cannot be read might have said anything: what it may have said is assumed.
+    """Return the state of one attempt of a task.
+
+    - An exit record is conclusive, whatever the other evidence is: it is written last, and atomically.
+    - After a reboot no earlier process runs. Folders are not synced to disk, so a missing claim is then no
+      evidence.
+    - A process is released only after its `started` record was written. If the supervisor died before that,
+      the program never ran.
+    - If the start is unclaimed, the first writer of the claim decides; the agent tries to void the start.
+    - For a record that cannot be read, the content that allows the task to have run is assumed.
     """
     if evidence.exit_ran is not None:
         return RecoveredState.ENDED if evidence.exit_ran else RecoveredState.NOT_EXECUTED
@@ -95,9 +95,9 @@
 
 
 def _classify_without_processes(evidence: Evidence) -> RecoveredState:
-    """Classify an attempt of this boot of which neither a supervisor nor a process runs."""
-    may_be_recorded = evidence.damaged or evidence.claim == "unreadable"
-    if evidence.started or evidence.running or may_be_recorded:
+    """Classify an attempt from the current boot whose supervisor and process do not run."""
+    may_have_started = evidence.damaged or evidence.claim == "unreadable"
+    if evidence.started or evidence.running or may_have_started:
         return RecoveredState.ENDED_UNOBSERVED
     if evidence.claim == "none":
         return RecoveredState.UNCLAIMED
--- a/kelpfront/agent/rotated_output.py
+++ b/kelpfront/agent/rotated_output.py
@@ -1,6 +1,6 @@
-"""A task's output in files of bounded size. Standard library only.
+"""Writes a task's output to rotated files of bounded size. Standard library only.
 
-Reading the output for an API's client is left to `task_output`.
+`task_output` reads the files.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class RotatedOutput:
-    """A file of at most `max_bytes`, and up to `older_files` full ones before it; `.1` is the newest."""
+    """A file of at most `max_bytes`, and up to `older_files` rotated ones, of which `.1` is the newest."""
 
     def __init__(self, path: Path, max_bytes: int, older_files: int) -> None:
         self._path = path
@@ -20,7 +20,7 @@
         self._size = 0
 
     def write(self, data: bytes) -> None:
-        """Append data. What cannot be written is dropped: a full disk must not stop a task that writes."""
+        """Append data. Data that cannot be written is dropped: a full disk must not block the task."""
         while data:
             try:
                 written = self._write_part(data)
@@ -29,7 +29,7 @@
             data = data[written:]
 
     def _write_part(self, data: bytes) -> int:
-        """Write as much as fits, after a rotation where the file is full; return the count of bytes."""
+        """Write as much as fits into the file, and return the number of bytes; if it is full, only rotate."""
         if self._file is None:
             self._file = self._path.open("ab", buffering=0)
             self._size = self._file.tell()
@@ -44,11 +44,11 @@
         self._file.close()
         self._file = None
         for number in range(self._older_files, 0, -1):
-            newer = self._numbered(number - 1)
+            newer = self._rotated_path(number - 1)
             if newer.exists():
-                newer.replace(self._numbered(number))
+                newer.replace(self._rotated_path(number))
         if not self._older_files:
             self._path.unlink(missing_ok=True)
 
-    def _numbered(self, number: int) -> Path:
+    def _rotated_path(self, number: int) -> Path:
         return self._path.with_name(f"{self._path.name}.{number}") if number else self._path
--- a/kelpfront/agent/runnable_offers.py
+++ b/kelpfront/agent/runnable_offers.py
@@ -1,6 +1,6 @@
-"""Decides whether an offer can be run as a process at all. Pure.
+"""Decides whether an offered task can run as a process at all. Pure: no I/O.
 
-Whether the machine has capacity for it is left to the node.
+The node decides whether the machine has capacity for it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def rejection_reason(offer: Offer) -> str:
-    """Return why an offer cannot be run as a process here; empty where it can."""
+    """Return why an offered task cannot run as a process, or an empty text if it can."""
     if offer.run is None:
         return "the job names no command, and this machine runs nothing else"
     if not offer.run.argv or not offer.run.argv[0]:
--- a/kelpfront/agent/runtime.py
+++ b/kelpfront/agent/runtime.py
@@ -1,8 +1,8 @@
-"""Runs a node's tasks as processes: carries out what the node decides, and adopts what an earlier agent left.
+"""Runs a node's tasks as processes: executes the node's decisions, and continues the adopted tasks.
 
-Starts are made by `task_launcher`, stops by `stop_records`; supervisors are followed by `supervision`, and
-the node is told what becomes of tasks by `task_completion`. What is left here is the table of runs and which
-part each call concerns.
+`task_launcher` starts tasks, `stop_records` stops them, `supervision` monitors supervisors, and
+`task_completion` reports the progress of tasks to the node. This module holds the table of runs, and
+dispatches each call to one of these components.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Runtime:
-    """The `TaskRuntime` of one node. All calls are from the event loop's thread."""
+    """The `TaskRuntime` of one node. All methods must be called from the event loop's thread."""
 
     completion_class: type[TaskCompletion] = TaskCompletion
 
@@ -45,16 +45,16 @@
         self._launcher = TaskLauncher(context, self._completion, self._supervision, self._stops)
 
     async def close(self) -> None:
-        """Stop following all supervisors; tasks run on."""
+        """Stop monitoring all supervisors; tasks keep running."""
         self._supervision.close()
         for run in self.runs:
             stop_watching(run)
         await self.context.background.close()
 
-    # ---- What the node decides ------------------------------------------------------------------------
+    # ---- Decisions of the node ------------------------------------------------------------------------
 
     def start_task(self, start: StartTask) -> None:
-        """Begin to start a task."""
+        """Begin to start a task, in the background."""
         offer = start.offer
         active = self.context.node.tasks[offer.task]
         request = OfferRequest(active.placer, active.incarnation, offer)
@@ -65,11 +65,15 @@
         self.launch(run)
 
     def launch(self, run: TaskRun) -> None:
-        """Begin to make a run's processes."""
+        """Begin to start a run's supervisor and process, in the background."""
         self.context.background.spawn(self._launcher.launch(run))
 
     def stop_task(self, stop: StopTask) -> None:
-        """Begin to stop a task. The stop is on record before this returns: whoever asked may rely on it."""
+        """Begin to stop a task.
+
+        If the task's folder exists, the stop is recorded there before this returns, so that an answered stop
+        request survives a crash of the agent.
+        """
         run = self.runs.get(stop.task)
         if run is None or run.stop_cause is not None:
             return
@@ -79,34 +83,34 @@
             self._stops.write(run)
 
     def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
-        """Record that a task is a later attempt's, then tell the node."""
+        """Record that a later attempt takes over a running task, then notify the node."""
         self.context.background.spawn(self._supersede_attempt(superseding))
 
     async def _supersede_attempt(self, superseding: SupersedeAttempt) -> None:
         offer = superseding.offer
         run = self.runs.get(offer.task)
-        if run is not None and not run.over:
+        if run is not None and not run.ended:
             request = OfferRequest(superseding.placer, superseding.incarnation, offer)
             await self._record_superseded(run, request)
         self.context.node.attempt_superseded(self.context.now(), offer.task, offer.attempt)
         self.context.on_change()
 
     async def _record_superseded(self, run: TaskRun, request: OfferRequest) -> None:
-        """Put the later attempt on record. Cancelled here, the state may still have the earlier one."""
+        """Record the later attempt. If this is cancelled, the state may still have the earlier attempt."""
         old = run.record
         run.record = TaskRecord(request, old.boot_id, old.since, old.started_attempt)
         try:
             await self.context.state.record_superseded(old.key, run.record)
         except StateError as error:
-            # The task runs, whatever the disk says; after a restart the earlier attempt would be reported.
-            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            # The task keeps running; after a restart the agent would report it as the earlier attempt.
+            log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                 "superseded attempt not recorded", task=run.task, error=str(error)
             )
 
-    # ---- What supervisors do --------------------------------------------------------------------------
+    # ---- Events of supervisors ------------------------------------------------------------------------
 
     def on_notice(self, event: str, folder: str) -> None:
-        """Handle a notice of the supervisor of a folder."""
+        """Handle a notice from the supervisor of a folder."""
         run = self.runs.in_folder(folder)
         if run is None:
             return
@@ -117,17 +121,17 @@
             self._supervision.check_running(run)
 
     def check_starts(self) -> None:
-        """Check the tasks that are being started: notices may be lost."""
+        """Check whether tasks that are starting run by now, since notices may be lost."""
         for run in self.runs:
             if run.folder_ready and not run.running:
                 self._supervision.check_running(run)
 
-    # ---- What earlier and ended tasks leave -----------------------------------------------------------
+    # ---- Adopted and ended tasks ----------------------------------------------------------------------
 
     def adopt(
         self, record: TaskRecord, folder: Path, state: RecoveredState, inspection: FolderInspection
     ) -> None:
-        """Go on with a task that an earlier agent started; the node has been told of it."""
+        """Continue a task that an earlier agent started; it is already restored in the node."""
         is_running = state in (RecoveredState.RUNNING, RecoveredState.UNSUPERVISED)
         run = TaskRun(
             record,
@@ -137,14 +141,14 @@
             running=is_running,
         )
         self.runs.add(run)
-        self.context.background.spawn(self._supervision.settle(run))
+        self.context.background.spawn(self._supervision.resolve_outcome(run))
 
     def retain_folder(self, key: TaskKey, folder: Path) -> None:
         """Retain the folder of a task that ended before the agent started."""
         self._ended_folders.retain(key, folder)
 
     def output_folder(self, task: str, attempt: int | None) -> Path | None:
-        """Return where the output of an attempt is, or of the task's last one here where none is named."""
+        """Return the folder with an attempt's output, or of the task's last attempt if `attempt` is None."""
         run = self.runs.get(task)
         if run is not None and attempt in (None, run.record.request.offer.attempt):
             return run.folder
--- a/kelpfront/agent/runtime_context.py
+++ b/kelpfront/agent/runtime_context.py
@@ -1,7 +1,4 @@
-"""What the parts of a runtime share: the node, the durable state, the fork server, and the clock.
-
-Each part changes only what its own module describes.
-"""
+"""The objects that the components of a runtime share: node, state, fork server, clock and callbacks."""
 
 from __future__ import annotations
 
@@ -18,20 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RuntimeContext:
-    """One node's surroundings.
+    """The shared objects of one node's runtime.
 
     Attributes:
-        node: is told what becomes of tasks.
-        state: holds what must survive the agent.
-        forkserver: makes supervisors.
-        background: owns what the runtime does beside its callers.
+        node: decides, and is notified of the progress of tasks.
+        state: the durable state, which survives the agent.
+        forkserver: forks supervisors.
+        background: runs the runtime's background tasks.
         tasks_folder: has one folder for each attempt of a task.
         boot_id: the host's current boot.
-        output_limits: bounds of each task's output.
+        output_limits: limits of each task's output.
         max_ended_folders: how many folders of ended tasks are retained.
-        now: the time in milliseconds of the cluster's clock.
-        on_change: is called after the node was told something.
-        checkpoint: is called with a name at each step of a task's life, for tests that end the agent there.
+        now: returns the time in milliseconds of the cluster's clock.
+        on_change: is called after the node was notified.
+        checkpoint: is called with a name at each step of a task's lifecycle: tests kill the agent there.
     """
 
     node: Node
--- a/kelpfront/agent/server.py
+++ b/kelpfront/agent/server.py
@@ -1,6 +1,6 @@
-"""The agent's HTTP side: the machine protocol, and what operators and readers of tasks' output request.
+"""The agent's HTTP server: the machine protocol, the operators' status and drain requests, and task output.
 
-The protocol itself is `machine.server`'s, what operators are shown `status`'s.
+`machine.server` implements the machine protocol, and `status` the content of the status views.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 from kelpfront.machine.node import Node
 from kelpfront.machine.server import MachineServer, TaskRuntime
 
-MAX_OUTPUT_BYTES = 16 << 20  # of one answer: bounds the agent's memory
+MAX_OUTPUT_BYTES = 16 << 20  # in one response: bounds the agent's memory
 DEFAULT_OUTPUT_BYTES = 1 << 20
 
 
 class SetDraining(Protocol):
-    """Begins or ends a drain."""
+    """A callback that begins or ends a drain."""
 
     def __call__(self, *, draining: bool) -> None:
         """Begin a drain, or end it."""
@@ -34,13 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentHooks:
-    """What the server has the agent do.
+    """Callbacks of the server into the agent.
 
     Attributes:
-        on_ends_acknowledged: is called with the tasks of which a placer has received the ends.
+        on_ends_acknowledged: is called with the tasks whose ends a placer has acknowledged.
         set_draining: begins or ends a drain.
-        views: what is shown to operators, by path.
-        output_folder: returns where the output of an attempt is; of the task's last one where none is named.
+        views: functions that return the status views for operators, by path.
+        output_folder: returns the folder with the output of an attempt, or of the task's last attempt if the
+            attempt is None.
     """
 
     on_ends_acknowledged: Callable[[list[str]], None]
@@ -50,7 +51,7 @@
 
 
 class AgentServer(MachineServer):
-    """Serves one agent's node, its operators, and readers of its tasks' output."""
+    """Serves the machine protocol, status views and task output of one agent."""
 
     def __init__(
         self,
@@ -64,14 +65,14 @@
         self._hooks = hooks
 
     async def decide_offer(self, offered: OfferRequest, request: Request) -> Answer:
-        """Return the answer to an offer; one that cannot be a process is refused without asking the node."""
+        """Return the answer to an offer; one that cannot run as a process is refused without the node."""
         reason = rejection_reason(offered.offer)
         if reason:
             return Answer("refused", NOT_HERE, reason)
         return await super().decide_offer(offered, request)
 
-    def on_acknowledged(self, placer: str, tasks: list[str]) -> None:  # noqa: ARG002 - of the base class
-        """Have the agent record which ends a placer has received."""
+    def on_acknowledged(self, placer: str, tasks: list[str]) -> None:  # noqa: ARG002 - declared by the base class
+        """Notify the agent of the task ends that a placer has acknowledged."""
         if tasks:
             self._hooks.on_ends_acknowledged(tasks)
 
@@ -108,7 +109,7 @@
         return Response(200, output, "text/plain; charset=utf-8")
 
     async def read_log(self, task: str, attempt: int | None, tail_bytes: int) -> bytes | None:
-        """Return the last bytes of a task's output; None where none is retained."""
+        """Return the last bytes of a task's output, or None if no output is retained."""
         folder = self._hooks.output_folder(task, attempt)
         if folder is None:
             return None
--- a/kelpfront/agent/service.py
+++ b/kelpfront/agent/service.py
@@ -1,7 +1,6 @@
-"""The running agent: makes its parts in the order that a safe start needs, serves, and ends them in reverse.
+"""The agent process: creates its components in the order of a safe start, serves, and closes them in reverse.
 
-The parts are described by their modules; what is left here is their wiring, the drain, and the periodic
-checks.
+This module contains the wiring of the components, the drain, and the periodic checks.
 """
 
 from __future__ import annotations
@@ -27,8 +26,8 @@
     SEQUENCE_METADATA,
     HostFacts,
     SequenceBlock,
+    local_idempotency_records,
     make_node,
-    own_idempotency_records,
     shared_idempotency_records,
 )
 from kelpfront.agent.notices import NoticeReceiver
@@ -51,25 +50,26 @@
 
 log = structlog.get_logger("kelpfront.agent")
 
-CHECK_INTERVAL_S = 1.0  # between checks for what notices may have missed, and for orphaned tasks
-MAX_CONNECTIONS = 2_000  # of some hundred placers and their operators
-MAX_BODY_BYTES = 256 << 10  # an offer with its command and labels
+CHECK_INTERVAL_S = 1.0  # between checks for starts whose notices were lost, and for orphaned tasks
+MAX_CONNECTIONS = 2_000  # enough for a few hundred placers, and for operators
+MAX_BODY_BYTES = 256 << 10  # the largest body is an offer with its command and labels
 ADDRESS_FILE = "agent.json"
 DRAINING_METADATA = "draining"
 
 
 def _ignore_checkpoint(name: str) -> None:
-    """Do nothing; what an agent does that is not under test."""
+    """Do nothing: the default outside of tests."""
 
 
 class AgentService:
     """One agent process.
 
-    `checkpoint` is called with a name at each step of a task's life: tests end the process there.
+    `checkpoint` is called with a name at each step of a task's lifecycle: tests kill the process there.
 
     Attributes:
-        node: decides; once `start` has returned.
-        server: serves it; once `start` has returned.
+        node: decides on offers and stops; available once `start` has returned.
+        runtime: runs the node's tasks; available once `start` has returned.
+        server: serves the node; available once `start` has returned.
         ready_ms: how long the start took.
     """
 
@@ -96,10 +96,10 @@
         self.ready_ms = 0.0
         self.grpc: GrpcNode | None = None
         self._checkpoint = checkpoint
-        self._began_s = time.monotonic()
+        self._start_time_s = time.monotonic()
         self._orphaned = 0
         self._orphan_detector = OrphanDetector(config.tasks.orphans)
-        self._resources = AsyncExitStack()  # what `close` closes, the last first
+        self._resources = AsyncExitStack()  # closed by `close`, in reverse order
         self._lock = FolderLock(self.folder)
         self._notices = NoticeReceiver(self.folder)
         self._state = AgentState(self.folder, config.agent.state_size)
@@ -109,12 +109,12 @@
     # ---- Start ----------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Find what runs, then serve. Raises AgentError where the agent cannot start."""
+        """Adopt running tasks, then serve. Raises AgentError if the agent cannot start."""
         self._resources.callback(self._lock.release)
         self._lock.acquire()
         try:
-            await self._start_parts()
-        except BaseException:  # also when cancelled: whatever part is there is closed
+            await self._start_components()
+        except BaseException:  # also on cancellation: the components created so far have to be closed
             await self.close()
             raise
         self._write_address()
@@ -122,11 +122,11 @@
         self._background.spawn(self._check_periodically())
         self._background.spawn(self._usage.run())
         self._on_change()
-        self.ready_ms = (time.monotonic() - self._began_s) * 1000.0
+        self.ready_ms = (time.monotonic() - self._start_time_s) * 1000.0
         log.info("agent ready", url=self.url, tasks=len(self.node.tasks), ready_ms=round(self.ready_ms, 1))
 
-    async def _start_parts(self) -> None:
-        """Make all parts; each is closed by `close` from the moment at which it may have something open."""
+    async def _start_components(self) -> None:
+        """Create all components; each is registered for `close` before it may hold an open resource."""
         self._resources.callback(self._notices.close)
         self._resources.push_async_callback(self._state.close)
         self._resources.push_async_callback(self._forkserver.close)
@@ -134,7 +134,7 @@
         self._notices.bind()
         block = SequenceBlock.after(stored.metadata)
         shared_records = shared_idempotency_records(self.config)
-        records = shared_records or own_idempotency_records(self.config)
+        records = shared_records or local_idempotency_records(self.config)
         self.node = make_node(self.config, self.host, block, records, self.clock.now())
         self._state.start()
         await self._record_block(block)
@@ -164,13 +164,13 @@
         try:
             await self._state.set_metadata(SEQUENCE_METADATA, str(block.number))
         except StateError as error:
-            # Message numbers are used twice only if the clock also steps back before the next start.
-            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            # Sequence numbers are reused only if the clock also steps back before the next start.
+            log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                 "state not writable", error=str(error)
             )
 
     def _make_runtime(self) -> None:
-        """Make what runs tasks, and what serves placers and operators."""
+        """Create the runtime, the server, and the usage monitor."""
         tasks = self.config.tasks
         context = RuntimeContext(
             node=self.node,
@@ -220,25 +220,25 @@
         try:
             from kelpfront.machine.grpc_server import GrpcNode
         except ImportError as error:
-            raise AgentError("[agent] grpc: needs more packages: pip install 'kelpfront[grpc]'") from error
+            raise AgentError("[agent] grpc: requires more packages: pip install 'kelpfront[grpc]'") from error
         self.grpc = GrpcNode(self.server, self.server.read_log)
         self._resources.push_async_callback(self.grpc.close)
         await self.grpc.start(address)
 
     def _write_address(self) -> None:
-        """Write where commands on this host find the agent."""
+        """Write the file from which commands on this host read the agent's address."""
         partial = self.folder / "agent.part"
         partial.write_text(json.dumps({"url": self.url, "grpc": self.grpc_target, "pid": os.getpid()}))
         partial.replace(self.folder / ADDRESS_FILE)
 
     @property
     def url(self) -> str:
-        """Where placers and operators reach it by HTTP."""
+        """The HTTP URL for placers and operators."""
         return f"http://{self.config.agent.listen.rpartition(':')[0]}:{self.server.http.port}"
 
     @property
     def grpc_target(self) -> str:
-        """HOST:PORT where placers reach it by gRPC; empty where they do not."""
+        """The gRPC address for placers as HOST:PORT, or an empty text if gRPC is not enabled."""
         if self.grpc is None or self.config.agent.grpc is None:
             return ""
         return f"{self.config.agent.grpc.rpartition(':')[0]}:{self.grpc.port}"
@@ -249,9 +249,9 @@
         self.server.changed()
 
     def _set_draining(self, *, draining: bool) -> None:
-        """Begin or end a drain, which lasts over restarts.
+        """Begin or end a drain, which persists across restarts.
 
-        No new tasks are accepted, and those that are here are sent away as it is set.
+        During a drain no new tasks are accepted, and running tasks are evicted if the settings say so.
         """
         self._state.set_metadata(DRAINING_METADATA, "yes" if draining else "no")
         self.node.set_draining(self.clock.now(), draining=draining)
@@ -273,7 +273,7 @@
             self._stop_orphans()
 
     def _stop_orphans(self) -> None:
-        """Stop the tasks of placers that do not come back."""
+        """Stop the tasks of placers that have not reconnected within the timeout."""
         now = self.clock.now()
         owners = {active.placer for active in self.node.tasks.values()}
         for placer in self._orphan_detector.expired_placers(now, owners, self.server.connected):
@@ -283,20 +283,20 @@
                 log.warning("orphaned tasks stopped", placer=placer, tasks=count)
                 self._on_change()
 
-    # ---- What operators are shown ---------------------------------------------------------------------
+    # ---- Status views for operators -------------------------------------------------------------------
 
     def status(self) -> AgentView:
-        """Return what operators are shown of the agent."""
+        """Return the status view of the agent."""
         progress = AgentProgress(self.ready_ms, self.adoption.found_states, self._orphaned)
         return self._status.agent(progress)
 
     def tasks(self) -> list[TaskView]:
-        """Return what operators are shown of its tasks."""
+        """Return the status views of the agent's tasks."""
         return self._status.tasks()
 
-    # ---- End ------------------------------------------------------------------------------------------
+    # ---- Shutdown -------------------------------------------------------------------------------------
 
     async def close(self) -> None:
-        """End the agent; tasks run on and are adopted by the next."""
+        """Shut the agent down; tasks keep running, and the next agent adopts them."""
         await self._background.close()
         await self._resources.aclose()
--- a/kelpfront/agent/signal_wakeup.py
+++ b/kelpfront/agent/signal_wakeup.py
@@ -1,6 +1,6 @@
-"""Turns the signals of a supervisor into something that poll(2) can wait for. Standard library only.
+"""Turns a supervisor's signals into a descriptor that poll(2) can wait for. Standard library only.
 
-What a signal is to cause is left to `supervisor`.
+`supervisor` decides how to react to a signal.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class SignalWakeup:
-    """Turns signals into a readable descriptor; `terminated` is whether SIGTERM was among them."""
+    """Makes `descriptor` readable when a signal arrives; `terminated` is whether SIGTERM was received."""
 
     def __init__(self) -> None:
         self.terminated = False
@@ -27,10 +27,10 @@
             signal.signal(number, signal.SIG_IGN)
 
     def _on_signal(self, number: int, _frame: object) -> None:
-        if number == signal.SIGTERM:  # the host goes down
+        if number == signal.SIGTERM:  # the host is shutting down
             self.terminated = True
 
     def clear(self) -> None:
-        """Read what is in the descriptor."""
+        """Read and discard the pending bytes, so that the descriptor is no longer readable."""
         with contextlib.suppress(BlockingIOError):
             os.read(self.descriptor, READ_BYTES)
--- a/kelpfront/agent/state.py
+++ b/kelpfront/agent/state.py
@@ -1,7 +1,7 @@
-"""The agent's durable state: which tasks it was to start, and what it knows of them.
+"""The agent's durable state: the tasks that it intended to start, their ends, and the agent's own metadata.
 
-What is answered as recorded survives a power failure. The file is `state_database`'s, and the thread that
-writes it `state_writer`'s.
+A write whose future has resolved survives a power failure. `state_database` manages the file, and
+`state_writer` the thread that writes to it.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class AgentState:
-    """The state in one folder. Open it first; all calls are from the event loop's thread.
+    """The state in one folder.
 
-    Each write returns a future that is done once it survives a power failure, and that raises StateError
-    where it could not be written. Nobody need await it.
+    Call `open` first. All methods must be called from the event loop's thread. Each write returns a future
+    that resolves once the write survives a power failure, or fails with StateError. Awaiting it is optional.
     """
 
     def __init__(self, folder: Path, max_bytes: int = 0) -> None:
-        """Take the state in `folder`; `max_bytes` bounds its file, 0 is no bound but the disk's."""
+        """Use the state in `folder`; `max_bytes` limits the size of its file, 0 means no limit."""
         self.database = StateDatabase(folder, max_bytes)
         self._writer = StateWriter(self.database)
 
@@ -34,28 +34,28 @@
 
     @property
     def transactions(self) -> int:
-        """The number of transactions that they took."""
+        """The number of transactions that contained the durable writes."""
         return self._writer.transactions
 
     def open(self) -> StoredState:
-        """Read what is there, as far as it is readable. Raises StateError."""
+        """Open the file and read all readable records. Raises StateError."""
         return self.database.open()
 
     def start(self) -> None:
-        """Begin to make writes."""
+        """Start the writing thread."""
         self._writer.start()
 
     async def close(self) -> None:
-        """Make the writes that wait, then close the file."""
+        """Complete the queued writes, then close the file."""
         await self._writer.close()
         self.database.close()
 
     def record_intent(self, record: TaskRecord) -> asyncio.Future[None]:
-        """Record that a task is to be started."""
+        """Record the intent to start a task."""
         return self._writer.submit(lambda connection: write_record(connection, record))
 
     def record_superseded(self, old: TaskKey, record: TaskRecord) -> asyncio.Future[None]:
-        """Record that a later attempt has the process from now on."""
+        """Record that a later attempt takes over the process of an earlier one."""
 
         def write(connection: sqlite3.Connection) -> None:
             write_record(connection, record)
@@ -68,7 +68,7 @@
         return self._writer.submit(lambda connection: write_record(connection, record))
 
     def record_acknowledged(self, keys: list[TaskKey]) -> asyncio.Future[None]:
-        """Record that placers have received the ends of tasks."""
+        """Record that placers have acknowledged the ends of tasks."""
         statement = "UPDATE tasks SET heard=1 WHERE task=? AND attempt=?"
         return self._writer.submit(lambda connection: connection.executemany(statement, keys))
 
@@ -78,6 +78,6 @@
         return self._writer.submit(lambda connection: connection.executemany(statement, keys))
 
     def set_metadata(self, name: str, value: str) -> asyncio.Future[None]:
-        """Record a value of the agent itself."""
+        """Record a named value of the agent, which concerns no particular task."""
         statement = "INSERT OR REPLACE INTO meta VALUES (?, ?)"
         return self._writer.submit(lambda connection: connection.execute(statement, (name, value)))
--- a/kelpfront/agent/state_database.py
+++ b/kelpfront/agent/state_database.py
@@ -1,7 +1,7 @@
 """The SQLite file of the agent's state: its schema, opening and reading it, and recovery of a damaged file.
 
-A damaged file is moved aside complete, and what is readable of it is copied into a new one. Batches of writes
-are left to `state_writer`.
+A damaged file is moved to a quarantine folder unchanged, and its readable rows are copied into a new file.
+`state_writer` batches the writes.
 """
 
 from __future__ import annotations
@@ -21,9 +21,9 @@
 QUARANTINE_FOLDER = "damaged"
 COPY_NAME = "copy.db"
 LOCK_TIMEOUT_S = (
-    5.0  # for a reader of the file, such as a backup; another agent is kept out by the folder's lock
+    5.0  # waits for a reader of the file, such as a backup; the folder's lock excludes other agents
 )
-MIN_PAGES = 8  # an empty state with its tables has fewer
+MIN_PAGES = 8  # more than an empty state with its tables needs
 
 _SCHEMA = """
 CREATE TABLE IF NOT EXISTS meta (name TEXT PRIMARY KEY, value TEXT NOT NULL) WITHOUT ROWID;
@@ -56,20 +56,20 @@
         sqlite3.SQLITE_FULL,
     }
 )
-"""The file may be readable later: it is not damaged, and is left where it is."""
+"""Errors after which the file may be readable later: it is not damaged, and stays in place."""
 
-PRIMARY_CODE_MASK = 0xFF  # of an extended result code, https://www.sqlite.org/rescode.html
+PRIMARY_CODE_MASK = 0xFF  # the low byte of an extended result code, https://www.sqlite.org/rescode.html
 
 
 class StateError(Exception):
-    """The state could not be written or read; the text says where and why."""
+    """The state could not be written or read; the text names the file and the cause."""
 
 
 class StateDatabase:
-    """The file of one state folder."""
+    """The state file in one folder."""
 
     def __init__(self, folder: Path, max_bytes: int = 0) -> None:
-        """Take the file in `folder`; `max_bytes` bounds its size, 0 is no bound but the disk's."""
+        """Use the file in `folder`; `max_bytes` limits its size, 0 means no limit."""
         self.path = folder / FILE_NAME
         self._folder = folder
         self._max_bytes = max_bytes
@@ -82,7 +82,10 @@
         return self._connection
 
     def open(self) -> StoredState:
-        """Read the file. Raises StateError where it cannot be opened, or was written by a later version."""
+        """Open and read the file, and recover it if it is damaged.
+
+        Raises StateError if it cannot be opened, or was written by a later version.
+        """
         stored = StoredState()
         try:
             self._connection = self._connect()
@@ -113,7 +116,7 @@
         return connection
 
     def _prepare(self, connection: sqlite3.Connection) -> None:
-        """Set what makes writes durable, check the file, and make its tables."""
+        """Configure durable writes, check the file's integrity, and create its tables."""
         connection.execute("PRAGMA journal_mode=WAL")
         connection.execute("PRAGMA synchronous=FULL")
         if self._max_bytes:
@@ -124,25 +127,25 @@
         if check != "ok":
             raise sqlite3.DatabaseError(check)
         connection.executescript(_SCHEMA)
-        found = connection.execute("SELECT value FROM meta WHERE name='format'").fetchone()
-        if found is not None and int(found[0]) > FORMAT:
+        format_row = connection.execute("SELECT value FROM meta WHERE name='format'").fetchone()
+        if format_row is not None and int(format_row[0]) > FORMAT:
             raise StateError(
-                f"{self.path}: written by a later version (format {found[0]}; this one knows {FORMAT})"
+                f"{self.path}: written by a later version (format {format_row[0]}, supported up to {FORMAT})"
             )
         connection.execute("INSERT OR REPLACE INTO meta VALUES ('format', ?)", (str(FORMAT),))
 
-    # ---- A damaged file -------------------------------------------------------------------------------
+    # ---- Recovery of a damaged file -------------------------------------------------------------------
 
     def _recover(self, damage: str) -> StoredState:
-        """Move the damaged file aside and copy what can be read into a new one, row by row."""
-        place = self._quarantine()
-        stored = StoredState(quarantine=place, damage=damage)
-        # Reading replays the write-ahead log into the file, which is to be kept as it was found.
-        copy = place / COPY_NAME
+        """Move the damaged file to quarantine, and copy its readable rows into a new file."""
+        quarantine = self._quarantine()
+        stored = StoredState(quarantine=quarantine, damage=damage)
+        # A copy is read: reading replays the write-ahead log into the file, and the original stays unchanged.
+        copy = quarantine / COPY_NAME
         with contextlib.suppress(sqlite3.Error, OSError):
-            self._copy_quarantined(place, copy)
+            self._copy_quarantined(quarantine, copy)
             _read_damaged(copy, stored)
-        for path in place.glob(f"{COPY_NAME}*"):
+        for path in quarantine.glob(f"{COPY_NAME}*"):
             path.unlink(missing_ok=True)
         self._connection = self._connect()
         try:
@@ -153,27 +156,27 @@
         return stored
 
     def _quarantine(self) -> Path:
-        """Move the file and what belongs to it into a folder of its own, and return that."""
-        quarantine = self._folder / QUARANTINE_FOLDER
-        quarantine.mkdir(exist_ok=True)
-        numbers = [int(path.name) for path in quarantine.iterdir() if path.name.isdigit()]
-        place = quarantine / str(1 + max(numbers, default=0))
-        place.mkdir()
+        """Move the file with its log and shared-memory files into a new numbered folder, and return it."""
+        parent = self._folder / QUARANTINE_FOLDER
+        parent.mkdir(exist_ok=True)
+        numbers = [int(path.name) for path in parent.iterdir() if path.name.isdigit()]
+        quarantine = parent / str(1 + max(numbers, default=0))
+        quarantine.mkdir()
         for suffix in ("", "-wal", "-shm"):
             path = self.path.with_name(self.path.name + suffix)
             if path.exists():
-                path.replace(place / path.name)
-        return place
+                path.replace(quarantine / path.name)
+        return quarantine
 
-    def _copy_quarantined(self, place: Path, copy: Path) -> None:
+    def _copy_quarantined(self, quarantine: Path, copy: Path) -> None:
         for suffix in ("", "-wal"):
-            damaged = place / (self.path.name + suffix)
+            damaged = quarantine / (self.path.name + suffix)
             if damaged.exists():
                 copy.with_name(copy.name + suffix).write_bytes(damaged.read_bytes())
 
 
 def _read_damaged(path: Path, stored: StoredState) -> None:
-    """Add what is readable of a damaged file to `stored`."""
+    """Read the metadata and the readable records of a damaged file into `stored`."""
     readable: dict[TaskKey, TaskRecord] = {}
     connection = sqlite3.connect(path)
     try:
@@ -189,13 +192,13 @@
 
 
 def _readable_rows(cursor: sqlite3.Cursor) -> Iterator[Any]:
-    """Yield rows up to the first that cannot be read."""
+    """Yield rows up to the first unreadable one."""
     with contextlib.suppress(sqlite3.Error):
         yield from cursor
 
 
 def write_record(connection: sqlite3.Connection, record: TaskRecord) -> None:
-    """Write a record in place of an earlier one of the same attempt."""
+    """Insert a record, or replace the earlier record of the same attempt."""
     connection.execute(
         "INSERT OR REPLACE INTO tasks VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)", encode_row(record)
     )
--- a/kelpfront/agent/state_records.py
+++ b/kelpfront/agent/state_records.py
@@ -1,4 +1,4 @@
-"""What the agent's state holds: attempts of tasks, how they ended, and the rows that they are stored as."""
+"""The records in the agent's state, attempts of tasks and how they ended, and their encoding as rows."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class TaskEnd(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How a task ended. Stored as JSON: its fields' names are those of the file."""
+    """How a task ended. Stored as JSON under the names of the fields."""
 
     cause: GoneCause
     ran: bool
@@ -30,17 +30,17 @@
 
 @dataclass(slots=True)
 class TaskRecord:
-    """One attempt on record.
+    """One recorded attempt.
 
     Attributes:
-        request: the offer, and whose it is.
-        boot_id: the host's boot in which the start was intended.
-        since: when it was intended, in milliseconds of the cluster's clock.
-        started_attempt: the attempt that started the process, in whose folder it is; a later attempt may have
-            superseded it.
-        end: how it ended, if it did.
-        end_seq: the number of the message that reported its end.
-        end_acknowledged: whether its placer has received that.
+        request: the offer, with its placer.
+        boot_id: the host's boot in which the intent to start was recorded.
+        since: when the intent was recorded, in milliseconds of the cluster's clock.
+        started_attempt: the attempt that started the process, and whose folder the process uses; `request` is
+            of a later attempt if that superseded it.
+        end: how the attempt ended, or None.
+        end_seq: the sequence number of the message that reported the end.
+        end_acknowledged: whether the placer has acknowledged that message.
     """
 
     request: OfferRequest
@@ -53,11 +53,11 @@
 
     @property
     def key(self) -> TaskKey:
-        """The attempt that the record is of."""
+        """The key of the recorded attempt."""
         return TaskKey(self.request.offer.task, self.request.offer.attempt)
 
     def report(self) -> TaskReport:
-        """Return the report of an ended task to its placer."""
+        """Return the report of an ended task for its placer."""
         assert self.end is not None
         return TaskReport(
             self.request.offer,
@@ -73,13 +73,13 @@
 
 @dataclass(slots=True)
 class StoredState:
-    """What was found at start.
+    """The state as read at startup.
 
     Attributes:
-        records: all attempts on record.
-        metadata: values of the agent itself, by name.
-        quarantine: where a damaged state was moved, if it was.
-        damage: what was wrong with it.
+        records: all recorded attempts.
+        metadata: named values of the agent.
+        quarantine: the folder that a damaged state was moved to, or None.
+        damage: a description of the damage.
     """
 
     records: list[TaskRecord] = field(default_factory=list)
@@ -106,9 +106,9 @@
 
 
 def decode_row(row: Any) -> TaskRecord:
-    """Read the columns that `state_database.SELECT_TASKS` names.
+    """Decode a row with the columns of `state_database.SELECT_TASKS`.
 
-    Raises msgspec.DecodeError, TypeError or ValueError where the row is damaged.
+    Raises msgspec.DecodeError, TypeError or ValueError if the row is damaged.
     """
     placer, incarnation, offer, boot_id, since, started_attempt, end, end_seq, acknowledged = row
     request = OfferRequest(placer, incarnation, decode_offer(offer))
--- a/kelpfront/agent/state_writer.py
+++ b/kelpfront/agent/state_writer.py
@@ -1,7 +1,7 @@
-"""Writes to the agent's state, made durable in batches by one thread.
+"""Writes to the agent's state in batches, from one thread.
 
-What comes in while the thread waits for the disk goes into its next transaction, so that many starts share
-one wait. What is written is left to `state`.
+Writes that are submitted while the thread waits for the disk go into its next transaction, so that many task
+starts share one disk sync. `state` defines the individual writes.
 """
 
 from __future__ import annotations
@@ -17,33 +17,33 @@
 
 from kelpfront.agent.state_database import StateDatabase, StateError
 
-MAX_WAITING_WRITES = 10_000  # bounds memory while the disk hangs; then writes fail at once
-MAX_BATCH_WRITES = 256  # bounds what is written again one by one when one of a batch fails
+MAX_WAITING_WRITES = 10_000  # bounds memory while the disk hangs; further writes fail immediately
+MAX_BATCH_WRITES = 256  # bounds the writes that are retried one by one when a batch fails
 
 Write = Callable[[sqlite3.Connection], object]
 
 
 @dataclass(frozen=True, slots=True)
 class _PendingWrite:
-    """A write that waits for the disk; `done` is resolved once it is durable."""
+    """A queued write; `done` resolves once the write is durable."""
 
     write: Write
     done: asyncio.Future[None]
 
 
 class _Outcome(NamedTuple):
-    """What came of a write; `failure` is None where it is durable."""
+    """The result of a write; `failure` is None if the write is durable."""
 
     done: asyncio.Future[None]
     failure: StateError | None
 
 
 class StateWriter:
-    """The writing thread of one database. All calls are from the event loop's thread.
+    """The writing thread of one database. All public methods must be called from the event loop's thread.
 
     Attributes:
-        writes: the number of writes that are durable.
-        transactions: the number of transactions that they took.
+        writes: the number of durable writes.
+        transactions: the number of transactions that contained them.
     """
 
     def __init__(self, database: StateDatabase) -> None:
@@ -54,21 +54,21 @@
         self.transactions = 0
 
     def start(self) -> None:
-        """Begin to make writes."""
+        """Start the thread."""
         loop = asyncio.get_running_loop()
         self._thread = threading.Thread(target=self._write_all, args=(loop,), name="state", daemon=True)
         self._thread.start()
 
     async def close(self) -> None:
-        """Make the writes that wait, then end the thread."""
+        """Complete the queued writes, then end the thread."""
         if self._thread is not None:
             self._waiting.put(None)
             await asyncio.to_thread(self._thread.join)
 
     def submit(self, write: Write) -> asyncio.Future[None]:
-        """Queue a write; the future is done once it survives a power failure. It may raise StateError.
+        """Queue a write, and return a future that resolves once the write survives a power failure.
 
-        Nobody need await the future.
+        The future fails with StateError if the write cannot be made. Awaiting it is optional.
         """
         done: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         done.add_done_callback(_mark_retrieved)
@@ -90,11 +90,11 @@
             batch = [first]
             is_last = self._fill(batch)
             outcomes = self._write_batch(batch)
-            with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits any more
+            with contextlib.suppress(RuntimeError):  # the loop is closed, so no future is awaited any more
                 loop.call_soon_threadsafe(_resolve, outcomes)
 
     def _fill(self, batch: list[_PendingWrite]) -> bool:
-        """Add what waits to a batch; return whether the thread is to end after it."""
+        """Add queued writes to a batch; return whether the thread must end after this batch."""
         while len(batch) < MAX_BATCH_WRITES:
             try:
                 pending = self._waiting.get_nowait()
@@ -106,9 +106,9 @@
         return False
 
     def _write_batch(self, batch: list[_PendingWrite]) -> list[_Outcome]:
-        """Write a batch in one transaction, or each for itself where that fails.
+        """Write a batch in one transaction; if that fails, write each in a separate transaction.
 
-        Which one of a batch cannot be written is not known.
+        The separate transactions show which writes of the batch fail.
         """
         failure = self._transact([pending.write for pending in batch])
         if failure is None or len(batch) == 1:
@@ -142,6 +142,6 @@
 
 
 def _mark_retrieved(done: asyncio.Future[None]) -> None:
-    """Tell asyncio that a failure was seen, for writes that nobody awaits."""
+    """Mark a failure as retrieved, so that asyncio does not log it for a future that is not awaited."""
     if not done.cancelled():
         done.exception()
--- a/kelpfront/agent/status.py
+++ b/kelpfront/agent/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of an agent and its tasks, as the API has it."""
+"""The status views of an agent and its tasks, which the agent's HTTP API returns to operators."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AgentView(msgspec.Struct, frozen=True, rename="camel"):
-    """One agent. Its fields, in camel case, are those of GET /v1/agent."""
+    """The view of one agent: the answer to GET /v1/agent, with the fields' names in camel case."""
 
     name: str
     kind: str
@@ -43,7 +43,7 @@
 
 
 class TaskView(msgspec.Struct, frozen=True, rename="camel"):
-    """One task that is not over. Its fields, in camel case, are those of GET /v1/tasks."""
+    """The view of one task that has not ended: an entry of GET /v1/tasks, with field names in camel case."""
 
     task: str
     attempt: int
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentProgress:
-    """What the service has counted: milliseconds to its start, states of adopted tasks, tasks orphaned."""
+    """Figures of the service: its startup time, adopted tasks by recovered state, and orphaned tasks."""
 
     ready_ms: float
     found_states: Mapping[str, int]
@@ -68,7 +68,7 @@
 
 
 class AgentStatus:
-    """Renders the views of one agent."""
+    """Creates the status views of one agent."""
 
     def __init__(
         self, config: AgentConfig, runtime: Runtime, server: MachineServer, usage: UsageMonitor
@@ -83,16 +83,16 @@
     def agent(self, progress: AgentProgress) -> AgentView:
         """Return the view of the agent."""
         node = self._node
-        its = self._config.agent
+        agent = self._config.agent
         state = self._context.state
         age_ms = self._context.now() - node.started_at
         orphans_after_ms = self._config.tasks.orphans
         phases = Counter(task.phase.value for task in node.tasks.values())
         return AgentView(
-            name=its.name,
-            kind=its.kind,
-            rack=its.rack,
-            zone=its.room,
+            name=agent.name,
+            kind=agent.kind,
+            rack=agent.rack,
+            zone=agent.room,
             pid=os.getpid(),
             boot=node.boot,
             state="draining" if node.draining else "ready",
@@ -111,7 +111,7 @@
         )
 
     def tasks(self) -> list[TaskView]:
-        """Return the views of all tasks that are not over."""
+        """Return the views of all tasks that have not ended."""
         return [self._task(uid, active) for uid, active in self._node.tasks.items()]
 
     def _task(self, uid: str, active: ActiveTask) -> TaskView:
--- a/kelpfront/agent/stop_records.py
+++ b/kelpfront/agent/stop_records.py
@@ -1,6 +1,6 @@
-"""Carries stops to supervisors: writes the stop into the task's folder, then signals its supervisor.
+"""Passes stop requests to supervisors: writes the stop record to the task's folder, then sends a signal.
 
-Whether a task is to stop is decided by the node; the signals to its processes are the supervisor's.
+The node decides which tasks stop; the supervisor signals the task's processes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
         self._context = context
 
     def write(self, run: TaskRun) -> None:
-        """Write a run's stop before this returns; where the disk prevents that it is retried."""
+        """Write a run's stop record before returning; if the disk prevents that, retry in the background."""
         command = run.record.request.offer.run
         grace_ms = 0.0 if command is None else command.grace_ms
         assert run.stop_cause is not None
@@ -34,7 +34,7 @@
         try:
             task_folder.write_once(run.folder, task_folder.STOP, record)
         except OSError as error:
-            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                 "stop not recorded", task=run.task, error=str(error), retry_s=RETRY_INTERVAL_S
             )
             self._context.background.spawn(self._retry(run))
@@ -46,5 +46,5 @@
 
     async def _retry(self, run: TaskRun) -> None:
         await asyncio.sleep(RETRY_INTERVAL_S)
-        if not run.over:
+        if not run.ended:
             self.write(run)
--- a/kelpfront/agent/supervised_processes.py
+++ b/kelpfront/agent/supervised_processes.py
@@ -1,8 +1,9 @@
-"""The processes of one task, as its supervisor sees, signals and reaps them. Standard library only.
+"""The processes of one task, which its supervisor finds, signals and reaps. Standard library only.
 
-A supervisor that started its task is the reaper of all that the task leaves behind. The children of one that
-died went to the host's init process: a supervisor that replaces it knows them by the session of the first
-process, and by the tree below that process while it runs. When to signal is left to `supervisor`.
+A supervisor that started its task is the subreaper of the task's orphaned processes. When it dies, its
+children are reparented to the host's init process: a replacement supervisor finds them by the session of the
+first process, and by the process tree below the first process while that runs. `supervisor` decides when to
+signal.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 
 class SupervisedProcesses:
-    """The first process of a task and all that came of it.
+    """The first process of a task and its descendants.
 
     Attributes:
-        first_ended: whether the first process has ended, with which the task is over.
-        exit_status: of the first process, as waitpid(2) gives it; None where it is not known.
-        pidfd: a descriptor of a first process that is not this supervisor's child; it turns readable when
-            that ends.
+        first_ended: whether the first process has ended, which ends the task.
+        exit_status: the first process's status from waitpid(2), or None if it is not known.
+        pidfd: a pidfd of the first process if that is not this supervisor's child; it becomes readable when
+            the process ends.
     """
 
     def __init__(self, first: ProcessIdentity) -> None:
@@ -32,7 +33,7 @@
 
     @classmethod
     def of_replaced_supervisor(cls, first: ProcessIdentity, boot_id: str) -> SupervisedProcesses:
-        """Return the processes of a supervisor that died."""
+        """Return the processes of a task whose earlier supervisor died."""
         processes = cls(first)
         processes._are_children = False
         processes.pidfd = open_pidfd(first, boot_id)
@@ -40,7 +41,7 @@
         return processes
 
     def reap(self) -> bool:
-        """Wait for processes that have ended; return whether any of the task's are left."""
+        """Reap processes that have ended; return whether any process of the task is left."""
         if not self._are_children:
             return not self.first_ended or bool(find_descendants(None, self._session()))
         while True:
@@ -57,7 +58,8 @@
     def signal_first(self, number: int) -> None:
         """Signal the process group of the first process.
 
-        That was not waited for, so that its id is not reused.
+        Call this only while `first_ended` is False: the process was not reaped then, so its pid cannot have
+        been reused.
         """
         with contextlib.suppress(ProcessLookupError, PermissionError):
             os.killpg(self._first.pid, number)
@@ -73,13 +75,13 @@
                     os.kill(pid, number)
 
     def _root(self) -> int | None:
-        """Return the process below which all others are; None where only their session tells."""
+        """Return the pid of the common ancestor, or None if the processes are found only by session."""
         if self._are_children:
             return os.getpid()
         return None if self.first_ended else self._first.pid
 
     def _session(self) -> frozenset[int]:
-        """Return the session that the first process leads, unless its pid is another process's by now."""
+        """Return the session of the first process; empty if its pid was reused by another process."""
         stat = read_stat(self._first.pid)
         is_reused = stat is not None and stat.start_ticks != self._first.start_ticks
         return frozenset() if is_reused else frozenset({self._first.pid})
--- a/kelpfront/agent/supervision.py
+++ b/kelpfront/agent/supervision.py
@@ -1,7 +1,7 @@
-"""Follows the supervisors of tasks, and finds out what became of a task whose supervisor has ended.
+"""Monitors the supervisors of tasks, and determines the outcome of a task whose supervisor has ended.
 
-A supervisor's end is seen at once by a descriptor of its process. What it means is classified by `recovery`;
-the node is told by `task_completion`.
+A pidfd shows the end of a supervisor immediately. `recovery` classifies the task then, and `task_completion`
+reports to the node.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 
 log = structlog.get_logger("kelpfront.agent")
 
-RETRY_INTERVAL_S = 0.5  # between attempts at what a full disk or a lack of processes prevents
+RETRY_INTERVAL_S = 0.5  # between retries of operations that fail for lack of disk space or processes
 
 
 class Supervision:
-    """Of the runs of one node."""
+    """Monitors the supervisors of one node's runs."""
 
     def __init__(self, context: RuntimeContext, completion: TaskCompletion) -> None:
         self._context = context
@@ -33,19 +33,19 @@
         self._closed = False
 
     def close(self) -> None:
-        """Begin nothing more."""
+        """Stop resolving outcomes and replacing supervisors."""
         self._closed = True
 
     async def watch_forked(self, run: TaskRun, forked: ForkedSupervisor) -> None:
-        """Follow a supervisor that the fork server has made."""
+        """Monitor a supervisor that the fork server has forked."""
         await self.watch(run, ProcessIdentity(forked.pid, forked.start_ticks, self._context.boot_id))
 
     async def watch(self, run: TaskRun, supervisor: ProcessIdentity) -> None:
-        """Follow a supervisor until its end."""
+        """Monitor a supervisor until it ends."""
         run.supervisor = supervisor
         pidfd = open_pidfd(supervisor, self._context.boot_id)
         if pidfd is None:
-            await self.settle(run)
+            await self.resolve_outcome(run)
             return
         run.pidfd = pidfd
         asyncio.get_running_loop().add_reader(pidfd, self._on_supervisor_ended, run)
@@ -57,11 +57,11 @@
     def _on_supervisor_ended(self, run: TaskRun) -> None:
         stop_watching(run)
         self._context.checkpoint("exit-seen")
-        self._context.background.spawn(self.settle(run))
+        self._context.background.spawn(self.resolve_outcome(run))
 
     def check_running(self, run: TaskRun) -> None:
-        """Read a task's folder for whether it runs: the supervisor's notice may be lost."""
-        if run.over or run.running:
+        """Check in a task's folder whether it runs, since the supervisor's notice may be lost."""
+        if run.ended or run.running:
             return
         if self._inspect(run).evidence.running:
             self._completion.report_running(run)
@@ -69,27 +69,27 @@
     def _inspect(self, run: TaskRun) -> FolderInspection:
         return inspect_folder(run.folder, self._context.boot_id, run.record.boot_id)
 
-    async def settle(self, run: TaskRun) -> None:
-        """Find out what became of a task whose supervisor is not followed, and go on from that.
+    async def resolve_outcome(self, run: TaskRun) -> None:
+        """Classify a task whose supervisor is not monitored, and act on its state.
 
-        Cancelled while it waits it leaves the folder as it is, which the next agent classifies again.
+        If this is cancelled while it waits, the folder is unchanged, and the next agent classifies it again.
         """
-        while not (run.over or self._closed):
+        while not (run.ended or self._closed):
             inspection = self._inspect(run)
             state = classify(inspection.evidence)
             if state is RecoveredState.UNCLAIMED:
                 if self._void_start(run):
-                    continue  # whoever has the claim now decides
+                    continue  # the claim is written now: classify again by its content
             elif state is RecoveredState.UNSUPERVISED:
                 if await self._replace_supervisor(run):
                     return
             else:
-                await self._act_on(run, inspection, state)
+                await self._apply_state(run, inspection, state)
                 return
             await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _act_on(self, run: TaskRun, inspection: FolderInspection, state: RecoveredState) -> None:
-        """Report a task that is over, or follow the supervisor of one that goes on."""
+    async def _apply_state(self, run: TaskRun, inspection: FolderInspection, state: RecoveredState) -> None:
+        """Report a task that has ended, or monitor the supervisor of one that has not."""
         match state:
             case RecoveredState.NOT_EXECUTED:
                 reason = "" if inspection.exit is None else inspection.exit.error
@@ -105,27 +105,27 @@
                     await self.watch(run, inspection.supervisor)
 
     def _void_start(self, run: TaskRun) -> bool:
-        """Void a start that nobody has claimed; return whether its claim is written, by whomever."""
+        """Void an unclaimed start; return whether a claim exists now, by this agent or by a supervisor."""
         try:
             void_start(run.folder)
         except OSError as error:
-            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                 "start not voided", task=run.task, error=str(error), retry_s=RETRY_INTERVAL_S
             )
             return False
         return True
 
     async def _replace_supervisor(self, run: TaskRun) -> bool:
-        """Have another supervisor take the place of one that died; return whether one is followed now."""
+        """Replace a supervisor that died; return whether a replacement was forked and is monitored."""
         self._completion.report_running(run)
         log.warning("supervisor died", task=run.task, replacements=run.replacements)
         if run.replacements:
-            await asyncio.sleep(RETRY_INTERVAL_S)  # whatever ends them must not make this a busy loop
+            await asyncio.sleep(RETRY_INTERVAL_S)  # no busy loop if supervisors keep dying
         run.replacements += 1
         try:
             forked = await self._context.forkserver.replace_supervisor(run.folder)
         except ForkServerError as error:
-            log.error(  # noqa: TRY400 - a foreseen failure, told without a traceback
+            log.error(  # noqa: TRY400 - an expected failure, logged without a traceback
                 "supervisor not replaced", task=run.task, error=str(error), retry_s=RETRY_INTERVAL_S
             )
             return False
--- a/kelpfront/agent/supervisor.py
+++ b/kelpfront/agent/supervisor.py
@@ -1,9 +1,9 @@
-"""The supervisor of one task: starts its process, reads its output, stops it on request, records its end.
+"""The supervisor of one task: starts its process, reads its output, stops it on request, records its exit.
 
-It is a process of its own, forked by the `forkserver`, and outlives the agent. There is one for each task, so
-it uses the standard library only, and few modules. A task is over when its first process has ended; what is
-left of its processes then is stopped as well. Which task may run is decided by the agent, and what the
-records mean for a later agent by `recovery`.
+A supervisor is a separate process that the `forkserver` forks and that outlives the agent. There is one per
+task, so it imports the standard library and few modules only, to save memory. A task ends when its first
+process has ended; its remaining processes are then stopped as well. The agent decides which tasks run, and
+`recovery` interprets the records for a later agent.
 """
 
 from __future__ import annotations
@@ -35,19 +35,19 @@
     supervisor_claim,
 )
 
-NOTICE_SOCKET = "agent.sock"  # in the agent's state folder, which is a supervisor's working directory
+NOTICE_SOCKET = "agent.sock"  # relative to the agent's state folder, the supervisors' working directory
 RUNNING_NOTICE = "running"
 EXIT_NOTICE = "exit"
 PR_SET_CHILD_SUBREAPER = 36  # prctl(2)
-READ_BYTES = 65_536  # what a FIFO holds at most by default, pipe(7)
-KILL_INTERVAL_S = 0.05  # between SIGKILLs to the processes that are left, which may fork meanwhile
+READ_BYTES = 65_536  # the default capacity of a FIFO, pipe(7)
+KILL_INTERVAL_S = 0.05  # between rounds of SIGKILL: the remaining processes may fork in between
 WRITE_RETRY_S = 0.5  # between attempts to record an exit on a full disk
-NOTICE_TIMEOUT_S = 1.0  # an agent that does not read its socket must not stop a supervisor
-SIGNALLED_CODE_BASE = 128  # an exit code over it is 128 and the number of the signal, as shells have it
+NOTICE_TIMEOUT_S = 1.0  # bounds how long an agent that does not read its socket can block a supervisor
+SIGNALLED_CODE_BASE = 128  # a process ended by a signal has exit code 128 + signal number, as in shells
 
 
 class Supervisor:
-    """The supervisor of one folder: `start` or `replace`, then `run` until the task is over."""
+    """The supervisor of one folder: call `start` or `replace`, then `run`, which returns at the end."""
 
     def __init__(self, folder: Path, boot_id: str) -> None:
         self._folder = folder
@@ -57,16 +57,16 @@
         self._log = RotatedOutput(
             folder / task_folder.OUTPUT_FILE, self._spec.output_bytes, self._spec.output_files
         )
-        self._output: int | None = None  # where the task's output is read
+        self._output: int | None = None  # the descriptor from which the task's output is read
         self._processes: SupervisedProcesses | None = None
         self._stop_begun = False
-        self._kill_at_s: float | None = None  # on the monotonic clock: when SIGKILL is due
+        self._kill_at_s: float | None = None  # when SIGKILL is due, on the monotonic clock
         self._wakeup = SignalWakeup()
 
-    # ---- Beginnings -----------------------------------------------------------------------------------
+    # ---- Start and replacement ------------------------------------------------------------------------
 
     def start(self) -> bool:
-        """Claim and start the task; return False where there is nothing to run."""
+        """Claim and start the task; return False if there is nothing to run."""
         claim = supervisor_claim(self._own_identity())
         if not task_folder.write_once(self._folder, task_folder.CLAIM, claim):
             return False  # an agent has voided the start
@@ -76,7 +76,7 @@
         _become_subreaper()
         command = self._spec.command
         if command is None:
-            raise ValueError(f"{self._folder}: the task's record names no command")
+            raise ValueError(f"{self._folder}: the task record has no command")
         return self._launch(command)
 
     def _launch(self, command: CommandRecord) -> bool:
@@ -95,7 +95,7 @@
         return True
 
     def replace(self) -> bool:
-        """Take the place of a supervisor that died; return False where there is nothing to supervise."""
+        """Replace a supervisor that died; return False if there is nothing to supervise."""
         last = task_folder.last_replacement(self._folder)
         name = task_folder.replacement_name(last.number + 1)
         if not task_folder.write_once(self._folder, name, self._own_identity().to_record()):
@@ -114,7 +114,7 @@
         assert identity is not None
         return identity
 
-    # ---- While it runs --------------------------------------------------------------------------------
+    # ---- Event loop -----------------------------------------------------------------------------------
 
     def run(self) -> None:
         """Supervise the task until all of its processes have ended, and record its exit."""
@@ -126,10 +126,10 @@
                 poll.register(descriptor, select.POLLIN)
         while True:
             self._check_stop(processes)
-            any_left = processes.reap()
-            if processes.first_ended and not any_left:
+            any_process_left = processes.reap()
+            if processes.first_ended and not any_process_left:
                 break
-            self._signal_due(processes)
+            self._send_due_signals(processes)
             for descriptor, event in poll.poll(self._poll_timeout_ms()):
                 if not self._on_readable(processes, descriptor, event):
                     poll.unregister(descriptor)
@@ -137,7 +137,7 @@
         self._record_exit(self._exit_record(processes.exit_status))
 
     def _check_stop(self, processes: SupervisedProcesses) -> None:
-        """Begin to stop the task once its folder or the host's shutdown asks for it."""
+        """Begin to stop the task if there is a stop record, or if the host is shutting down."""
         if self._stop_begun:
             return
         record = task_folder.read_record(self._folder, task_folder.STOP)
@@ -152,8 +152,8 @@
             processes.signal_first(signal.SIGTERM)
             self._kill_at_s = time.monotonic() + self._grace_s
 
-    def _signal_due(self, processes: SupervisedProcesses) -> None:
-        """Send the signals that are due: SIGTERM to what the first process left, SIGKILL after the grace."""
+    def _send_due_signals(self, processes: SupervisedProcesses) -> None:
+        """Send due signals: SIGTERM once the first process has ended, SIGKILL after the grace period."""
         if processes.first_ended and self._kill_at_s is None:
             processes.signal_all(signal.SIGTERM)
             self._kill_at_s = time.monotonic() + self._grace_s
@@ -164,10 +164,10 @@
     def _poll_timeout_ms(self) -> float | None:
         if self._kill_at_s is None:
             return None
-        return max(0.0, self._kill_at_s - time.monotonic()) * 1000.0 + 1.0  # rounded up: never a busy loop
+        return max(0.0, self._kill_at_s - time.monotonic()) * 1000.0 + 1.0  # rounded up: no busy loop
 
     def _on_readable(self, processes: SupervisedProcesses, descriptor: int, event: int) -> bool:
-        """Handle an event of a descriptor; return whether it is to be polled again."""
+        """Handle an event of a descriptor; return whether to keep polling the descriptor."""
         if descriptor == self._wakeup.descriptor:
             self._wakeup.clear()
             return True
@@ -177,7 +177,7 @@
         return False
 
     def _read_output(self, descriptor: int, event: int) -> bool:
-        """Read some output; return False once all who can write have closed it."""
+        """Read available output; return False once all writers have closed the FIFO."""
         try:
             data = os.read(descriptor, READ_BYTES)
         except BlockingIOError:
@@ -185,10 +185,10 @@
         self._log.write(data)
         return bool(data)
 
-    # ---- The end --------------------------------------------------------------------------------------
+    # ---- Exit -----------------------------------------------------------------------------------------
 
     def _drain_output(self) -> None:
-        """Read what is still in the FIFO."""
+        """Read the remaining output from the FIFO."""
         if self._output is None:
             return
         while True:
@@ -218,7 +218,7 @@
         self._record_exit(ExitRecord(ran=False, at=time.time(), error=reason))
 
     def _record_exit(self, record: ExitRecord) -> None:
-        """Record an exit, retrying until it is written: nothing is lost as long as this process runs."""
+        """Record an exit, retrying until it is written, so that it is not lost while this process runs."""
         while True:
             try:
                 task_folder.write_once(self._folder, task_folder.EXIT, record.to_record())
@@ -230,28 +230,28 @@
         self._notify(EXIT_NOTICE)
 
     def _notify(self, event: str) -> None:
-        """Send the agent a notice, which may be lost: the agent also checks by itself."""
+        """Send the agent a notice. It may be lost: the agent also checks the folder periodically."""
         with contextlib.suppress(OSError), socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM) as notices:
             notices.settimeout(NOTICE_TIMEOUT_S)
             notices.sendto(f"{event} {self._folder.name}".encode(), NOTICE_SOCKET)
 
 
 def request_stop_check(pidfd: int) -> bool:
-    """Have a supervisor check its folder for a stop record; return False where it has ended."""
+    """Signal a supervisor to check its folder for a stop record; return False if it has ended."""
     return send_signal(pidfd, signal.SIGUSR1)
 
 
 def _become_subreaper() -> None:
-    """Become the parent of the task's orphaned processes; without it those that fork away would be lost."""
+    """Become the parent of the task's orphaned processes, which otherwise could not be found or reaped."""
     libc = ctypes.CDLL(None, use_errno=True)
     if libc.prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0) != 0:
         raise OSError(ctypes.get_errno(), "prctl(PR_SET_CHILD_SUBREAPER)")
 
 
 def supervise(folder: Path, boot_id: str, *, replaces: bool) -> None:
-    """Run a supervisor from its start to its end; the traceback of a failure is left in the folder.
+    """Run a supervisor until its task has ended; if it fails, write the traceback to the folder.
 
-    `replaces` is whether it takes the place of one that died.
+    `replaces` is whether it replaces a supervisor that died.
     """
     try:
         supervisor = Supervisor(folder, boot_id)
--- a/kelpfront/agent/task_completion.py
+++ b/kelpfront/agent/task_completion.py
@@ -1,6 +1,6 @@
-"""Tells the node that tasks run or are over, and puts their ends on record.
+"""Notifies the node that tasks run or have ended, and records their ends in the agent's state.
 
-How it is found out that a task is over is left to `supervision`.
+`supervision` detects that a task has ended.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class TaskCompletion:
-    """Reports the progress of runs; each report is made once."""
+    """Reports the progress of runs to the node, each report once."""
 
     def __init__(self, context: RuntimeContext, runs: RunTable, ended_folders: EndedFolders) -> None:
         self._context = context
@@ -32,8 +32,8 @@
         self._ended_folders = ended_folders
 
     def report_running(self, run: TaskRun) -> None:
-        """Tell the node that a task runs, unless it knows."""
-        if run.running or run.over:
+        """Notify the node that a task runs, unless it was notified before."""
+        if run.running or run.ended:
             return
         run.running = True
         self._context.node.started(self._context.now(), run.task)
@@ -41,10 +41,10 @@
         self._context.on_change()
 
     def report_not_executed(self, run: TaskRun, reason: str, *, has_record: bool = True) -> None:
-        """Tell the node that a task never ran; `has_record` is whether its intent is in the state."""
-        if run.over:
+        """Notify the node that a task never ran; `has_record` is whether its intent is in the state."""
+        if run.ended:
             return
-        run.over = True
+        run.ended = True
         stop_watching(run)
         self._context.node.start_failed(self._context.now(), run.task, reason)
         log.info("task not started", task=run.task, reason=reason)
@@ -52,25 +52,25 @@
         self._record_end(run, end, has_record=has_record)
 
     def report_ended(self, run: TaskRun, inspection: FolderInspection, *, program_loaded: bool) -> None:
-        """Tell the node that a task is over.
+        """Notify the node that a task has ended.
 
-        Where its program is not known to have been loaded its offer is answered with an error: it may have
-        run.
+        If it is not known that the program was loaded (`program_loaded` is False), the node answers the offer
+        with an error, because the task may have run.
         """
-        if run.over:
+        if run.ended:
             return
-        run.over = True
+        run.ended = True
         stop_watching(run)
         now = self._context.now()
         node = self._context.node
-        ending = inspection.exit or UNKNOWN_EXIT
-        if program_loaded and not run.running:  # it ended before the notice that it runs
+        exited = inspection.exit or UNKNOWN_EXIT
+        if program_loaded and not run.running:  # it ended before its start was reported
             node.started(now, run.task)
-        node.exited(now, run.task, ending.code, ending.cpu_s, ending.error)
+        node.exited(now, run.task, exited.code, exited.cpu_s, exited.error)
         self._context.checkpoint("exit-told")
         cause = self._reported_cause(run)
-        log.info("task ended", task=run.task, cause=cause, exit_code=ending.code)
-        end = TaskEnd(cause, ran=True, exit_code=ending.code, cpu_s=ending.cpu_s, message=ending.error)
+        log.info("task ended", task=run.task, cause=cause, exit_code=exited.code)
+        end = TaskEnd(cause, ran=True, exit_code=exited.code, cpu_s=exited.cpu_s, message=exited.error)
         self._record_end(run, end, has_record=True)
 
     def _reported_cause(self, run: TaskRun) -> GoneCause:
@@ -81,7 +81,7 @@
         return ended.report.cause
 
     def _record_end(self, run: TaskRun, end: TaskEnd, *, has_record: bool) -> None:
-        """Put an end on record, and let the node's reports of it go out."""
+        """Record a task's end, and trigger the sending of the node's reports."""
         self._runs.remove(run)
         ended = self._context.node.ended(run.task)
         run.record.end = end
@@ -94,7 +94,7 @@
 
 
 def stop_watching(run: TaskRun) -> None:
-    """Close the descriptor of a run's supervisor."""
+    """Stop monitoring a run's supervisor, and close its pidfd."""
     if run.pidfd != NO_PIDFD:
         asyncio.get_running_loop().remove_reader(run.pidfd)
         os.close(run.pidfd)
--- a/kelpfront/agent/task_folder.py
+++ b/kelpfront/agent/task_folder.py
@@ -1,22 +1,23 @@
-"""The folder of one attempt of a task: what the agent, the task's supervisor and later agents exchange.
+"""The folder of one attempt of a task: the records exchanged by agent, supervisor and later agents.
 
-Each record is a small JSON file that is written beside its place and then linked into it: it appears
-complete, once, and never changes. Of two who write the same record one succeeds and the other sees it. This
-decides the one race that matters: a start belongs to whoever writes `claim` first, which is the supervisor
-that is about to start the process, or an agent that finds it not started and voids it.
+Each record is a small JSON file that is written under a temporary name and then hard-linked to its final
+name: it appears atomically, once, and never changes. Of two concurrent writers of the same record, one
+succeeds, and the other finds that the record exists. This resolves the one critical race: a start belongs to
+the first writer of `claim`, which is either the supervisor that is about to start the process, or an agent
+that voids a start which was not begun.
 
-Nothing here is forced to disk. The records must outlast processes and not the host: what must survive a power
-failure is the agent's state, and after a boot no process of before runs. Standard library only.
+The files are not synced to disk. The records must survive processes, not the host: the agent's state is what
+must survive a power failure, and after a reboot no earlier process runs. Standard library only.
 
-- `task`     by the agent: the offer with its placer, and what to run
+- `task`     by the agent: the offer with its placer, and the command
 - `claim`    by the supervisor, or by an agent that voids the start
-- `started`  by the supervisor, before the process may run: its identity
+- `started`  by the supervisor, before the process may run: the identity of the process
 - `running`  by the supervisor: the program is loaded
-- `stop`     by the agent: why, and how long the process has
-- `watch-N`  by the N-th supervisor that replaced one that had died
-- `exit`     by the supervisor: how it ended
+- `stop`     by the agent: the cause, and the grace period
+- `watch-N`  by the N-th replacement of a supervisor that died: its identity
+- `exit`     by the supervisor: how the task ended
 
-The meaning of the records is left to `task_records`.
+`task_records` defines the content of the records.
 """
 
 from __future__ import annotations
@@ -40,26 +41,26 @@
 WORK_FOLDER = "work"
 ERROR_FILE = "supervisor.err"
 MAX_REPLACEMENTS = (
-    1_000  # supervisors of one task that may die and be replaced; bounds the search for the last
+    1_000  # replacements of one task's supervisor; bounds the search for the last replacement record
 )
-MAX_ATTEMPT = 999_999  # bounds the length of a folder's name
+MAX_ATTEMPT = 999_999  # bounds the length of a folder name
 
 _SAFE_FILE_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,199}")
 
 
 class UnreadableRecordError(ValueError):
-    """A record exists and cannot be read."""
+    """A record exists but cannot be read or decoded."""
 
 
 class SupervisorReplacement(NamedTuple):
-    """The number of the last supervisor that replaced one, and its record; 0 and None where none did."""
+    """The last replacement of a supervisor: its number and record, or 0 and None if there was none."""
 
     number: int
     record: Record | None
 
 
 def folder_name(task: str, attempt: int) -> str:
-    """Return the name of one attempt's folder; raises ValueError where the uid is unfit for a file's name."""
+    """Return the name of one attempt's folder. Raises ValueError if the uid is not a safe file name."""
     if not _SAFE_FILE_NAME.fullmatch(task) or not 0 <= attempt <= MAX_ATTEMPT:
         raise ValueError(f"{task!r}, attempt {attempt}: not a task's uid and number")
     return f"{task}@{attempt}"
@@ -80,7 +81,7 @@
 
 
 def read_record(folder: Path, name: str) -> Record | None:
-    """Return a record; None where it does not exist. Raises UnreadableRecordError where it is damaged."""
+    """Return a record, or None if it does not exist. Raises UnreadableRecordError if it is damaged."""
     path = folder / f"{name}.json"
     try:
         record = json.loads(path.read_bytes())
@@ -89,20 +90,20 @@
     except (OSError, ValueError) as error:
         raise UnreadableRecordError(f"{path}: {error}") from error
     if not isinstance(record, dict):
-        raise UnreadableRecordError(f"{path}: is not an object")
+        raise UnreadableRecordError(f"{path}: expected a JSON object")
     return record
 
 
 def trash_folder(tasks_folder: Path) -> Path:
-    """Return where folders are moved before their removal.
+    """Return the folder into which task folders are moved before they are removed.
 
-    A folder of which half is removed would be read as something else than the complete one.
+    Removed in place, a partially removed folder could be misread as a task in another state.
     """
     return tasks_folder.with_name("trash")
 
 
 def replacement_name(number: int) -> str:
-    """Return the name of the record of the N-th replacement of a supervisor; the first has the number 1."""
+    """Return the name of the record of a supervisor's N-th replacement; the first has the number 1."""
     return f"watch-{number}"
 
 
--- a/kelpfront/agent/task_launcher.py
+++ b/kelpfront/agent/task_launcher.py
@@ -1,8 +1,8 @@
-"""Starts tasks, in the order that makes a start safe whenever the agent dies.
+"""Starts tasks, with steps in an order that allows the agent to die at any point.
 
-The intent is durable before anything is made; the folder is there before a supervisor is asked for; the
-supervisor claims the start before it forks; the process is on record before it may run. An agent that dies
-in between leaves one of these, and `recovery` knows which.
+The intent is durable before the folder is created; the folder exists before a supervisor is requested; the
+supervisor claims the start before it forks; the process is recorded before its program may run. After a crash
+between two steps, `recovery` determines from the evidence which steps were completed.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 log = structlog.get_logger("kelpfront.agent")
 
-DEFAULT_PATH = "/usr/local/bin:/usr/bin:/bin"  # of tasks whose job names none
+DEFAULT_PATH = "/usr/local/bin:/usr/bin:/bin"  # for tasks whose job does not set PATH
 DEFAULT_HOME = "/"
 DEFAULT_LANG = "C.UTF-8"
 
@@ -44,10 +44,10 @@
         self._stops = stops
 
     async def launch(self, run: TaskRun) -> None:
-        """Start a task and follow its supervisor.
+        """Start a task and monitor its supervisor.
 
-        Cancelled at any of its waits it leaves what the next agent classifies: an intent without a folder, a
-        folder without a claim, or a supervisor that nobody follows.
+        If this is cancelled, it leaves an intent without a folder, a folder without a claim, or a supervisor
+        that is not monitored: the next agent classifies and handles each of these.
         """
         self._context.checkpoint("intent")
         if not await self._record_intent(run) or not self._make_folder(run):
@@ -56,13 +56,13 @@
             forked = await self._context.forkserver.start_supervisor(run.folder)
         except ForkServerError as error:
             log.warning("start not confirmed", task=run.task, error=str(error))
-            await self._supervision.settle(run)
+            await self._supervision.resolve_outcome(run)
             return
         self._context.checkpoint("spawned")
         await self._supervision.watch_forked(run, forked)
 
     async def _record_intent(self, run: TaskRun) -> bool:
-        """Make the intent durable; return whether the task is still to be started."""
+        """Make the intent durable; return whether the task should still be started."""
         try:
             await self._context.state.record_intent(run.record)
         except StateError as error:
@@ -75,7 +75,7 @@
         return True
 
     def _make_folder(self, run: TaskRun) -> bool:
-        """Make the task's folder with its record; return whether that worked."""
+        """Create the task's folder with its record; return whether that succeeded."""
         try:
             run.folder.mkdir(parents=True)
             task_folder.write_once(run.folder, task_folder.TASK, self._task_record(run))
@@ -95,7 +95,7 @@
         )
 
     def _environment(self, run: TaskRun) -> dict[str, str]:
-        """Return the environment of a task: defaults, what its job says, and what tells it who it is."""
+        """Return the environment of a task: defaults, the job's variables, and variables that identify it."""
         offer = run.record.request.offer
         assert offer.run is not None
         return {
--- a/kelpfront/agent/task_output.py
+++ b/kelpfront/agent/task_output.py
@@ -1,4 +1,4 @@
-"""Reads a task's output from its files, which its supervisor writes and rotates meanwhile."""
+"""Reads a task's output from its files, which its supervisor may write and rotate at the same time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def read_output(folder: Path, max_bytes: int) -> bytes:
-    """Return the last bytes of a task's output, over its rotated files."""
+    """Return the last `max_bytes` bytes of a task's output, across its rotated files."""
     parts: list[bytes] = []
     remaining = max_bytes
     for path in _newest_first(folder):
@@ -16,7 +16,7 @@
             break
         try:
             part = _read_end(path, remaining)
-        except OSError:  # rotated away meanwhile
+        except OSError:  # a concurrent rotation has removed the file
             continue
         parts.append(part)
         remaining -= len(part)
--- a/kelpfront/agent/task_records.py
+++ b/kelpfront/agent/task_records.py
@@ -1,7 +1,7 @@
 """The records of a task folder as typed values, and their JSON forms. Standard library only.
 
-Records of older agents and of their supervisors, which still run, must be readable: the keys do not change,
-and a field that is missing has a default. Reading and writing the files is left to `task_folder`.
+Records of older agents, and of their supervisors that still run, must stay readable: keys never change, and a
+missing field has a default. `task_folder` reads and writes the files.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from kelpfront.agent.process import ProcessIdentity
 from kelpfront.agent.task_folder import Record
 
-MAX_GRACE_S = 3_600.0  # bounds how long a task that is being stopped holds its machine's capacity
+MAX_GRACE_S = 3_600.0  # bounds how long a stopping task holds its machine's capacity
 DEFAULT_GRACE_MS = 10_000.0
 DEFAULT_OUTPUT_BYTES = 1 << 20
 DEFAULT_OUTPUT_FILES = 1
@@ -23,12 +23,12 @@
 
 
 def supervisor_claim(supervisor: ProcessIdentity) -> Record:
-    """Return the claim of a start by the supervisor that is about to start the process."""
+    """Return the claim record of a supervisor that is about to start the process."""
     return {"by": BY_SUPERVISOR, **supervisor.to_record()}
 
 
 def agent_claim() -> Record:
-    """Return the claim by which an agent voids a start."""
+    """Return the claim record with which an agent voids a start."""
     return {"by": BY_AGENT}
 
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandRecord:
-    """The command of a task; an empty `workdir` is the folder of the task's own."""
+    """The command of a task; an empty `workdir` means a work folder inside the task's folder."""
 
     argv: list[str]
     workdir: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSpec:
-    """What a supervisor reads of a task's record; `command` is None where the record names none."""
+    """The part of a task's record that its supervisor uses; `command` is None if the record has none."""
 
     command: CommandRecord | None
     grace_s: float
@@ -57,7 +57,7 @@
 
     @classmethod
     def from_record(cls, record: Record) -> TaskSpec:
-        """Read a task's record, which may be empty."""
+        """Decode a task's record, which may be empty."""
         run: dict[str, Any] = record.get("run") or {}
         command = None
         if "argv" in run and "env" in record:
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRecord:
-    """Why a task is to stop, and the milliseconds that it has from SIGTERM to SIGKILL."""
+    """The cause of a requested stop, and the grace period from SIGTERM to SIGKILL in milliseconds."""
 
     cause: str
     grace_ms: float | None
@@ -83,15 +83,15 @@
 
     @classmethod
     def from_record(cls, record: Record) -> StopRecord:
-        """Read the stored form."""
+        """Decode the stored form."""
         return cls(record.get("cause", DEFAULT_STOP_CAUSE), record.get("grace_ms"))
 
 
 @dataclass(frozen=True, slots=True)
 class ExitRecord:
-    """How a task ended; `ran` is False where its program was never loaded, `at` is a time of day in seconds.
+    """How a task ended; `ran` is False if its program was never loaded, `at` is a Unix time in seconds.
 
-    The exit code and the CPU time are None where they are not known.
+    The exit code and the CPU time are None if they are not known.
     """
 
     ran: bool
@@ -112,7 +112,7 @@
 
     @classmethod
     def from_record(cls, record: Record) -> ExitRecord:
-        """Read the stored form."""
+        """Decode the stored form."""
         return cls(
             bool(record.get("ran", True)),
             record.get("at"),
--- a/kelpfront/agent/task_run.py
+++ b/kelpfront/agent/task_run.py
@@ -1,6 +1,6 @@
-"""One attempt of a task on its way through its processes, and the table of all of them.
+"""The in-memory state of one attempt that runs as processes, and the table of all of them.
 
-Only data: who changes what is described by `runtime`.
+This module contains data only: the components that `runtime` combines change it.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 
 @dataclass(slots=True, eq=False)
 class TaskRun:
-    """One attempt that is not over, or has just ended.
+    """One attempt that has not ended, or has just ended.
 
     Attributes:
         record: its entry in the agent's state.
-        folder: where the agent and the supervisor exchange records.
-        stop_cause: why it is to stop, if it is.
-        folder_ready: whether its folder and task record are there.
-        running: whether its node was told that it runs.
-        over: whether its node was told that it is over.
+        folder: the folder where the agent and the supervisor exchange records.
+        stop_cause: the cause of the requested stop, or None if no stop was requested.
+        folder_ready: whether its folder and task record exist.
+        running: whether the node was notified that it runs.
+        ended: whether the node was notified that it has ended.
         supervisor: the last supervisor, if one is known.
-        pidfd: a descriptor of the supervisor, which turns readable when that ends.
-        replacements: how many supervisors were asked for in place of one that had died.
+        pidfd: a pidfd of the supervisor, which becomes readable when the supervisor ends.
+        replacements: how many replacements of a supervisor that died were requested.
     """
 
     record: TaskRecord
@@ -37,7 +37,7 @@
     stop_cause: GoneCause | None = None
     folder_ready: bool = False
     running: bool = False
-    over: bool = False
+    ended: bool = False
     supervisor: ProcessIdentity | None = None
     pidfd: int = NO_PIDFD
     replacements: int = 0
@@ -49,30 +49,30 @@
 
 
 class RunTable:
-    """The runs that are not over, by task and by the name of their folder."""
+    """The runs that have not ended, by task and by folder name."""
 
     def __init__(self) -> None:
         self._by_task: dict[str, TaskRun] = {}
         self._by_folder: dict[str, TaskRun] = {}
 
     def __iter__(self) -> Iterator[TaskRun]:
-        """Iterate over a copy: runs may be added and removed meanwhile."""
+        """Iterate over a copy, so that runs may be added and removed during the iteration."""
         return iter(list(self._by_task.values()))
 
     def add(self, run: TaskRun) -> None:
-        """Add a run in place of an earlier one of the same task."""
+        """Add a run; it replaces an earlier run of the same task."""
         self._by_task[run.task] = run
         self._by_folder[run.folder.name] = run
 
     def remove(self, run: TaskRun) -> None:
-        """Remove what the table has under the run's task and folder."""
+        """Remove the entries for the run's task and folder."""
         self._by_task.pop(run.task, None)
         self._by_folder.pop(run.folder.name, None)
 
     def get(self, task: str) -> TaskRun | None:
-        """Return the run of a task."""
+        """Return the run of a task, or None."""
         return self._by_task.get(task)
 
     def in_folder(self, name: str) -> TaskRun | None:
-        """Return the run whose folder has this name."""
+        """Return the run whose folder has this name, or None."""
         return self._by_folder.get(name)
--- a/kelpfront/agent/usage.py
+++ b/kelpfront/agent/usage.py
@@ -1,8 +1,9 @@
-"""Computes the use of cores and memory by task from samples of processes. Pure.
+"""Computes each task's use of cores and memory from samples of processes. Pure: no I/O.
 
-CPU time is a counter that only grows: a process's own, and that of the children that it has waited for.
-Summed over the running processes of a task and what its supervisor has waited for, each process that came and
-went is counted once, with the process that waited for it. Sampling is left to `usage_sampler`.
+A process has two monotonic CPU time counters: its own time, and that of the children that it has reaped. The
+CPU time of a task is the sum of both over its running processes, plus the time of the children that its
+supervisor has reaped. So each ended process is counted exactly once, in the counter of the process that
+reaped it. `usage_sampler` takes the samples.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-MAX_SAMPLING_SHARE = 0.02  # of the agent's time, whatever period is set: the host is there for the tasks
+MAX_SAMPLING_SHARE = 0.02  # of the agent's time, also if a shorter period is set: saves the host for tasks
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessSample:
-    """One process: CPU seconds of its own and of children that it waited for, and bytes of memory."""
+    """A sample of one process: its own CPU seconds, those of reaped children, and bytes of memory."""
 
     pid: int
     parent_pid: int
@@ -27,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSample:
-    """All processes of one task: CPU seconds, bytes of memory, and their number."""
+    """The sum over all processes of one task: CPU seconds, bytes of memory, and the number of processes."""
 
     cpu_s: float
     memory_bytes: float
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskUsage:
-    """Smoothed cores and bytes of memory in use, and CPU seconds in total; `at` in milliseconds."""
+    """Smoothed cores and bytes of memory in use, and total CPU seconds; `at` is in milliseconds."""
 
     cores: float
     memory_bytes: float
@@ -45,9 +46,9 @@
 
 
 def sum_by_task(samples: Iterable[ProcessSample], supervisors: Mapping[str, int]) -> dict[str, TaskSample]:
-    """Return for each task the sum over all processes below its supervisor, without the supervisor's own use.
+    """Return for each task the sum over all descendants of its supervisor, without the supervisor itself.
 
-    `supervisors` are pids by task. A task whose supervisor is not among the samples is left out.
+    `supervisors` maps tasks to pids. A task whose supervisor is not among the samples is omitted.
     """
     by_pid = {sample.pid: sample for sample in samples}
     children: dict[int, list[int]] = {}
@@ -82,49 +83,51 @@
 
 
 class UsageSmoother:
-    """Turns samples of one task into its use, by exponential smoothing with a time constant of `over_ms`."""
+    """Computes the smoothed use of one task from its samples, by exponential smoothing."""
 
-    def __init__(self, over_ms: float) -> None:
-        self._over_ms = over_ms
+    def __init__(self, time_constant_ms: float) -> None:
+        self._time_constant_ms = time_constant_ms
         self._last: TaskUsage | None = None
 
     @property
     def last(self) -> TaskUsage | None:
-        """The use after the last sample."""
+        """The use after the last sample, or None before the first."""
         return self._last
 
     def add(self, now: float, sample: TaskSample) -> TaskUsage:
-        """Return the use after a sample; `now` in milliseconds.
+        """Return the use after a sample; `now` is in milliseconds.
 
-        CPU time that seems to decrease is of a process that ended between two samples and was not waited for
-        yet; nothing is subtracted for it.
+        The sampled CPU time may decrease when a process has ended and was not reaped yet; the total CPU time
+        and the cores never count a negative difference.
         """
-        before = self._last
-        if before is None:
+        previous = self._last
+        if previous is None:
             usage = TaskUsage(0.0, sample.memory_bytes, sample.cpu_s, now)
-        elif now <= before.at:  # the clock stands or stepped back: no rate can be computed
-            usage = TaskUsage(before.cores, before.memory_bytes, max(before.cpu_s, sample.cpu_s), before.at)
+        elif now <= previous.at:  # the clock did not advance, or stepped back: no rate can be computed
+            usage = TaskUsage(
+                previous.cores, previous.memory_bytes, max(previous.cpu_s, sample.cpu_s), previous.at
+            )
         else:
-            usage = self._smooth(before, now, sample)
+            usage = self._smooth(previous, now, sample)
         self._last = usage
         return usage
 
-    def _smooth(self, before: TaskUsage, now: float, sample: TaskSample) -> TaskUsage:
-        elapsed_ms = now - before.at
-        cpu_s = max(before.cpu_s, sample.cpu_s)
-        cores = (cpu_s - before.cpu_s) * 1000.0 / elapsed_ms
-        weight = 1.0 if self._over_ms <= 0 else -math.expm1(-elapsed_ms / self._over_ms)
+    def _smooth(self, previous: TaskUsage, now: float, sample: TaskSample) -> TaskUsage:
+        elapsed_ms = now - previous.at
+        cpu_s = max(previous.cpu_s, sample.cpu_s)
+        cores = (cpu_s - previous.cpu_s) * 1000.0 / elapsed_ms
+        weight = 1.0 if self._time_constant_ms <= 0 else -math.expm1(-elapsed_ms / self._time_constant_ms)
         return TaskUsage(
-            before.cores + weight * (cores - before.cores),
-            before.memory_bytes + weight * (sample.memory_bytes - before.memory_bytes),
+            previous.cores + weight * (cores - previous.cores),
+            previous.memory_bytes + weight * (sample.memory_bytes - previous.memory_bytes),
             cpu_s,
             now,
         )
 
 
-def next_period_ms(set_period_ms: float, sampling_ms: float) -> float:
-    """Return the time until the next sample, given what the last took.
+def next_period_ms(configured_period_ms: float, sampling_ms: float) -> float:
+    """Return the time until the next sample, where `sampling_ms` is how long the last sample took.
 
-    It is longer than the period that is set where sampling would take too large a share of the time.
+    It is longer than the configured period if sampling would exceed `MAX_SAMPLING_SHARE`.
     """
-    return max(set_period_ms, sampling_ms / MAX_SAMPLING_SHARE)
+    return max(configured_period_ms, sampling_ms / MAX_SAMPLING_SHARE)
--- a/kelpfront/agent/usage_monitor.py
+++ b/kelpfront/agent/usage_monitor.py
@@ -1,6 +1,6 @@
-"""Samples what tasks use, periodically, and reports it to the node and to the tasks' placers.
+"""Periodically samples the resource use of tasks, and reports it to the node and to the tasks' placers.
 
-Sampling is done by `usage_sampler`, in a thread; what the samples amount to is computed by `usage`.
+`usage_sampler` takes the samples, in a thread; `usage` computes the use of each task from them.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
     """How use is sampled.
 
     Attributes:
-        memory_unit_bytes: the deployment's unit of memory, in which it is reported.
-        period_ms: between two samples, unless sampling costs too much.
+        memory_unit_bytes: the size of the deployment's unit of memory, in which use is reported.
+        period_ms: the time between two samples; it is extended if sampling takes too long.
         smoothing_ms: the time constant of the smoothing.
-        counts_other_programs: whether what other programs use counts as in use.
+        counts_other_programs: whether resources used by other programs count as in use.
     """
 
     memory_unit_bytes: int
@@ -41,7 +41,7 @@
 
 
 class SamplingFigures(msgspec.Struct, frozen=True, rename="camel"):
-    """What the sampling costs: the number of samples, and milliseconds."""
+    """The cost of sampling: the number of samples, the last and total duration, and the current period."""
 
     samples: int
     last_ms: float
@@ -50,7 +50,7 @@
 
 
 class UsageMonitor:
-    """Of one agent. `on_change` is called after the node was told something."""
+    """Monitors the use of one agent's tasks. `on_change` is called after the node was notified."""
 
     def __init__(
         self,
@@ -74,11 +74,11 @@
         self._spent_ms = 0.0
 
     async def run(self) -> None:
-        """Sample until cancelled, which may be at any wait: nothing is left half changed."""
+        """Sample until cancelled; cancellation at any await leaves a consistent state."""
         while True:
             try:
                 await self.sample()
-            except Exception:  # a sample that fails is no reason to end the agent
+            except Exception:  # a failed sample must not end the monitoring
                 self._last_ms = 0.0
                 log.exception("usage sampling failed")
             await asyncio.sleep(self._next_period_ms() / 1000.0)
@@ -89,7 +89,7 @@
     async def sample(self) -> None:
         """Sample all tasks once, and report what they use."""
         supervisors = {
-            run.task: run.supervisor.pid for run in self._runs if run.supervisor is not None and not run.over
+            run.task: run.supervisor.pid for run in self._runs if run.supervisor is not None and not run.ended
         }
         roots = frozenset(supervisors.values())
         sampled = await asyncio.to_thread(self._sampler.sample_processes, roots)
@@ -97,47 +97,49 @@
         self._last_ms = sampled.duration_ms
         self._samples += 1
         self._spent_ms += sampled.duration_ms
-        used = self._smooth(now, sum_by_task(sampled.samples, supervisors))
-        self._forget_ended()
+        usage_by_task = self._smooth(now, sum_by_task(sampled.samples, supervisors))
+        self._discard_ended()
         if self._settings.counts_other_programs:
-            self._record_other_programs(used)
-        self._node.record_usage(now, used)
-        for task, usage in used.items():
+            self._record_other_programs(usage_by_task)
+        self._node.record_usage(now, usage_by_task)
+        for task, usage in usage_by_task.items():
             self._report(task, usage)
         self._on_change()
 
     def _smooth(self, now: float, samples: Mapping[str, TaskSample]) -> dict[str, ResourceUsage]:
         """Return the use of the running tasks, in the deployment's units."""
-        used: dict[str, ResourceUsage] = {}
+        usage_by_task: dict[str, ResourceUsage] = {}
         for task, sample in samples.items():
             active = self._node.tasks.get(task)
             if active is None or active.phase is not Phase.RUNNING:
                 continue
             smoother = self._smoothers.setdefault(task, UsageSmoother(self._settings.smoothing_ms))
             usage = smoother.add(now, sample)
-            used[task] = ResourceUsage(usage.cores, usage.memory_bytes / self._settings.memory_unit_bytes)
-        return used
+            usage_by_task[task] = ResourceUsage(
+                usage.cores, usage.memory_bytes / self._settings.memory_unit_bytes
+            )
+        return usage_by_task
 
-    def _forget_ended(self) -> None:
+    def _discard_ended(self) -> None:
         for task in self._smoothers.keys() - self._node.tasks.keys():
             del self._smoothers[task]
             self._reported.pop(task, None)
 
-    def _record_other_programs(self, used: Mapping[str, ResourceUsage]) -> None:
-        """Count what is in use on the host, and not by tasks, as other programs'."""
-        cores = sum(usage.cores for usage in used.values())
-        memory = sum(usage.memory for usage in used.values())
+    def _record_other_programs(self, usage_by_task: Mapping[str, ResourceUsage]) -> None:
+        """Count the use of the host that is not by tasks as use by other programs."""
+        cores = sum(usage.cores for usage in usage_by_task.values())
+        memory = sum(usage.memory for usage in usage_by_task.values())
         host = self._sampler.sample_host()
-        before = self._last_host
+        previous = self._last_host
         self._last_host = host
-        others = self._node.other_programs
-        if before is not None and host.at_s > before.at_s:
-            busy_cores = (host.busy_s - before.busy_s) / (host.at_s - before.at_s)
-            others.cores = max(0.0, busy_cores - cores)
-        others.memory = max(0.0, host.memory_bytes / self._settings.memory_unit_bytes - memory)
+        other_programs = self._node.other_programs
+        if previous is not None and host.at_s > previous.at_s:
+            busy_cores = (host.busy_s - previous.busy_s) / (host.at_s - previous.at_s)
+            other_programs.cores = max(0.0, busy_cores - cores)
+        other_programs.memory = max(0.0, host.memory_bytes / self._settings.memory_unit_bytes - memory)
 
     def _report(self, task: str, usage: ResourceUsage) -> None:
-        """Report a task's use to its placer where it has changed enough."""
+        """Report a task's use to its placer if it has changed significantly."""
         if not is_significant_change(usage, self._reported.get(task)):
             return
         self._reported[task] = usage
@@ -146,12 +148,12 @@
         self._node.report_status(Note(task, attempt, "memory", round(usage.memory, 4)))
 
     def usage_of(self, task: str) -> TaskUsage | None:
-        """Return what a task uses; None where it was not sampled."""
+        """Return the current use of a task, or None if it was not sampled."""
         smoother = self._smoothers.get(task)
         return None if smoother is None else smoother.last
 
     def figures(self) -> SamplingFigures:
-        """Return what the sampling costs."""
+        """Return the cost of sampling."""
         return SamplingFigures(
             self._samples, round(self._last_ms, 2), round(self._spent_ms, 1), round(self._next_period_ms(), 1)
         )
--- a/kelpfront/agent/usage_sampler.py
+++ b/kelpfront/agent/usage_sampler.py
@@ -1,6 +1,6 @@
-"""Samples this host's processes and the host itself, by psutil.
+"""Samples the processes of this host and the host itself, with psutil.
 
-What the samples mean is left to `usage` and `usage_monitor`.
+`usage` and `usage_monitor` evaluate the samples.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from kelpfront.agent.usage import ProcessSample
 
-CPU_TIMES_WITHOUT_GUESTS = 8  # Linux counts the later fields, guests' times, in the earlier ones too, proc(5)
+CPU_TIMES_WITHOUT_GUESTS = 8  # fields after these are guest times, which the earlier ones include, proc(5)
 
 
 @dataclass(frozen=True, slots=True)
 class HostSample:
-    """CPU seconds in which the host's cores were busy, bytes not available, and the sample's time."""
+    """CPU seconds in which the host's cores were busy, bytes not available, and the time of the sample."""
 
     busy_s: float
     memory_bytes: float
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSize:
-    """Cores and bytes of memory of a host."""
+    """The number of cores and bytes of memory of a host."""
 
     cores: int
     memory_bytes: int
@@ -36,24 +36,24 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessSamples:
-    """Samples of processes, and the milliseconds that it took to make them."""
+    """Samples of processes, and how many milliseconds taking them took."""
 
     samples: list[ProcessSample]
     duration_ms: float
 
 
 class UsageSampler:
-    """Samples processes below given ones. Used from one thread at a time, which need not be the loop's."""
+    """Samples processes and their descendants. Use it from one thread at a time, which may be any thread."""
 
     def __init__(self) -> None:
         self._processes: dict[int, psutil.Process] = {}
 
     def sample_processes(self, roots: frozenset[int]) -> ProcessSamples:
-        """Sample the processes `roots` and all below them.
+        """Sample the processes `roots` and all of their descendants.
 
-        The parents of all the host's processes are read: it is the one way to find children of children.
+        This reads the parent of every process of the host, which is the only way to find all descendants.
         """
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         parents = self._read_parents()
         children: dict[int, list[int]] = {}
         for pid, parent in parents.items():
@@ -63,16 +63,16 @@
         known = set(to_visit)
         while to_visit:
             pid = to_visit.pop()
-            with contextlib.suppress(psutil.Error):  # it has ended meanwhile
+            with contextlib.suppress(psutil.Error):  # the process has ended in the meantime
                 samples.append(self._sample(pid, parents))
             for child in children.get(pid, ()):
                 if child not in known:
                     known.add(child)
                     to_visit.append(child)
-        return ProcessSamples(samples, (time.perf_counter() - began_s) * 1000.0)
+        return ProcessSamples(samples, (time.perf_counter() - start_s) * 1000.0)
 
     def _read_parents(self) -> dict[int, int]:
-        """Return the parent of each process of the host, and remember the processes for the next sample."""
+        """Return the parent of each process of the host, and cache the processes for the next sample."""
         parents: dict[int, int] = {}
         processes: dict[int, psutil.Process] = {}
         for pid in psutil.pids():
@@ -80,7 +80,7 @@
                 process = self._processes.get(pid) or psutil.Process(pid)
                 try:
                     parents[pid] = process.ppid()
-                except psutil.NoSuchProcess:  # its pid was reused
+                except psutil.NoSuchProcess:  # the pid was reused by another process
                     process = psutil.Process(pid)
                     parents[pid] = process.ppid()
                 processes[pid] = process
--- a/tests/agent/test_state_faults.py
+++ b/tests/agent/test_state_faults.py
@@ -23,7 +23,7 @@
         await agent.offer("t1")
         second = await agent.launch()
         assert await asyncio.wait_for(second.wait(), 30) == 1
-        assert "another agent has this state folder" in agent.log.read_text()
+        assert "another agent is using this state folder" in agent.log.read_text()
         assert answer_and_reason(await agent.offer("t2")) == ("running", "")
 
 
