--- a/kelpfront/agent/adoption.py
+++ b/kelpfront/agent/adoption.py
@@ -51,7 +51,7 @@
             uids = frozenset(record.request.offer.task for record, _ in open_tasks)
             self._idempotency_records.remove_machine(self.node.settings.name, uids)
         for record, folder in open_tasks:
-            # A record recovered from a damaged state may be of a task whose folder was removed since.
+            # A record recovered from a damaged state may be of a task whose folder has already been removed.
             is_doubtful = stored.quarantine is not None and not folder.exists()
             self.adopt(now, record, folder, is_doubtful=is_doubtful)
 
--- a/tests/agent/test_agent_cluster.py
+++ b/tests/agent/test_agent_cluster.py
@@ -1,4 +1,4 @@
-"""A placer with node agents: jobs with commands, their output, and who knows what after which restart."""
+"""A placer with node agents: jobs with commands, their output, and restarts of agents and of the placer."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 
     async def placer(self) -> tuple[PlacerService, Client]:
         hosts = {
-            f"n{number}": Host(f"n{number}", "small", "r1", "east", 24.0, 48.0, its.url)
-            for number, its in enumerate(self.agents)
+            f"n{number}": Host(f"n{number}", "small", "r1", "east", 24.0, 48.0, agent.url)
+            for number, agent in enumerate(self.agents)
         }
         config = parse_config(SETTINGS, "test.ini", ("cluster.lost_after=20 s",))
         options = PlacerOptions(seed=len(self.placers))
@@ -55,11 +55,11 @@
     async with AsyncExitStack() as stack:
         agents = []
         for number in range(count):
-            place = folder / f"n{number}"
-            place.mkdir()
+            agent_folder = folder / f"n{number}"
+            agent_folder.mkdir()
             agents.append(
                 await stack.enter_async_context(
-                    running_agent(place, overrides=(*OVERRIDES, f"agent.name=n{number}"))
+                    running_agent(agent_folder, overrides=(*OVERRIDES, f"agent.name=n{number}"))
                 )
             )
         cluster = AgentCluster(agents)
@@ -73,15 +73,15 @@
 
 
 def _ignore_text(_text: str) -> None:
-    """Progress is not shown."""
+    """Discard the progress text."""
 
 
-def spec(script: str, cls: str = "web", **changes: Any) -> JobSpec:
-    plain = {"class": cls, "service": "front", "cores": 1.0, "memory": 1.0}
-    return JobSpec.model_validate({**plain, "command": ["sh", "-c", script], **changes})
+def job_spec(script: str, cls: str = "web", **changes: Any) -> JobSpec:
+    defaults = {"class": cls, "service": "front", "cores": 1.0, "memory": 1.0}
+    return JobSpec.model_validate({**defaults, "command": ["sh", "-c", script], **changes})
 
 
-def task_of(job: Job, index: int = 0) -> Task:
+def task_status(job: Job, index: int = 0) -> Task:
     assert job.status is not None
     return job.status.tasks[index]
 
@@ -89,7 +89,7 @@
 async def until_state(client: Client, name: str, *states: str) -> Task:
     async with asyncio.timeout(30):
         while True:
-            task = task_of(await client.get_job("climate", name))
+            task = task_status(await client.get_job("climate", name))
             if task.state.value in states:
                 return task
             await asyncio.sleep(0.02)
@@ -98,10 +98,10 @@
 async def test_a_job_runs_its_command_and_its_output_is_read_through_the_api(tmp_path: Path) -> None:
     async with agent_cluster(tmp_path) as cluster:
         _, client = await cluster.placer()
-        made = spec(
+        submitted_spec = job_spec(
             'echo "$GREETING from $KELPFRONT_JOB"; pwd; exit 3', env={"GREETING": "hello"}, workdir="/tmp"
         )
-        await client.submit("climate", made, name="front")
+        await client.submit("climate", submitted_spec, name="front")
         task = await until_state(client, "front", "Ended")
         assert (task.answer, task.exit_code, task.machine) == ("Placed", 3, "n0")
         assert task.cpu_seconds is not None
@@ -114,16 +114,16 @@
             assert caught.value.code == 404
         runner = CliRunner()
         url = cluster.placers[0].url
-        shown = await asyncio.to_thread(
+        result = await asyncio.to_thread(
             runner.invoke, main, ["logs", "--server", url, "-n", "climate", "front", "0"]
         )
-        assert shown.output == "hello from climate/front\n/tmp\n", shown.output
+        assert result.output == "hello from climate/front\n/tmp\n", result.output
 
 
 async def test_a_command_that_does_not_exist_is_refused_with_the_machines_message(tmp_path: Path) -> None:
     async with agent_cluster(tmp_path) as cluster:
         _, client = await cluster.placer()
-        made = JobSpec.model_validate(
+        submitted_spec = JobSpec.model_validate(
             {
                 "class": "blend",
                 "service": "x",
@@ -133,9 +133,9 @@
                 "patience": "1s",
             }
         )
-        job = await client.wait_answers(await client.submit("climate", made))
-        task = task_of(job)
-        assert task.answer == "Refused"  # each attempt is known not to have run
+        job = await client.wait_answers(await client.submit("climate", submitted_spec))
+        task = task_status(job)
+        assert task.answer == "Refused"  # no attempt has run
         assert "no-such-program: No such file" in (task.attempts[0].message or "")
 
 
@@ -143,30 +143,30 @@
     async with agent_cluster(tmp_path) as cluster:
         _, client = await cluster.placer()
         out = cluster.agents[0].out
-        made = spec(
+        submitted_spec = job_spec(
             f"trap 'echo term >> {out}/terms; exit 0' TERM; echo >> {out}/up; while :; do sleep 0.02; done",
             stop_grace="5s",
         )
-        await client.submit("climate", made, name="front")
+        await client.submit("climate", submitted_spec, name="front")
         await cluster.agents[0].until_lines("up", 1)
         await client.delete_job("climate", "front")
         assert await cluster.agents[0].until_lines("terms", 1) == ["term"]
 
 
-async def test_tasks_survive_their_agent_and_its_placer_receives_how_they_ended(tmp_path: Path) -> None:
+async def test_tasks_survive_a_killed_agent_and_the_placer_receives_their_exit_codes(tmp_path: Path) -> None:
     async with agent_cluster(tmp_path) as cluster:
         _, client = await cluster.placer()
-        (machine,) = cluster.agents
+        (agent,) = cluster.agents
         for name, script in (
             ("stays", "sleep 60"),
-            ("ends", f"sleep 0.5; echo x >> {machine.out}/ends; exit 9"),
+            ("ends", f"sleep 0.5; echo x >> {agent.out}/ends; exit 9"),
         ):
-            await client.submit("climate", spec(script, "blend"), name=name)
+            await client.submit("climate", job_spec(script, "blend"), name=name)
             await until_state(client, name, "Running")
-        address = machine.url.removeprefix("http://")
-        await machine.kill()
-        await machine.until_lines("ends", 1)
-        await machine.start(overrides=(*OVERRIDES, "agent.name=n0", f"agent.listen={address}"))
+        address = agent.url.removeprefix("http://")
+        await agent.kill()
+        await agent.until_lines("ends", 1)
+        await agent.start(overrides=(*OVERRIDES, "agent.name=n0", f"agent.listen={address}"))
         task = await until_state(client, "ends", "Ended", "Lost")
         assert (task.state, task.exit_code) == ("Ended", 9)
         task = await until_state(client, "stays", "Running", "Lost")
@@ -174,11 +174,11 @@
         assert len(task.attempts) == 1
 
 
-async def test_a_placer_that_was_killed_recovers_its_tasks_from_the_agents(tmp_path: Path) -> None:
+async def test_a_restarted_placer_recovers_its_jobs_from_the_agents(tmp_path: Path) -> None:
     async with agent_cluster(tmp_path, 2) as cluster:
         first, client = await cluster.placer()
-        made = spec("sleep 60", "blend", count=4, stop_grace="1s", client_token="again")
-        await client.submit("climate", made, name="front")
+        submitted_spec = job_spec("sleep 60", "blend", count=4, stop_grace="1s", client_token="again")
+        await client.submit("climate", submitted_spec, name="front")
         first_job = await client.wait_answers(await client.get_job("climate", "front"), timeout_s=30)
         assert first_job.status is not None, first_job
         assert first_job.status.counts.running == 4, first_job
@@ -190,22 +190,22 @@
         assert {task.state.value for task in job.status.tasks} == {"Running"}
         assert job.spec.command == ["sh", "-c", "sleep 60"]
         assert job.spec.stop_grace == "1s"
-        again = await client.submit("climate", made)
-        assert again.metadata.uid == job.metadata.uid
+        resubmitted = await client.submit("climate", submitted_spec)
+        assert resubmitted.metadata.uid == job.metadata.uid
         await client.delete_job("climate", "front")
         async with asyncio.timeout(30):
-            while any([await machine.tasks() for machine in cluster.agents]):  # noqa: ASYNC110
+            while any([await agent.tasks() for agent in cluster.agents]):  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
 
 
 async def test_agents_killed_under_load_lose_no_task_and_start_none_twice(tmp_path: Path) -> None:
-    """The laboratory's experiment, short, with a fixed seed."""
+    """A short run of the laboratory's restart experiment, with a fixed seed."""
     shape = RestartsShape(seed=7, restarts=6, rate=20.0, seconds=6.0)
     figures = await Restarts(shape, tmp_path / "run", _ignore_text).run()
     assert figures["placed"] > 20
     assert figures["starts"] >= figures["placed"]
-    wrong = {name: figures[name] for name in ("lost", "duplicated", "unreported_exits", "violations")}
-    assert not any(wrong.values()), figures
+    failures = {name: figures[name] for name in ("lost", "duplicated", "unreported_exits", "violations")}
+    assert not any(failures.values()), figures
 
 
 @pytest.mark.parametrize(
@@ -221,7 +221,7 @@
     ],
 )
 async def test_the_experiment_detects_a_faulty_agent(tmp_path: Path, wrong: str, found_as: str) -> None:
-    """On one of three short days: which tasks a kill meets is the host's chance."""
+    """In one of three short runs: which tasks are affected by a kill depends on the host's timing."""
     found = []
     for seed in (7, 8, 9):
         shape = RestartsShape(seed=seed, restarts=5, rate=20.0, seconds=5.0, wrong=wrong)
@@ -229,4 +229,4 @@
         found.append(figures[found_as])
         if figures[found_as] > (0.05 if found_as == "use_error" else 0):
             return
-    raise AssertionError(f"{wrong} went unseen as {found_as}: {found}")
+    raise AssertionError(f"{wrong} was not detected as {found_as}: {found}")
--- a/tests/agent/test_agent_operation.py
+++ b/tests/agent/test_agent_operation.py
@@ -1,4 +1,4 @@
-"""Clocks, slow start, drains, orphaned tasks, reported use, and the command line."""
+"""Operation of a node agent: clock steps, slow start, drain, orphaned tasks, reported use, command line."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from kelpfront.machine.messages import Hello, Snapshot
 
 
-async def test_a_clock_that_steps_back_changes_no_task(tmp_path: Path) -> None:
+async def test_a_clock_that_steps_back_does_not_affect_tasks(tmp_path: Path) -> None:
     async with running_agent(tmp_path, wall_steps=(0.3, -3600.0)) as agent:
         await agent.offer("t1", START + "sleep 60")
         await asyncio.sleep(0.5)
@@ -42,17 +42,17 @@
 
 
 async def test_a_burst_right_after_the_boot_is_started_at_the_slow_start_rate(tmp_path: Path) -> None:
-    cold = ("host.warm_from=agent", "host.cold_from=0.1", "host.cold_for=60 s", "starts.rate=100")
-    async with running_agent(tmp_path, overrides=cold) as agent:
+    slow_start = ("host.warm_from=agent", "host.cold_from=0.1", "host.cold_for=60 s", "starts.rate=100")
+    async with running_agent(tmp_path, overrides=slow_start) as agent:
         hello = (await agent.read_stream())[0]
         assert isinstance(hello, Hello)
         assert hello.age_ms < 30_000.0
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         answers = await asyncio.gather(*(agent.offer(f"t{n}", START + "sleep 60") for n in range(20)))
-        took = asyncio.get_running_loop().time() - began
+        elapsed_s = asyncio.get_running_loop().time() - started_at
         assert {answer_and_reason(answer) for answer in answers} == {("running", "")}
-        # At a tenth of 100 a second, 20 starts take near 2 s; warm they would take 0.2 s.
-        assert took > 1.0
+        # At 10 starts per second, a tenth of the full rate, 20 starts take about 2 s; at full rate 0.2 s.
+        assert elapsed_s > 1.0
         assert (await agent.get("/v1/agent"))["warm"] < 0.3
 
 
@@ -93,7 +93,7 @@
         assert (report.phase, report.cause) == ("ended", "lost")
 
 
-async def test_reported_cpu_time_is_near_what_the_processes_count_themselves(tmp_path: Path) -> None:
+async def test_reported_cpu_time_matches_the_accounting_of_the_processes(tmp_path: Path) -> None:
     async with running_agent(tmp_path) as agent:
         burn = (
             "import os, resource, sys, time\n"
@@ -108,15 +108,15 @@
         )
         run = command("true").__class__((sys.executable, "-S", "-c", burn))
         await agent.offer("t1", run=run)
-        (own,) = await agent.until_lines("own", 1)
+        (counted,) = await agent.until_lines("own", 1)
         await until(lambda: agent.record("t1", "exit"))
         await until_ended(agent, "t1")
         reported = (await read_snapshot(agent))["t1"].cpu_s
         assert reported is not None
-        assert abs(reported - float(own)) <= 0.05 * float(own) + 0.03
+        assert abs(reported - float(counted)) <= 0.05 * float(counted) + 0.03
 
 
-async def test_an_agent_of_the_command_line_shows_its_tasks_and_leaves_them_running(tmp_path: Path) -> None:
+async def test_the_command_line_shows_an_agents_tasks_and_sigterm_leaves_them_running(tmp_path: Path) -> None:
     agent = AgentProcess(tmp_path)
     serve = [sys.executable, "-m", "kelpfront", "agent", "serve", "-c", str(agent.config)]
 
@@ -137,14 +137,14 @@
         return process.returncode or 0, out.decode()
 
     try:
-        assert (await cli("status"))[0] == 5, "there is none yet"
-        for life in range(2):
+        assert (await cli("status"))[0] == 5, "no agent runs yet"
+        for start_count in range(2):
             agent.process = await asyncio.create_subprocess_exec(
                 *serve, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL
             )
             assert agent.process.stdout is not None
             agent.url = json.loads(await agent.process.stdout.readline())["url"]
-            if not life:
+            if not start_count:
                 assert answer_and_reason(await agent.offer("t1", START + "sleep 60")) == ("running", "")
             code, text = await cli("ps")
             assert code == 0
@@ -160,14 +160,14 @@
         await agent.end_all()
 
 
-async def test_offers_that_wait_when_the_agent_ends_are_not_started_later(tmp_path: Path) -> None:
+async def test_offers_pending_at_shutdown_are_not_started_by_the_next_agent(tmp_path: Path) -> None:
     async with running_agent(tmp_path, overrides=("starts.weigh=400 ms",)) as agent:
-        waiting = [asyncio.create_task(agent.offer(f"t{n}", START + "sleep 60")) for n in range(5)]
+        pending = [asyncio.create_task(agent.offer(f"t{n}", START + "sleep 60")) for n in range(5)]
         await asyncio.sleep(0.6)
         assert agent.process is not None
         agent.process.terminate()
         await agent.wait_ended()
-        answers = await asyncio.gather(*waiting)
+        answers = await asyncio.gather(*pending)
         ran = [answer for answer in answers if answer is not None and answer.answer == "running"]
         await agent.start()
         await asyncio.sleep(0.5)
--- a/tests/agent/test_agent_restarts.py
+++ b/tests/agent/test_agent_restarts.py
@@ -1,4 +1,4 @@
-"""The agent is killed at every step of a task, and goes on after its restart."""
+"""The agent is killed at every step of a task's lifecycle, and recovers its tasks after the restart."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from kelpfront.machine.messages import Gone, Hello, Snapshot, Taken
 
 
-async def test_tasks_run_on_and_exits_meanwhile_are_reported_once(tmp_path: Path) -> None:
+async def test_tasks_survive_an_agent_restart_and_exits_during_it_are_reported_once(tmp_path: Path) -> None:
     async with running_agent(tmp_path) as agent:
         await agent.offer("stays", START + "sleep 60")
         await agent.offer("ends", START + "sleep 0.3; exit 5")
@@ -39,7 +39,7 @@
         assert agent.pid("stays") == pid
         assert (reports["ends"].phase, reports["ends"].exit_code) == ("ended", 5)
         assert agent.lines("starts") == ["stays", "ends"]
-        # A placer that asks for what came after has seen it: it is not told again, by the next agent either.
+        # A placer that resumes after the snapshot has received it: no agent sends it the reports again.
         seen = f"&boot={messages[0].boot}&from={messages[0].next_seq}"
         assert not [m for m in await agent.read_stream(query=seen) if isinstance(m, Snapshot | Gone)]
         assert set(await read_snapshot(agent)) == {"stays"}
@@ -48,7 +48,7 @@
 
 
 async def test_message_numbers_increase_over_restarts(tmp_path: Path) -> None:
-    """A placer that asks for what it has not seen must not be taken for one that has seen it."""
+    """With reused numbers, an agent could resume a stream after messages that the placer has not received."""
     async with running_agent(tmp_path) as agent:
         numbers: list[int] = []
         hellos: list[Hello] = []
@@ -72,7 +72,7 @@
 async def test_an_agent_killed_at_any_step_starts_no_task_twice_and_loses_none(
     tmp_path: Path, point: str
 ) -> None:
-    """One task is started and stopped; the agent dies at a point in that, and is started again."""
+    """The agent starts and stops one task, is killed at one point of this, and is restarted."""
     async with running_agent(tmp_path, kill_at=(point, 1)) as agent:
         script = START + "trap 'echo term >> $OUT/terms; exit 0' TERM; while :; do sleep 0.02; done"
         answer = await agent.offer("t1", script, effect="unsafe")
@@ -85,9 +85,9 @@
             report = reports.get("t1")
             assert report is None or (report.phase, report.ran) == ("ended", False)
             assert agent.lines("starts") == []
-            # Where a record was made the answer is known; else nothing is, and the offer is a new one.
-            again = await agent.offer("t1", script, effect="unsafe")
-            assert answer_and_reason(again) == (
+            # If the intent was recorded, a repeated offer gets the recorded answer; otherwise it is new.
+            repeated = await agent.offer("t1", script, effect="unsafe")
+            assert answer_and_reason(repeated) == (
                 ("running", "") if report is None else ("refused", "START_FAILED")
             )
             return
@@ -98,9 +98,9 @@
             died = True
             await agent.wait_ended()
             await agent.start()
-            if point == "stop":  # it died before the stop was on record: its placer has no answer
+            if point == "stop":  # the agent died before the stop was recorded, and without an answer
                 assert await agent.stop("t1") == "stopping"
-        exited = await survives_end_of(agent, "t1")
+        exited = await survives_end_of_task(agent, "t1")
         if not exited:
             died = True
             await agent.start()
@@ -114,13 +114,13 @@
         assert answer_and_reason(await agent.offer("t1", script, 1, effect="unsafe")) == ("error", "RAN_HERE")
 
 
-async def survives_end_of(agent: AgentProcess, task: str) -> bool:
-    """Whether the agent lived to see the end of a task."""
+async def survives_end_of_task(agent: AgentProcess, task: str) -> bool:
+    """Return whether the agent still runs shortly after the end of a task."""
     assert agent.process is not None
     while agent.process.returncode is None:
         try:
             if task not in await agent.tasks():
-                await asyncio.sleep(0.2)  # the last points come right after this
+                await asyncio.sleep(0.2)  # the agent passes the last points right after the task's removal
                 return agent.process.returncode is None
         except Exception:
             await agent.wait_ended()
@@ -128,7 +128,7 @@
     return False
 
 
-async def test_a_recorded_stop_is_carried_out_over_a_restart(tmp_path: Path) -> None:
+async def test_a_recorded_stop_is_executed_although_the_agent_dies(tmp_path: Path) -> None:
     async with running_agent(tmp_path, kill_at=("stop-written", 1)) as agent:
         await agent.offer(
             "t1", START + "trap 'echo term >> $OUT/terms; exit 0' TERM; while :; do sleep 0.02; done"
@@ -148,7 +148,7 @@
         running = True
         answers: dict[str, str] = {}
 
-        async def load() -> None:
+        async def offer_tasks() -> None:
             number = 0
             while running:
                 number += 1
@@ -160,12 +160,12 @@
                 answers[task] = "" if answer is None else answer.answer
                 await asyncio.sleep(0.02)
 
-        loading = asyncio.create_task(load())
+        offering = asyncio.create_task(offer_tasks())
         for _ in range(8):
             await asyncio.sleep(0.25)
             await agent.restart()
         running = False
-        await loading
+        await offering
         starts = agent.lines("starts")
         assert len(starts) == len(set(starts)), "started twice"
         ran = {task for task, answer in answers.items() if answer == "running"}
@@ -179,18 +179,18 @@
         assert {reports[task].exit_code for task in starts} == {0}
 
 
-async def test_after_a_boot_of_the_host_its_tasks_are_lost_and_never_started_again(tmp_path: Path) -> None:
+async def test_after_a_reboot_of_the_host_its_tasks_are_lost_and_never_started_again(tmp_path: Path) -> None:
     async with running_agent(tmp_path, boot="boot-1") as agent:
         await agent.offer("t1", START + "sleep 60")
-        await until(lambda: agent.lines("starts"))  # it runs before its shell has written
+        await until(lambda: agent.lines("starts"))  # the task is running before its shell has written
         os.killpg(agent.pid("t1"), signal.SIGKILL)
         os.kill(agent.pid("t1", "claim"), signal.SIGKILL)
         await agent.kill()
-        (agent.state / "tasks" / "t1@0" / "claim.json").unlink()  # what was not on disk when the power went
+        (agent.state / "tasks" / "t1@0" / "claim.json").unlink()  # as if not on disk at the power failure
         for path in (agent.state / "tasks" / "t1@0").glob("exit.json"):
             path.unlink()
         await agent.start(boot="boot-2", uptime_ms=500.0)
         report = (await read_snapshot(agent))["t1"]
         assert (report.phase, report.cause, report.ran) == ("ended", "lost", True)
         assert agent.lines("starts") == ["t1"]
-        assert (await agent.get("/v1/agent"))["warm"] < 0.5, "a host that has just come up is cold"
+        assert (await agent.get("/v1/agent"))["warm"] < 0.5, "a host that has just booted is in slow start"
--- a/tests/agent/test_background_tasks.py
+++ b/tests/agent/test_background_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks end with their owner."""
+"""Background tasks are cancelled with their owner, and fail independently of each other."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from kelpfront.agent.background_tasks import BackgroundTasks
 
 
-async def test_closing_cancels_all_tasks_and_waits_for_their_ends() -> None:
+async def test_close_cancels_all_tasks_and_waits_until_they_have_ended() -> None:
     ended: list[int] = []
 
     async def wait(number: int) -> None:
--- a/tests/agent/test_node_restoration.py
+++ b/tests/agent/test_node_restoration.py
@@ -1,4 +1,4 @@
-"""A node goes on after a restart of its agent, and placers resume its stream."""
+"""A node is restored after a restart of its agent, and placers resume its stream."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     node = driver.node
     node.restore(driver.now, RestoredTask(request("t1", cores=15.0, memory=1.0), Phase.RUNNING, 1e18))
     node.restore(driver.now, RestoredTask(request("t2", cores=1.0), Phase.STOPPING, 0.0, "stopped"))
-    assert node.load().free_cores == -5.0  # what is being stopped holds nothing
+    assert node.load().free_cores == -5.0  # a stopping task holds no capacity
     answer = driver.offer("t1", cores=15.0, memory=1.0)
     assert answer is not None
     assert answer.answer == "running"
@@ -26,7 +26,7 @@
     assert refused is not None
     assert refused.reason == "NO_CORES"
     assert driver.stop("t1") == "stopping"
-    assert [halt.task for halt in driver.stops] == ["t1"]
+    assert [stop.task for stop in driver.stops] == ["t1"]
     node.exited(driver.now, "t2", 143, 1.5)
     messages = node.outbox("p0").messages_from(1)
     assert [message.task for message in messages] == ["t1", "t2"]
@@ -61,11 +61,11 @@
     assert [report.offer.task for report in snapshot.tasks] == ["t2"]
 
 
-def test_a_stream_is_resumed_only_after_the_last_message_that_was_read() -> None:
+def test_a_stream_is_resumed_after_the_last_accepted_message() -> None:
     offset = StreamOffset()
     assert offset.resume is None
     assert offset.accept(Hello("b1", 0.0, "small", 500.0, resumed=False, next_seq=7))
-    assert offset.resume is None, "its snapshot is not here yet"
+    assert offset.resume is None, "the snapshot was not received yet"
     assert offset.accept(Snapshot(6, ()))
     assert offset.resume == ("b1", 7)
     assert offset.accept(Taken(7, "t", 0, running=True))
@@ -79,7 +79,7 @@
     assert offset.resume is None
 
 
-def test_a_later_attempt_supersedes_an_instance_only_once_that_is_recorded() -> None:
+def test_a_later_attempt_is_answered_only_once_the_supersession_is_recorded() -> None:
     driver = NodeDriver()
     driver.offer("t1")
     node = driver.node
@@ -94,7 +94,7 @@
     assert len(driver.starts) == 1
 
 
-def test_tasks_of_an_orphaning_placer_are_stopped_in_every_phase() -> None:
+def test_tasks_of_a_placer_are_stopped_in_every_phase() -> None:
     driver = NodeDriver(starts_at_once=False, max_parallel_starts=1)
     driver.offer("starts", placer="x")
     node = driver.node
--- a/tests/agent/test_recovery.py
+++ b/tests/agent/test_recovery.py
@@ -1,4 +1,4 @@
-"""What an agent makes of a task that it finds, for every combination of evidence."""
+"""Classification of a task after an agent restart, for every combination of evidence."""
 
 from __future__ import annotations
 
@@ -44,11 +44,11 @@
 
 
 def may_have_run(evidence: Evidence) -> bool:
-    """Told apart from the code that is tested: what could have happened on a host, step by step."""
+    """Return whether the task may have run, independently of the code under test."""
     if evidence.exit_ran is not None:
         return evidence.exit_ran
     if not evidence.same_boot:
-        return True  # folders may have lost what was not on disk
+        return True  # records that were not synced to disk may be lost
     if evidence.claim == "void":
         return False
     return (
@@ -72,7 +72,7 @@
             assert not evidence.started
 
 
-def test_a_state_that_goes_on_needs_a_running_process() -> None:
+def test_an_active_state_requires_a_running_process() -> None:
     for evidence in ALL_EVIDENCE:
         state = classify(evidence)
         if state in (RecoveredState.STARTING, RecoveredState.RUNNING):
@@ -96,7 +96,7 @@
     [
         (replace(CLAIMED, claim="none"), RecoveredState.UNCLAIMED),
         (replace(CLAIMED, claim="void"), RecoveredState.NOT_EXECUTED),
-        (CLAIMED, RecoveredState.NOT_EXECUTED),  # the supervisor died before the process was on record
+        (CLAIMED, RecoveredState.NOT_EXECUTED),  # the supervisor died before the process was recorded
         (replace(CLAIMED, supervisor_runs=True), RecoveredState.STARTING),
         (SUPERVISED, RecoveredState.RUNNING),
         (replace(SUPERVISED, supervisor_runs=False), RecoveredState.UNSUPERVISED),
@@ -111,8 +111,8 @@
     assert classify(evidence) is state
 
 
-def test_the_cause_of_an_end_while_the_agent_was_down() -> None:
+def test_cause_of_an_end_while_the_agent_was_down() -> None:
     assert end_cause(None, same_boot=True, exit_known=True) == "ended"
     assert end_cause("evicted", same_boot=True, exit_known=False) == "evicted"
-    assert end_cause("stopped", same_boot=False, exit_known=False) == "lost", "its host went down"
-    assert end_cause("stopped", same_boot=False, exit_known=True) == "stopped", "it had ended before"
+    assert end_cause("stopped", same_boot=False, exit_known=False) == "lost", "the host rebooted"
+    assert end_cause("stopped", same_boot=False, exit_known=True) == "stopped", "it ended before the reboot"
--- a/tests/agent/test_state_faults.py
+++ b/tests/agent/test_state_faults.py
@@ -1,4 +1,4 @@
-"""The state is locked, damaged, full, or of a later version."""
+"""Faults of the agent's state: locked, damaged, full, of a later version, or with invalid records."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from waiting import until
 
 
-async def test_a_second_agent_on_the_same_state_folder_ends_with_a_message(tmp_path: Path) -> None:
+async def test_a_second_agent_on_the_same_state_folder_exits_with_a_message(tmp_path: Path) -> None:
     async with running_agent(tmp_path) as agent:
         await agent.offer("t1")
         second = await agent.launch()
@@ -37,7 +37,7 @@
         await agent.kill()
         path = agent.state / "state.db"
         db = sqlite3.connect(path)
-        db.execute("PRAGMA wal_checkpoint(TRUNCATE)")  # so that the file has the records
+        db.execute("PRAGMA wal_checkpoint(TRUNCATE)")  # so that the file itself contains the records
         db.close()
         for wal in agent.state.glob("state.db-*"):
             wal.unlink()
@@ -63,15 +63,15 @@
         assert len(agent.lines("starts")) == 30
         if damage != "empty":  # an empty file is a state without records, not a damaged one
             assert "damaged" in agent.log.read_text()
-            assert (agent.state / "damaged" / "1" / "state.db").read_bytes() == damaged, "nothing is deleted"
+            assert (agent.state / "damaged" / "1" / "state.db").read_bytes() == damaged, "the file is kept"
 
 
-async def test_when_the_state_is_full_offers_are_refused_and_running_tasks_go_on(tmp_path: Path) -> None:
+async def test_when_the_state_is_full_offers_are_refused_and_running_tasks_continue(tmp_path: Path) -> None:
     async with running_agent(tmp_path, overrides=("agent.state_size=64 KiB",)) as agent:
-        big = {"X": "y" * 3000}
+        large_environment = {"X": "y" * 3000}
         answers = []
         for number in range(30):
-            run = command(f"OUT={agent.out}; {START} sleep 60", env=big)
+            run = command(f"OUT={agent.out}; {START} sleep 60", env=large_environment)
             answers.append(await agent.offer(f"t{number}", run=run))
         refused = [answer for answer in answers if answer and answer.answer == "refused"]
         ran = [answer for answer in answers if answer and answer.answer == "running"]
@@ -88,7 +88,7 @@
         assert reports[f"t{first}"].phase == "ended"
 
 
-async def test_a_state_of_a_later_version_is_not_changed(tmp_path: Path) -> None:
+async def test_an_agent_does_not_start_with_a_state_of_a_later_version(tmp_path: Path) -> None:
     async with running_agent(tmp_path) as agent:
         await agent.kill()
         db = sqlite3.connect(agent.state / "state.db")
@@ -101,28 +101,28 @@
 
 
 async def test_expired_folders_are_removed_and_an_invalid_record_is_ignored(tmp_path: Path) -> None:
-    few = ("tasks.kept=3",)
-    async with running_agent(tmp_path, overrides=few) as agent:
+    overrides = ("tasks.kept=3",)
+    async with running_agent(tmp_path, overrides=overrides) as agent:
         for number in range(12):
             await agent.offer(f"t{number}", "exit 0")
         tasks = agent.state / "tasks"
         await until(lambda: len(list(tasks.iterdir())) <= 3 and not (agent.state / "trash").exists())
         await agent.kill()
-        # A removal that was cut short, and a record that no task can have.
+        # An interrupted removal, and a record with an invalid uid.
         (agent.state / "trash" / "t0@0").mkdir(parents=True)
         db = sqlite3.connect(agent.state / "state.db")
-        wrong = """'"task":"t9'""", """'"task":"../t9'"""
-        db.execute(f"UPDATE tasks SET offer = replace(CAST(offer AS TEXT), {wrong[0]}, {wrong[1]})")
+        uids = """'"task":"t9'""", """'"task":"../t9'"""
+        db.execute(f"UPDATE tasks SET offer = replace(CAST(offer AS TEXT), {uids[0]}, {uids[1]})")
         db.commit()
         db.close()
-        await agent.start(overrides=few)
+        await agent.start(overrides=overrides)
         assert not (agent.state / "trash").exists()
         assert "invalid task record ignored" in agent.log.read_text()
-        assert set(await read_snapshot(agent)) == {"t9", "t10", "t11"}, "t9 by its folder"
+        assert set(await read_snapshot(agent)) == {"t9", "t10", "t11"}, "t9 is adopted from its folder"
         assert answer_and_reason(await agent.offer("new", START + "sleep 60")) == ("running", "")
 
 
-async def test_the_number_of_tasks_is_bounded_however_little_they_request(tmp_path: Path) -> None:
+async def test_the_number_of_tasks_is_limited_even_if_they_request_almost_no_capacity(tmp_path: Path) -> None:
     async with running_agent(tmp_path, overrides=("tasks.most=5",)) as agent:
         answers = [await agent.offer(f"t{n}", cores=1e-6, memory=1e-6) for n in range(7)]
         assert [answer.answer for answer in answers if answer] == ["running"] * 5 + ["refused"] * 2
--- a/tests/agent/test_supervisors.py
+++ b/tests/agent/test_supervisors.py
@@ -1,4 +1,4 @@
-"""Supervisors and the fork server are killed, and replaced."""
+"""Killed supervisors and fork servers are replaced, and tasks keep running."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from waiting import until
 
 
-async def test_a_supervisor_that_is_killed_is_replaced_and_its_task_runs_on(tmp_path: Path) -> None:
+async def test_a_killed_supervisor_is_replaced_and_its_task_keeps_running(tmp_path: Path) -> None:
     async with running_agent(tmp_path) as agent:
         script = START + "while [ ! -e $OUT/go ]; do sleep 0.02; done; echo written; sleep 0.2; exit 3"
         await agent.offer("t1", script)
@@ -54,8 +54,8 @@
         assert not has_ended(1)
 
 
-async def test_a_reused_pid_is_not_taken_for_the_task(tmp_path: Path) -> None:
-    """The record of a process is changed to another that lives and has the pid: it is not the task."""
+async def test_a_process_that_reused_the_pid_is_not_treated_as_the_task(tmp_path: Path) -> None:
+    """The records get the pid of a live process with another start time, as if the pid had been reused."""
     async with running_agent(tmp_path) as agent:
         await agent.offer("t1", START + "sleep 60")
         await agent.kill()
@@ -77,18 +77,18 @@
         assert not has_ended(os.getpid())
 
 
-async def test_a_fork_server_that_is_killed_is_replaced_and_starts_go_on(tmp_path: Path) -> None:
+async def test_a_killed_fork_server_is_replaced_and_tasks_start_again(tmp_path: Path) -> None:
     async with running_agent(tmp_path) as agent:
         await agent.offer("t1", START + "sleep 60")
-        stat = await asyncio.to_thread(_children, agent.process.pid if agent.process else 0)
-        for pid in stat:
+        children = await asyncio.to_thread(_children, agent.process.pid if agent.process else 0)
+        for pid in children:
             os.kill(pid, signal.SIGKILL)
         assert answer_and_reason(await agent.offer("t2", START + "sleep 60")) in (
             ("running", ""),
             ("refused", "START_FAILED"),
         )
         assert answer_and_reason(await agent.offer("t3", START + "sleep 60")) == ("running", "")
-        await until(lambda: "t3" in agent.lines("starts"))  # the task itself writes it, once it has processor
+        await until(lambda: "t3" in agent.lines("starts"))  # the task writes it once it is scheduled
         starts = agent.lines("starts")
         assert len(starts) == len(set(starts))
 
--- a/tests/agent/test_task_execution.py
+++ b/tests/agent/test_task_execution.py
@@ -1,4 +1,4 @@
-"""Tasks as real processes: starts, stops, output, and processes that fork away."""
+"""Tasks as real processes: starts, stops, output, and daemonized child processes."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("run", "why"),
+    ("run", "reason"),
     [
         (command("true", env={}), ""),
         (command("true").__class__(("no-such-program",)), "no-such-program: No such file"),
@@ -56,16 +56,16 @@
     ],
 )
 async def test_a_command_that_cannot_be_started_is_refused_with_the_reason(
-    tmp_path: Path, run: Any, why: str
+    tmp_path: Path, run: Any, reason: str
 ) -> None:
     async with running_agent(tmp_path) as agent:
         answer = await agent.offer("t1", run=run)
-        assert answer_and_reason(answer) == (("refused", "START_FAILED") if why else ("running", ""))
+        assert answer_and_reason(answer) == (("refused", "START_FAILED") if reason else ("running", ""))
         assert answer is not None
-        assert why in answer.message
+        assert reason in answer.message
 
 
-async def test_offers_that_cannot_be_a_process_are_refused(tmp_path: Path) -> None:
+async def test_offers_that_cannot_run_as_a_process_are_refused(tmp_path: Path) -> None:
     async with running_agent(tmp_path) as agent:
         assert answer_and_reason(await agent.offer("t1", run=None)) == ("refused", "NOT_HERE")
         assert answer_and_reason(await agent.offer("../../etc/t1")) == ("refused", "NOT_HERE")
@@ -91,7 +91,7 @@
         assert await agent.stop("t1") == "stopping"
         assert await agent.stop("t1") == "stopping"
         await until(lambda: agent.record("t1", "exit"))
-        assert agent.lines("terms") == ["term"], "stopped once"
+        assert agent.lines("terms") == ["term"], "SIGTERM is sent only once"
         found = agent.record("t1", "exit")
         assert found is not None
         assert found["code"] == 128 + signal.SIGKILL
@@ -99,11 +99,12 @@
         assert (await read_snapshot(agent))["t1"].cause == "stopped"
 
 
-async def test_a_process_that_forks_away_is_stopped_with_its_task_and_its_cpu_time_counted(
+async def test_a_daemonized_process_is_stopped_with_its_task_and_its_cpu_time_is_counted(
     tmp_path: Path,
 ) -> None:
     async with running_agent(tmp_path) as agent:
-        # In a session of its own, its parent gone: only the supervisor, as its reaper, still knows it.
+        # The process has a new session and its parent has exited: only the supervisor, which is its
+        # subreaper, can find it.
         burn = "i=0; while [ $i -lt 60000 ]; do i=$((i+1)); done"
         script = f"(setsid sh -c '{burn}; echo $$ > '$OUT'/away; exec sleep 60' &); sleep 60"
         await agent.offer("t1", script)
@@ -128,7 +129,7 @@
         assert has_ended(int(pid))
 
 
-async def test_output_is_bounded_and_its_end_is_retained(tmp_path: Path) -> None:
+async def test_output_is_limited_in_size_and_its_last_bytes_are_retained(tmp_path: Path) -> None:
     async with running_agent(tmp_path, overrides=("tasks.log_size=8 KiB", "tasks.log_files=2")) as agent:
         await agent.offer("t1", "seq 1 200000; sleep 60")
         folder = agent.state / "tasks" / "t1@0"
@@ -137,7 +138,7 @@
             log = folder / "output.log"
             try:
                 return log.read_text()
-            except FileNotFoundError:  # between two files
+            except FileNotFoundError:  # during a rotation
                 return ""
 
         await until(lambda: text().endswith("\n200000\n"))
--- a/tests/agent/test_task_folder.py
+++ b/tests/agent/test_task_folder.py
@@ -1,4 +1,4 @@
-"""Records of a task's folder, and the race for the claim of a start."""
+"""Records of a task's folder, and the race between agent and supervisor for the claim of a start."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         folder_name(uid, 0)
 
 
-def test_a_record_is_written_once_and_a_second_writer_sees_it(tmp_path: Path) -> None:
+def test_a_record_is_written_once_and_a_second_write_has_no_effect(tmp_path: Path) -> None:
     assert write_once(tmp_path, STARTED, {"pid": 1})
     assert not write_once(tmp_path, STARTED, {"pid": 2})
     assert read_record(tmp_path, STARTED) == {"pid": 1}
@@ -32,7 +32,7 @@
     assert classify(inspect_folder(folder, "b", "b").evidence) is RecoveredState.NOT_EXECUTED
 
 
-def test_unreadable_records_count_as_what_they_may_have_said(tmp_path: Path) -> None:
+def test_a_task_with_unreadable_records_is_treated_as_one_that_may_have_run(tmp_path: Path) -> None:
     folder = tmp_path / "t@0"
     write_once(folder.parent, "x", {})
     folder.mkdir()
--- a/tests/agent/test_task_records.py
+++ b/tests/agent/test_task_records.py
@@ -1,4 +1,4 @@
-"""Stored forms of a task folder's records, also those that an older agent or its supervisors have written."""
+"""Stored forms of a task folder's records, including those written by older agents and their supervisors."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
         {"ran": False, "at": 1.5, "error": "command x: No such file or directory"},
     ],
 )
-def test_an_exit_record_is_stored_as_it_was_read(stored: dict[str, Any]) -> None:
+def test_an_exit_record_is_encoded_as_it_was_decoded(stored: dict[str, Any]) -> None:
     record = ExitRecord.from_record(stored).to_record()
     assert record == stored
     assert list(record) == list(stored)
 
 
-def test_a_stop_record_is_stored_as_it_was_read() -> None:
+def test_a_stop_record_is_encoded_as_it_was_decoded() -> None:
     stored = {"cause": "evicted", "grace_ms": 2500.0}
     assert StopRecord.from_record(stored).to_record() == stored
 
 
-def test_an_identity_is_stored_as_it_was_read() -> None:
+def test_an_identity_is_encoded_as_it_was_decoded() -> None:
     stored = {"pid": 70, "ticks": 1000, "boot": "b1"}
     assert ProcessIdentity.from_record(stored).to_record() == stored
     with pytest.raises(KeyError):
@@ -50,11 +50,11 @@
     assert not is_void_claim(supervisor_claim(ProcessIdentity(70, 1000, "b1")))
 
 
-def test_fields_that_a_task_record_lacks_have_defaults() -> None:
+def test_missing_fields_of_a_task_record_have_defaults() -> None:
     assert TaskSpec.from_record({}) == TaskSpec(None, 10.0, 1 << 20, 1)
 
 
-def test_a_task_record_is_read_with_its_grace_period_bounded() -> None:
+def test_the_grace_period_of_a_task_record_is_limited() -> None:
     run = {"argv": ["true"], "workdir": "/srv", "grace_ms": 1e9}
     spec = TaskSpec.from_record({"run": run, "env": {"A": "b"}, "log_bytes": 4096, "log_files": 2})
     assert spec == TaskSpec(CommandRecord(["true"], "/srv", {"A": "b"}), MAX_GRACE_S, 4096, 2)
--- a/tests/agent/test_usage.py
+++ b/tests/agent/test_usage.py
@@ -1,4 +1,4 @@
-"""The use of cores and memory from samples of processes."""
+"""Computation of tasks' use of cores and memory from samples of processes."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from kelpfront.agent.usage import ProcessSample, TaskSample, UsageSmoother, next_period_ms, sum_by_task
 
 
-def test_use_is_the_sum_over_the_process_tree_with_children_that_ended() -> None:
+def test_use_is_the_sum_over_the_process_tree_including_reaped_children() -> None:
     samples = [
-        ProcessSample(10, 1, 9.0, 2.0, 100.0),  # the supervisor: its own is not the task's, 2 s it waited for
+        ProcessSample(10, 1, 9.0, 2.0, 100.0),  # the supervisor: only the 2 s of reaped children count
         ProcessSample(11, 10, 1.0, 0.5, 30.0),
         ProcessSample(12, 11, 0.25, 0.0, 20.0),
         ProcessSample(20, 1, 5.0, 5.0, 500.0),
@@ -36,7 +36,7 @@
         assert use.cpu_s == pytest.approx(cpu_s)
 
 
-def test_cpu_time_that_decreases_and_a_clock_that_stands_are_tolerated() -> None:
+def test_decreasing_cpu_time_and_a_clock_that_does_not_advance_are_tolerated() -> None:
     smoother = UsageSmoother(0.0)
     smoother.add(1000.0, TaskSample(5.0, 1.0, 1))
     assert smoother.add(2000.0, TaskSample(4.0, 1.0, 1)).cpu_s == 5.0
@@ -45,6 +45,6 @@
     assert again.cores == 0.0
 
 
-def test_expensive_sampling_is_done_less_often() -> None:
+def test_slow_sampling_extends_the_period() -> None:
     assert next_period_ms(1000.0, 3.0) == 1000.0
     assert next_period_ms(1000.0, 100.0) == pytest.approx(5000.0)
--- a/tests/agents.py
+++ b/tests/agents.py
@@ -1,6 +1,6 @@
-"""Agents as processes of their own, and offers to them as a placer makes them.
+"""Helpers for tests of the agent with real processes: run an agent process, and send it requests as a placer.
 
-The tests of the agent with real processes use these helpers; builders of offers are in `machines`.
+Builders of offers are in `machines`.
 """
 
 from __future__ import annotations
@@ -61,12 +61,12 @@
 
 
 def command(script: str, **changes: Any) -> Command:
-    """Return a command that runs a shell's script, which finds the folder for its files in $OUT."""
+    """Return a command that runs a shell script; `AgentProcess.offer` sets $OUT to a folder for its files."""
     return Command(("sh", "-c", script), **{"grace_ms": 300.0, **changes})
 
 
 class AgentProcess:
-    """The agent of one state folder, over its restarts."""
+    """The agent of one state folder, across restarts; `start` takes the fields of `AgentTask`."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -145,7 +145,7 @@
     async def offer(
         self, task: str, script: str = "sleep 60", attempt: int = 0, placer: str = "p0", **changes: Any
     ) -> Answer | None:
-        """Return the answer; None where the connection broke."""
+        """Offer a task that runs a script; return the answer, or None if the connection broke."""
         changes.setdefault("run", command(f"OUT={self.out}; {script}"))
         request = OfferRequest(placer, "life-1", offer(task, attempt, **changes))
         try:
@@ -164,7 +164,7 @@
     async def read_stream(
         self, seconds: float = 0.3, placer: str = "p0", query: str = ""
     ) -> list[StreamMessage]:
-        """Return what the stream carries within some time."""
+        """Return the messages that a placer's stream carries within `seconds`."""
         connection = await HttpConnection.open(*self._address())
         messages: list[StreamMessage] = []
         incomplete = b""
@@ -182,10 +182,10 @@
     async def tasks(self) -> dict[str, dict[str, Any]]:
         return {task["task"]: task for task in await self.get("/v1/tasks")}
 
-    # ---- What has happened ------------------------------------------------------------------------------
+    # ---- Results of tasks -------------------------------------------------------------------------------
 
     def lines(self, name: str) -> list[str]:
-        """Return the lines that tasks wrote to a file of $OUT."""
+        """Return the lines that tasks wrote to a file in $OUT."""
         path = self.out / name
         return path.read_text().split("\n")[:-1] if path.exists() else []
 
@@ -206,7 +206,7 @@
         return int(found["pid"])
 
     async def end_all(self) -> None:
-        """End the agent and every process that it left, each known by its identity."""
+        """End the agent and every process that it left, each identified by its recorded identity."""
         if self.process is not None and self.process.returncode is None:
             await self.kill()
         end_left(self.state)
@@ -229,7 +229,7 @@
 
 
 START = "echo $KELPFRONT_TASK >> $OUT/starts; "
-"""Begins the script of a task that leaves a line with its uid in the file `starts`."""
+"""The start of a task's script that appends the task's uid to the file `starts`."""
 
 
 def answer_and_reason(answer: Answer | None) -> tuple[str, str]:
@@ -238,7 +238,7 @@
 
 
 async def read_snapshot(agent: AgentProcess, query: str = "") -> dict[str, TaskReport]:
-    """Return what a placer that connects for the first time is told of its tasks."""
+    """Return the reports by task in the snapshot that a placer receives when it first connects."""
     messages = await agent.read_stream(query=query)
     assert isinstance(messages[0], Hello)
     (snapshot,) = [message for message in messages if isinstance(message, Snapshot)]
@@ -246,14 +246,14 @@
 
 
 async def until_ended(agent: AgentProcess, task: str) -> None:
-    """Wait until the agent no longer holds a task."""
+    """Wait until the agent no longer lists the task as active."""
     async with asyncio.timeout(30):
-        while task in await agent.tasks():  # noqa: ASYNC110 - of another process
+        while task in await agent.tasks():  # noqa: ASYNC110 - polls another process
             await asyncio.sleep(0.02)
 
 
 async def until_empty(agent: AgentProcess) -> None:
-    """Wait until the agent holds no task."""
+    """Wait until the agent lists no active task."""
     async with asyncio.timeout(30):
-        while await agent.tasks():  # noqa: ASYNC110 - of another process
+        while await agent.tasks():  # noqa: ASYNC110 - polls another process
             await asyncio.sleep(0.02)
