--- a/tests/agent/test_agent_restarts.py
+++ b/tests/agent/test_agent_restarts.py
@@ -183,9 +183,10 @@
     async with running_agent(tmp_path, boot="boot-1") as agent:
         await agent.offer("t1", START + "sleep 60")
         await until(lambda: agent.lines("starts"))  # the task is running before its shell has written
-        os.killpg(agent.pid("t1"), signal.SIGKILL)
-        os.kill(agent.pid("t1", "claim"), signal.SIGKILL)
-        await agent.kill()
+        program = agent.pid("t1")
+        await agent.kill()  # before the supervisor, which another one would replace
+        os.kill(agent.pid("t1", "claim"), signal.SIGKILL)  # before its program, whose end it would record
+        os.killpg(program, signal.SIGKILL)
         (agent.state / "tasks" / "t1@0" / "claim.json").unlink()  # as if not on disk at the power failure
         for path in (agent.state / "tasks" / "t1@0").glob("exit.json"):
             path.unlink()
--- a/tests/service/test_grpc_machines.py
+++ b/tests/service/test_grpc_machines.py
@@ -130,8 +130,13 @@
     async with grpc_cluster(2) as (test_cluster, service, client):
         test_cluster.fleet.machines["n0"].drain(on=True)
         await until(lambda: service.controller.registry.entries["n0"].state.value == "Draining")
-        tasks = await asyncio.gather(*(submit_and_wait(client) for _ in range(10)))
-        assert {task.machine for task in tasks if task.answer == "Placed"} == {"n1"}
+        placed_on: set[str | None] = set()
+        async with asyncio.timeout(30):
+            while not placed_on:  # if the event loop stalls, offers are held back and tasks refused
+                tasks = await asyncio.gather(*(submit_and_wait(client) for _ in range(10)))
+                placed_on = {task.machine for task in tasks if task.answer == "Placed"}
+        assert placed_on == {"n1"}
+        assert test_cluster.events("offer", machine="n0") == []
 
 
 async def test_an_unresponsive_machine_does_not_delay_other_tasks() -> None:
--- a/tests/service/test_watch_resumption.py
+++ b/tests/service/test_watch_resumption.py
@@ -37,17 +37,18 @@
             cutting_proxy.cut_after = 20_000
         await until(lambda: service.store.count(JOBS) == 12 and service.controller.open_tasks == 0)
         service.controller.flush(service.clock.now())
-        final = {stored.name: stored.revision for stored in service.store.objects(JOBS)}
+        names = {stored.name for stored in service.store.objects(JOBS)}
 
         def caught_up() -> bool:
             last = {
                 e.object["metadata"]["name"]: int(e.object["metadata"]["resourceVersion"]) for e in received
             }
-            return last == final
+            # Tasks start while the watch catches up, so the store may go on changing.
+            return last == {stored.name: stored.revision for stored in service.store.objects(JOBS)}
 
         await until(caught_up)
         assert cutting_proxy.connections > 3
-        for name in final:
+        for name in names:
             revisions = [
                 int(e.object["metadata"]["resourceVersion"])
                 for e in received
