--- a/kelpfront/fronts/__init__.py
+++ b/kelpfront/fronts/__init__.py
@@ -1,4 +1,5 @@
-"""The protocols in which clients and operators speak to a placer, REST and gRPC.
+"""The REST and gRPC APIs of a placer, for clients and operators.
 
-Both translate requests to `kelpfront.controller.operations`, where their meaning lies, and its results back.
+Both translate requests into calls of `kelpfront.controller.operations`, which implements them, and translate
+the results back.
 """
--- a/kelpfront/fronts/grpc/__init__.py
+++ b/kelpfront/fronts/grpc/__init__.py
@@ -1,4 +1,4 @@
-"""The gRPC API: the services of api.proto around the same operations as the REST API's."""
+"""The gRPC API: the services of api.proto, built on the same operations as the REST API."""
 
 from kelpfront.fronts.grpc.server import GrpcFront, GrpcLimits
 
--- a/kelpfront/fronts/grpc/binding_session.py
+++ b/kelpfront/fronts/grpc/binding_session.py
@@ -1,7 +1,7 @@
-"""What one Bindings stream has sent to its client, and what it is to send next. No I/O.
+"""Tracks what one Bindings stream has sent to its client, and selects what it sends next. No I/O.
 
-Events are not queued: `job_progress` derives them when the client can take them. A client that grants no
-credits costs what its jobs cost, however much happens to them.
+Events of jobs are not queued: `job_progress` derives them when the client has credits for them. A client that
+grants no credits therefore uses no more memory than its jobs do, however often they change.
 """
 
 from __future__ import annotations
@@ -16,21 +16,24 @@
 from kelpfront.rpc.times import duration_message
 
 MAX_REJECTIONS = 1_000
-"""That a client has not read; one that goes on without reading any is cut off."""
+"""Rejections that a client has not read. The stream of a client that exceeds this is ended."""
 MAX_CREDITS = 100_000
-"""That may be granted and not used; more is a client that cannot count."""
+"""Unused credits of a client; a larger grant indicates a faulty client and is rejected."""
 MAX_REF_LENGTH = 128
+"""In characters."""
 RETRY_AFTER_S = 1
 
 
 class BindingSession:
-    """The state of one stream. Its holder records what happens; `next_events` returns what may be sent.
+    """The state of one stream. The `record_*` methods record what happens to its jobs.
+
+    `next_events` returns the events to send.
 
     Args:
-        answers_only: whether the client wants no events of offers.
+        answers_only: whether to leave out the events of offers.
 
     Attributes:
-        credits: how many events the client can take.
+        credits: the number of events that may still be sent to the client.
     """
 
     def __init__(self, *, answers_only: bool) -> None:
@@ -38,26 +41,36 @@
         self._answers_only = answers_only
         self._jobs: dict[str, JobProgress] = {}
         self._rejections: deque[Event] = deque()
-        self._due: dict[str, None] = {}  # refs of which there may be something to send, the oldest first
+        self._pending_refs: dict[
+            str, None
+        ] = {}  # used as an ordered set: jobs that may have events to send, oldest first
 
     @property
-    def refs(self) -> frozenset[str]:
-        """The jobs of which there may be more to send."""
+    def active_refs(self) -> frozenset[str]:
+        """The refs of the jobs that may still have events to send."""
         return frozenset(self._jobs)
 
     @property
     def is_drained(self) -> bool:
-        """Whether everything was sent."""
+        """Whether all events were sent."""
         return not (self._jobs or self._rejections)
 
     def grant_credits(self, credits: int) -> None:
-        """Let so many more events be sent. Raises ApiError 400 for a number that is out of range."""
+        """Allow `credits` more events to be sent, up to `MAX_CREDITS` in total.
+
+        Raises:
+            ApiError: 400 if `credits` is out of range.
+        """
         if not 1 <= credits <= MAX_CREDITS:
             raise ApiError(400, f"credits: {credits} is not from 1 to {MAX_CREDITS}")
         self.credits = min(MAX_CREDITS, self.credits + credits)
 
     def check_ref(self, ref: str) -> None:
-        """Raise ApiError where a submission cannot be one of this stream."""
+        """Check that a job can be submitted under `ref`.
+
+        Raises:
+            ApiError: 400 for an invalid length, 409 if `ref` is in use, 429 if too many jobs are unfinished.
+        """
         if not 1 <= len(ref) <= MAX_REF_LENGTH:
             raise ApiError(400, f"ref: {len(ref)} characters; 1 to {MAX_REF_LENGTH} are allowed")
         if ref in self._jobs:
@@ -70,7 +83,7 @@
             )
 
     def record_submission(self, ref: str, job: Object, *, created: bool) -> None:
-        """Record that a job was accepted, or found where `created` is False."""
+        """Record that a job was accepted, or, if `created` is False, that it existed already."""
         accepted = Event.Accepted(
             name=job["metadata"]["name"],
             uid=job["metadata"]["uid"],
@@ -78,12 +91,13 @@
             created=created,
         )
         self._jobs[ref] = JobProgress(ref, job, Event(ref=ref, accepted=accepted))
-        self._due[ref] = None
+        self._pending_refs[ref] = None
 
     def record_rejection(self, ref: str, error: ApiError) -> None:
-        """Record that a submission was rejected; another by the same ref goes on.
+        """Record that a submission was rejected. An earlier job with the same ref is not affected.
 
-        Raises ApiError 429 where too many rejections are unread.
+        Raises:
+            ApiError: 429 if too many rejections are unread.
         """
         if len(self._rejections) >= MAX_REJECTIONS:
             raise ApiError(
@@ -91,48 +105,48 @@
                 f"{MAX_REJECTIONS} rejections wait to be read, which is the most",
                 retry_after_s=RETRY_AFTER_S,
             )
-        self._rejections.append(Event(ref=ref[:MAX_REF_LENGTH], rejected=_rejected(error)))
+        self._rejections.append(Event(ref=ref[:MAX_REF_LENGTH], rejected=_rejected_event(error)))
 
     def record_change(self, ref: str, job: Object) -> None:
-        """Record how a job is now."""
+        """Record the current state of a job."""
         progress = self._jobs.get(ref)
         if progress is not None:
             progress.job = job
-            self._due[ref] = None
+            self._pending_refs[ref] = None
 
     def record_deletion(self, ref: str) -> None:
         """Record that a job was deleted."""
         progress = self._jobs.get(ref)
         if progress is not None:
             progress.is_deleted = True
-            self._due[ref] = None
+            self._pending_refs[ref] = None
 
     def forget(self, ref: str) -> None:
-        """Send nothing more of a job."""
+        """Stop tracking a job; no more events are sent for it."""
         self._jobs.pop(ref, None)
-        self._due.pop(ref, None)
+        self._pending_refs.pop(ref, None)
 
     def next_events(self, limit: int) -> list[Event]:
-        """Return the next events that the client has credits for, at most `limit`."""
+        """Return the next events, at most `limit` and at most as many as the client has credits for."""
         events: list[Event] = []
         while self._rejections and len(events) < limit and self.credits:
             events.append(self._rejections.popleft())
             self.credits -= 1
-        while self._due and len(events) < limit and self.credits:
-            ref = next(iter(self._due))
+        while self._pending_refs and len(events) < limit and self.credits:
+            ref = next(iter(self._pending_refs))
             progress = self._jobs[ref]
             event = progress.next_event(answers_only=self._answers_only)
             if event is not None:
                 events.append(event)
                 self.credits -= 1
                 continue
-            del self._due[ref]
+            del self._pending_refs[ref]
             if progress.is_complete():
                 del self._jobs[ref]
         return events
 
 
-def _rejected(error: ApiError) -> Event.Rejected:
+def _rejected_event(error: ApiError) -> Event.Rejected:
     return Event.Rejected(
         code=code_of(error).value[0],
         reason=error.reason,
--- a/kelpfront/fronts/grpc/bindings_stream.py
+++ b/kelpfront/fronts/grpc/bindings_stream.py
@@ -1,6 +1,6 @@
-"""One Bindings stream: submissions in, what becomes of them out, as the client's credits allow.
+"""The I/O of one Bindings stream: reads submissions, and writes events of their jobs as credits allow.
 
-What is sent next is decided by the stream's `BindingSession`; this module does its I/O.
+The stream's `BindingSession` decides which events are sent next.
 """
 
 from __future__ import annotations
@@ -22,60 +22,60 @@
 from kelpfront.store import Watch
 from kelpfront.v1 import api_pb2 as pb
 
-MAX_EVENTS_PER_ITERATION = 100
-"""Written before the jobs that have ended are looked for."""
+MAX_EVENTS_PER_BATCH = 100
+"""Events written before the watches of finished jobs are closed."""
 WRITE_TIMEOUT_S = 20.0
-"""For a client that does not read."""
+"""Maximum time for writing one event; a client that does not read exceeds it."""
 RETRY_AFTER_S = 1
-"""For a client whose stream ends with the placer: others go on."""
+"""Short, because other placers still serve when this one stops."""
 
 JobKey = tuple[str, str]
 
 
 class BindingsStream:
-    """One Bindings stream. What comes in is read while what is to be sent is written."""
+    """One Bindings stream, which reads requests and writes events concurrently."""
 
     def __init__(self, service: ServiceContext, context: Context[Any, Any]) -> None:
         self._service = service
         self._operations = service.operations
         self._context = context
-        self._sent_at = read_sent_at(context)  # of the stream: only its first submission can be as old
+        self._sent_at = read_sent_at(context)  # of the stream; valid for its first submission only
         self._signal = StreamSignal()
         self._namespace = ""
         self._watches: dict[str, Watch] = {}
-        self._keys: dict[str, JobKey] = {}
+        self._job_keys: dict[str, JobKey] = {}
 
     async def run(self, requests: AsyncIterator[pb.BindingsRequest]) -> None:
-        """Serve the stream until its client has been told everything, it fails, or the server ends."""
+        """Serve the stream until all events were sent, the stream fails, or the server stops."""
         async with contextlib.AsyncExitStack() as cleanup:
             cleanup.callback(self._close_watches)
             try:
                 cleanup.enter_context(self._service.streams.open(self._signal.stop))
-                session = self._open(await anext(aiter(requests), None))
-                reading = asyncio.create_task(self._read(session, requests))
-                cleanup.push_async_callback(_end, reading)
-                await self._write(session, reading)
-                await reading
+                session = self._open_session(await anext(aiter(requests), None))
+                read_task = asyncio.create_task(self._read(session, requests))
+                cleanup.push_async_callback(_cancel, read_task)
+                await self._write(session, read_task)
+                await read_task
             except ApiError as error:
                 await abort(self._context, error)
             except TimeoutError:
                 message = f"the client did not read for {WRITE_TIMEOUT_S:g} s"
                 await abort(self._context, ApiError(504, message))
 
-    def _open(self, first: pb.BindingsRequest | None) -> BindingSession:
-        if first is None or first.WhichOneof("message") != "open":
+    def _open_session(self, first_request: pb.BindingsRequest | None) -> BindingSession:
+        if first_request is None or first_request.WhichOneof("message") != "open":
             raise ApiError(400, "open: is to be the first message of the stream")
-        if first.open.detail not in pb.Detail.values():
+        if first_request.open.detail not in pb.Detail.values():
             allowed = ", ".join(pb.Detail.keys())
-            raise ApiError(400, f"open.detail: {first.open.detail} is not one of {allowed}")
-        self._namespace = first.open.namespace
-        return BindingSession(answers_only=first.open.detail == pb.DETAIL_ANSWERS)
+            raise ApiError(400, f"open.detail: {first_request.open.detail} is not one of {allowed}")
+        self._namespace = first_request.open.namespace
+        return BindingSession(answers_only=first_request.open.detail == pb.DETAIL_ANSWERS)
 
     def _close_watches(self) -> None:
         for watch in self._watches.values():
             watch.close()
 
-    # ---- From the client ----------------------------------------------------------------------------------
+    # ---- Requests from the client -------------------------------------------------------------------------
 
     async def _read(self, session: BindingSession, requests: AsyncIterator[pb.BindingsRequest]) -> None:
         async for request in requests:
@@ -122,20 +122,20 @@
 
         try:
             watch = self._operations.store.watch(JOBS, on_change, namespace, selector, since)
-        except ApiError as error:  # the job was accepted: the client finds it by its token
+        except ApiError as error:  # the job exists; the client can find it by its client token
             session.forget(ref)
             session.record_rejection(ref, error)
         else:
             self._watches[ref] = watch
-            self._keys[ref] = namespace, name
+            self._job_keys[ref] = namespace, name
 
     def _on_job_changed(self, session: BindingSession, ref: str) -> None:
-        """Record how the job is now. The watch only wakes: its events are passed over."""
+        """Record the current state of a job. The watch only signals a change, so its events are discarded."""
         watch = self._watches.get(ref)
         if watch is None:
             return
         watch.next_events(len(watch))
-        stored = self._operations.store.find(JOBS, self._keys[ref])
+        stored = self._operations.store.find(JOBS, self._job_keys[ref])
         if stored is None:
             session.record_deletion(ref)
         else:
@@ -143,35 +143,42 @@
         self._signal.changed.set()
 
     def _withdraw(self, session: BindingSession, ref: str) -> None:
-        key = self._keys.get(ref)
+        job_key = self._job_keys.get(ref)
         self._unwatch(ref)
         session.forget(ref)
-        if key is not None:
+        if job_key is not None:
             with contextlib.suppress(ApiError):
-                self._operations.delete_job(*key)
+                self._operations.delete_job(*job_key)
 
     def _unwatch(self, ref: str) -> None:
-        self._keys.pop(ref, None)
+        self._job_keys.pop(ref, None)
         watch = self._watches.pop(ref, None)
         if watch is not None:
             watch.close()
 
-    # ---- To the client ------------------------------------------------------------------------------------
+    # ---- Events to the client -----------------------------------------------------------------------------
 
-    async def _write(self, session: BindingSession, reading: asyncio.Task[None]) -> None:
-        """Write until the client has sent all and was told all, reading failed, or the server ends."""
-        reading.add_done_callback(lambda _: self._signal.changed.set())
+    async def _write(self, session: BindingSession, read_task: asyncio.Task[None]) -> None:
+        """Write events until the client has sent its last request and received all events.
+
+        Returns early if reading failed.
+
+        Raises:
+            ApiError: 503 if the server stops.
+            TimeoutError: if the client does not read.
+        """
+        read_task.add_done_callback(lambda _: self._signal.changed.set())
         while True:
             self._signal.changed.clear()
-            events = session.next_events(MAX_EVENTS_PER_ITERATION)
+            events = session.next_events(MAX_EVENTS_PER_BATCH)
             for event in events:
                 async with asyncio.timeout(WRITE_TIMEOUT_S):
                     await self._context.write(event)
             if events:
-                for ref in self._watches.keys() - session.refs:
+                for ref in self._watches.keys() - session.active_refs:
                     self._unwatch(ref)
                 continue
-            if reading.done() and (reading.exception() is not None or session.is_drained):
+            if read_task.done() and (read_task.exception() is not None or session.is_drained):
                 return
             if self._signal.is_stopping:
                 raise ApiError(503, "the placer stops", retry_after_s=RETRY_AFTER_S)
@@ -183,7 +190,7 @@
         raise ApiError(400, "spec.clientToken: is required on a stream, which may break at any time")
 
 
-async def _end(task: asyncio.Task[None]) -> None:
-    """End a task. What it failed with was raised where it was awaited."""
+async def _cancel(task: asyncio.Task[None]) -> None:
+    """Cancel a task and wait for its end. Its exception is raised where the task is awaited, not here."""
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/kelpfront/fronts/grpc/call_metadata.py
+++ b/kelpfront/fronts/grpc/call_metadata.py
@@ -1,4 +1,4 @@
-"""A call's metadata and status, which carry what REST has in headers and in the Status object."""
+"""The metadata and status of a call, which correspond to the headers and Status object of the REST API."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 Context = grpc.aio.ServicerContext
 
-SENT_AT = "sent-at-ms"
-ATTEMPT = "attempt"
+SENT_AT_KEY = "sent-at-ms"
+ATTEMPT_KEY = "attempt"
 
 
 async def abort(context: Context[Any, Any], error: ApiError) -> None:
-    """End a call with the status of an error. It raises, as gRPC's own `abort` does."""
+    """End a call with the status of an error. Always raises, like `abort` of the gRPC library."""
     await context.abort(code_of(error), error.message, trailers(error))
 
 
 def read_metadata(context: Context[Any, Any], name: str) -> str:
-    """Return a value of the client's metadata; empty where it is absent."""
+    """Return a value of the client's metadata, or an empty string if it is absent."""
     for key, value in context.invocation_metadata() or ():
         if key == name and isinstance(value, str):
             return value
@@ -29,8 +29,8 @@
 
 
 def read_sent_at(context: Context[Any, Any]) -> float | None:
-    """Return when the client sent the call, by its own clock, if it says so."""
+    """Return when the client sent the call, in milliseconds by its own clock; None if absent or invalid."""
     try:
-        return float(read_metadata(context, SENT_AT))
+        return float(read_metadata(context, SENT_AT_KEY))
     except ValueError:
         return None
--- a/kelpfront/fronts/grpc/job_progress.py
+++ b/kelpfront/fronts/grpc/job_progress.py
@@ -1,7 +1,7 @@
-"""How much of a job's course its client has been sent, and the event that comes next. No I/O.
+"""Tracks which events of a job were sent to its client, and derives the next one. No I/O.
 
-Events are derived from how the job is now and from what was sent of it: however late they are derived, they
-are complete, since a job keeps all its attempts.
+Events are derived from the current state of the job and from the events sent so far. They are complete
+however late they are derived, because a job keeps all its attempts.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
 
 @dataclass(slots=True)
 class TaskProgress:
-    """What was sent of one task.
+    """The events sent for one task.
 
     Attributes:
-        offered: attempts whose begin was sent.
-        offers_ended: of them, those whose end was sent.
+        offers_sent: the number of attempts whose `offered` event was sent.
+        offer_ends_sent: the number of those whose `offer_ended` event was sent.
         is_answered: whether the answer was sent.
-        is_over: whether nothing more is to be sent.
+        is_finished: whether all events of the task were sent.
     """
 
-    offered: int = 0
-    offers_ended: int = 0
+    offers_sent: int = 0
+    offer_ends_sent: int = 0
     is_answered: bool = False
-    is_over: bool = False
+    is_finished: bool = False
 
     def next_event(self, ref: str, task: Object, *, answers_only: bool) -> Event | None:
-        """Return the next event of the task; None where there is none yet."""
+        """Return the next event of the task, or None if there is none yet."""
         if not self.is_answered:
             event = None if answers_only else self._next_offer(ref, task)
             return self._next_answer(ref, task) if event is None else event
-        if self.is_over or task["state"] not in FINAL_STATES:
+        if self.is_finished or task["state"] not in FINAL_STATES:
             return None
-        self.is_over = True
+        self.is_finished = True
         over = Event.Over(
             index=task["index"],
             state=TASK_STATES.numbers[task["state"]],
@@ -55,34 +55,34 @@
         if answer is None:
             return None
         self.is_answered = True
-        self.is_over = answer != "Placed"
+        self.is_finished = answer != "Placed"
         return answer_event(ref, task["index"], task, answer)
 
     def _next_offer(self, ref: str, task: Object) -> Event | None:
-        """Return the next begin or end of an offer; each is sent once, in their order."""
+        """Return the next `offered` or `offer_ended` event, or None; the attempts are reported in order."""
         attempts = task["attempts"]
-        if self.offers_ended < self.offered:
-            attempt = attempts[self.offers_ended]
+        if self.offer_ends_sent < self.offers_sent:
+            attempt = attempts[self.offer_ends_sent]
             if not attempt.get("end"):
                 return None
-            self.offers_ended += 1
+            self.offer_ends_sent += 1
             return _offer_ended_event(ref, task["index"], attempt)
-        if self.offered >= len(attempts):
+        if self.offers_sent >= len(attempts):
             return None
-        attempt = attempts[self.offered]
-        self.offered += 1
+        attempt = attempts[self.offers_sent]
+        self.offers_sent += 1
         offered = Event.Offered(index=task["index"], attempt=attempt["attempt"], machine=attempt["machine"])
         return Event(ref=ref, offered=offered)
 
 
 @dataclass(slots=True)
 class JobProgress:
-    """What was sent of one job.
+    """The events sent for one job.
 
     Attributes:
         ref: the client's name for the job on its stream.
-        job: how the job is now; None once its deletion was sent.
-        accepted: the first event, until it was sent.
+        job: the current state of the job; None once its deletion was sent.
+        accepted: the first event; None once it was sent.
         tasks: the progress of its tasks, by index.
         is_deleted: whether the job was deleted.
     """
@@ -94,7 +94,7 @@
     is_deleted: bool = False
 
     def next_event(self, *, answers_only: bool) -> Event | None:
-        """Return the next event of the job; None where there is none yet."""
+        """Return the next event of the job, or None if there is none yet."""
         if self.accepted is not None:
             accepted = self.accepted
             self.accepted = None
@@ -112,18 +112,18 @@
         return Event(ref=self.ref, deleted=Event.Deleted())
 
     def is_complete(self) -> bool:
-        """Whether nothing more is to be sent, once `next_event` has returned None."""
+        """Return whether all events were sent. To be called after `next_event` has returned None."""
         if self.is_deleted or self.job is None:
             return True
         tasks = self.job["status"]["tasks"]
-        is_known_over = all(
-            self.tasks[task["index"]].is_over for task in tasks if task["index"] in self.tasks
+        are_known_tasks_finished = all(
+            self.tasks[task["index"]].is_finished for task in tasks if task["index"] in self.tasks
         )
-        return is_known_over and len(self.tasks) >= len(tasks)
+        return are_known_tasks_finished and len(self.tasks) >= len(tasks)
 
 
 def answer_event(ref: str, index: int, task: Object, answer: str) -> Event:
-    """Return the event of a task's answer."""
+    """Return the event that reports a task's answer."""
     reason = task.get("reason", "")
     match answer:
         case "Placed":
--- a/kelpfront/fronts/grpc/job_submission.py
+++ b/kelpfront/fronts/grpc/job_submission.py
@@ -1,4 +1,4 @@
-"""Submissions of the gRPC API, by unary calls and on Bindings streams, as jobs of the controller."""
+"""Submits jobs of the gRPC API to the controller, for unary calls and Bindings streams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class SubmittedJob(NamedTuple):
-    """A job that was accepted, or found by its client token where `created` is False."""
+    """A job that was accepted, or, if `created` is False, an existing job with the same client token."""
 
     job: Object
     created: bool
@@ -24,7 +24,11 @@
     request: pb.SubmitRequest | pb.BindingsRequest.Submit,
     origin: RequestOrigin,
 ) -> SubmittedJob:
-    """Submit a job. Raises ApiError where it is not accepted."""
+    """Submit a job, or find the existing one with its client token.
+
+    Raises:
+        ApiError: if the job is not accepted.
+    """
     operations.check_open(origin.received_at)
     refuse_unknown(request.spec, "spec", request.metadata.name)
     data = job_data(request.metadata, request.spec)
--- a/kelpfront/fronts/grpc/jobs_service.py
+++ b/kelpfront/fronts/grpc/jobs_service.py
@@ -1,4 +1,4 @@
-"""The Jobs service of api.proto: requests to operations, their results to messages."""
+"""The Jobs service of api.proto: translates requests into operations, and results into messages."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from kelpfront.api.meta import JOBS, Object
 from kelpfront.controller.operations import RequestOrigin
 from kelpfront.fronts.grpc.bindings_stream import BindingsStream
-from kelpfront.fronts.grpc.call_metadata import ATTEMPT, Context, read_metadata, read_sent_at
+from kelpfront.fronts.grpc.call_metadata import ATTEMPT_KEY, Context, read_metadata, read_sent_at
 from kelpfront.fronts.grpc.job_submission import submit_job
 from kelpfront.fronts.grpc.reading import EVENT_TYPES, list_page, watch_updates
 from kelpfront.fronts.grpc.service_context import ServiceContext
-from kelpfront.fronts.grpc.unary import answer
+from kelpfront.fronts.grpc.unary import run_unary_call
 from kelpfront.rpc.jobs import job_message
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc as rpc
@@ -21,7 +21,7 @@
 
 
 class JobsService(rpc.JobsServicer):
-    """The Jobs service. Its methods are named by the protocol."""
+    """The Jobs service. The names of its methods are defined in api.proto."""
 
     def __init__(self, service: ServiceContext) -> None:
         self._service = service
@@ -32,14 +32,14 @@
     ) -> pb.SubmitResponse:
         """Submit a job, or find it by its client token."""
         sent_at = read_sent_at(context)
-        is_retry = self._operations.count_try(read_metadata(context, ATTEMPT))
+        is_retry = self._operations.count_try(read_metadata(context, ATTEMPT_KEY))
 
         def submit(received_at: float) -> pb.SubmitResponse:
             origin = RequestOrigin(received_at, sent_at, is_retry)
             submitted = submit_job(self._operations, request.namespace, request, origin)
             return pb.SubmitResponse(job=job_message(submitted.job), created=submitted.created)
 
-        return await answer(self._service, context, submit)
+        return await run_unary_call(self._service, context, submit)
 
     async def Get(  # noqa: N802
         self, request: pb.GetRequest, context: Context[Any, Any]
@@ -50,21 +50,21 @@
             key = request.namespace, request.name
             return job_message(self._operations.get(JOBS, key).body)
 
-        return await answer(self._service, context, get)
+        return await run_unary_call(self._service, context, get)
 
     async def List(  # noqa: N802
         self, request: pb.ListRequest, context: Context[Any, Any]
     ) -> pb.ListJobsResponse:
         """Return a page of jobs."""
 
-        def select(_received_at: float) -> pb.ListJobsResponse:
+        def list_jobs(_received_at: float) -> pb.ListJobsResponse:
             page = list_page(self._operations.store, JOBS, request)
             jobs = [job_message(job) for job in page.objects]
             return pb.ListJobsResponse(
                 jobs=jobs, resume_token=page.resume_token, continue_token=page.continue_token
             )
 
-        return await answer(self._service, context, select)
+        return await run_unary_call(self._service, context, list_jobs)
 
     async def Delete(  # noqa: N802
         self, request: pb.DeleteRequest, context: Context[Any, Any]
@@ -76,23 +76,23 @@
             self._operations.delete_job(request.namespace, request.name, options)
             return pb.DeleteResponse()
 
-        return await answer(self._service, context, delete)
+        return await run_unary_call(self._service, context, delete)
 
     async def Watch(  # noqa: N802
         self, request: pb.WatchRequest, context: Context[Any, Any]
     ) -> AsyncIterator[pb.WatchJobsResponse]:
-        """Send changes of jobs."""
+        """Stream the changes of jobs, and bookmarks with a resume token."""
         async with contextlib.aclosing(watch_updates(self._service, JOBS, request, context)) as updates:
-            async for event, token in updates:
+            async for event, resume_token in updates:
                 if event is None:
-                    yield pb.WatchJobsResponse(type=pb.EVENT_TYPE_BOOKMARK, resume_token=token)
+                    yield pb.WatchJobsResponse(type=pb.EVENT_TYPE_BOOKMARK, resume_token=resume_token)
                 else:
                     job = job_message(event.stored.body)
-                    kind = EVENT_TYPES[event.type.value]
-                    yield pb.WatchJobsResponse(type=kind, job=job, resume_token=token)
+                    event_type = EVENT_TYPES[event.type.value]
+                    yield pb.WatchJobsResponse(type=event_type, job=job, resume_token=resume_token)
 
     async def Bindings(  # noqa: N802
         self, requests: AsyncIterator[pb.BindingsRequest], context: Context[Any, Any]
     ) -> None:
-        """Serve a stream of submissions."""
+        """Serve a Bindings stream: submissions in, events of their jobs out."""
         await BindingsStream(self._service, context).run(requests)
--- a/kelpfront/fronts/grpc/machines_service.py
+++ b/kelpfront/fronts/grpc/machines_service.py
@@ -1,4 +1,4 @@
-"""The Machines service of api.proto: requests to operations, their results to messages."""
+"""The Machines service of api.proto: translates requests into operations, and results into messages."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from kelpfront.fronts.grpc.call_metadata import Context
 from kelpfront.fronts.grpc.reading import EVENT_TYPES, list_page, watch_updates
 from kelpfront.fronts.grpc.service_context import ServiceContext
-from kelpfront.fronts.grpc.unary import answer
+from kelpfront.fronts.grpc.unary import run_unary_call
 from kelpfront.rpc.machines import machine_message
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc as rpc
@@ -18,7 +18,7 @@
 
 
 class MachinesService(rpc.MachinesServicer):
-    """The Machines service. Its methods are named by the protocol."""
+    """The Machines service. The names of its methods are defined in api.proto."""
 
     def __init__(self, service: ServiceContext) -> None:
         self._service = service
@@ -32,43 +32,45 @@
         def get(_received_at: float) -> resources_pb2.Machine:
             return machine_message(self._operations.store.get(MACHINES, ("", request.name)).body)
 
-        return await answer(self._service, context, get)
+        return await run_unary_call(self._service, context, get)
 
     async def List(  # noqa: N802
         self, request: pb.ListRequest, context: Context[Any, Any]
     ) -> pb.ListMachinesResponse:
         """Return a page of machines."""
 
-        def select(_received_at: float) -> pb.ListMachinesResponse:
+        def list_machines(_received_at: float) -> pb.ListMachinesResponse:
             page = list_page(self._operations.store, MACHINES, request)
             machines = [machine_message(machine) for machine in page.objects]
             return pb.ListMachinesResponse(
                 machines=machines, resume_token=page.resume_token, continue_token=page.continue_token
             )
 
-        return await answer(self._service, context, select)
+        return await run_unary_call(self._service, context, list_machines)
 
     async def SetUnschedulable(  # noqa: N802
         self, request: pb.SetUnschedulableRequest, context: Context[Any, Any]
     ) -> resources_pb2.Machine:
-        """Keep new tasks off a machine, or let them on it again."""
+        """Mark a machine as unschedulable, so that it receives no new tasks, or as schedulable again."""
 
         def patch(_received_at: float) -> resources_pb2.Machine:
             change = {"spec": {"unschedulable": request.unschedulable}}
             written = self._operations.patch_machine(request.name, change)
             return machine_message(written.stored.body)
 
-        return await answer(self._service, context, patch)
+        return await run_unary_call(self._service, context, patch)
 
     async def Watch(  # noqa: N802
         self, request: pb.WatchRequest, context: Context[Any, Any]
     ) -> AsyncIterator[pb.WatchMachinesResponse]:
-        """Send changes of machines."""
+        """Stream the changes of machines, and bookmarks with a resume token."""
         async with contextlib.aclosing(watch_updates(self._service, MACHINES, request, context)) as updates:
-            async for event, token in updates:
+            async for event, resume_token in updates:
                 if event is None:
-                    yield pb.WatchMachinesResponse(type=pb.EVENT_TYPE_BOOKMARK, resume_token=token)
+                    yield pb.WatchMachinesResponse(type=pb.EVENT_TYPE_BOOKMARK, resume_token=resume_token)
                 else:
                     machine = machine_message(event.stored.body)
-                    kind = EVENT_TYPES[event.type.value]
-                    yield pb.WatchMachinesResponse(type=kind, machine=machine, resume_token=token)
+                    event_type = EVENT_TYPES[event.type.value]
+                    yield pb.WatchMachinesResponse(
+                        type=event_type, machine=machine, resume_token=resume_token
+                    )
--- a/kelpfront/fronts/grpc/reading.py
+++ b/kelpfront/fronts/grpc/reading.py
@@ -1,6 +1,6 @@
-"""Lists and watches of the gRPC API, the same for all resources.
+"""Lists and watches of the gRPC API, independent of the resource.
 
-Turning objects into messages is left to the services.
+The services convert the objects to messages.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from kelpfront.v1 import api_pb2 as pb
 
 MAX_EVENTS_PER_ITERATION = 100
-"""Sent on one stream before the event loop's other work: some milliseconds."""
+"""Events sent on one stream before the event loop does other work; they take a few milliseconds."""
 BOOKMARK_INTERVAL_S = 10.0
-"""Without changes, between tokens to resume from."""
+"""Time between bookmarks, which carry a resume token, while there are no changes."""
 MAX_TOKEN_DIGITS = 18
-"""More would not fit into 64 bits."""
+"""Digits of a resume token; a number with more might not fit into 64 bits."""
 EVENT_TYPES = {
     "ADDED": pb.EVENT_TYPE_ADDED,
     "MODIFIED": pb.EVENT_TYPE_MODIFIED,
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListPage:
-    """One page of a list, with the tokens to watch from it and to get the next."""
+    """One page of a list, with the tokens to watch for later changes and to request the next page."""
 
     objects: list[Object]
     resume_token: str
@@ -43,14 +43,18 @@
 
 
 class WatchUpdate(NamedTuple):
-    """What a watch sends: a change, or None where only the token is new."""
+    """One message of a watch: a change, or a bookmark with only a token if `event` is None."""
 
     event: WatchEvent | None
     resume_token: str
 
 
 def list_page(store: ResourceStore, resource: Resource, request: pb.ListRequest) -> ListPage:
-    """List objects. Raises ApiError for a request that is malformed or has expired."""
+    """Return one page of objects.
+
+    Raises:
+        ApiError: if the request is malformed or its continue token has expired.
+    """
     namespace = (request.namespace or None) if resource.namespaced else None
     if request.limit < 0:
         raise ApiError(400, f"limit: {request.limit} is below 0")
@@ -63,10 +67,10 @@
 async def watch_updates(
     service: ServiceContext, resource: Resource, request: pb.WatchRequest, context: Context[Any, Any]
 ) -> AsyncGenerator[WatchUpdate, None]:
-    """Yield changes until the client cancels, the history is lost or the server ends.
+    """Yield changes until the client cancels, the watch misses changes, or the server stops.
 
-    To be closed with `contextlib.aclosing`, which closes the watch. A request that cannot be served ends the
-    call with its error.
+    The caller must use `contextlib.aclosing`, which closes the watch. If the request cannot be served, the
+    call is aborted with the error.
     """
     signal = StreamSignal()
     store = service.operations.store
@@ -97,7 +101,7 @@
 
 
 async def _wait_for_change(signal: StreamSignal) -> bool:
-    """Return whether there was a change before a bookmark is due."""
+    """Wait until the watch has a change or a bookmark is due; return whether there was a change."""
     try:
         async with asyncio.timeout(BOOKMARK_INTERVAL_S):
             await signal.changed.wait()
--- a/kelpfront/fronts/grpc/server.py
+++ b/kelpfront/fronts/grpc/server.py
@@ -1,4 +1,4 @@
-"""The gRPC server of a placer: its services, health and reflection, and what it spends on its clients."""
+"""The gRPC server of a placer: its services, health checks, reflection and limits on clients."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 from kelpfront.http.pacing import RequestPacer
 from kelpfront.v1 import api_pb2, api_pb2_grpc
 
-SERVICES = tuple(api_pb2.DESCRIPTOR.services_by_name[name].full_name for name in ("Jobs", "Machines"))
+SERVICE_NAMES = tuple(api_pb2.DESCRIPTOR.services_by_name[name].full_name for name in ("Jobs", "Machines"))
 CLOSE_TIMEOUT_S = 2.0
-"""For calls to end by themselves; those that have not are cancelled."""
+"""Time for open calls to finish; then they are cancelled."""
 MAX_PING_STRIKES = 3
-"""A client that pings too often so many times is cut off."""
+"""Pings sent too early before a client is disconnected."""
 KEEPALIVE_INTERVAL_MS = 30_000
 KEEPALIVE_TIMEOUT_MS = 20_000
-"""A connection whose client answers no ping for so long is closed."""
+"""A connection is closed if its client does not answer a ping for this long."""
 
 
 @dataclass(frozen=True, slots=True)
 class GrpcLimits:
-    """What one server spends on its clients.
+    """Limits on the resources that clients can use.
 
     Attributes:
-        connections: of all clients.
-        message_bytes: of a request.
-        metadata_bytes: of a call.
-        calls_per_connection: at a time, watches among them.
-        streams: watches and Bindings, of all clients.
-        min_ping_interval_ms: between pings of a client; one that pings more often is cut off.
-        idle_ms: a connection without calls is closed after this.
+        connections: maximum number of connections of all clients.
+        message_bytes: maximum size of a request.
+        metadata_bytes: maximum size of a call's metadata.
+        calls_per_connection: maximum number of concurrent calls on a connection, including watches.
+        streams: maximum number of open watches and Bindings streams of all clients.
+        min_ping_interval_ms: minimum time between pings; a client that pings more often is disconnected.
+        idle_ms: time after which a connection without calls is closed.
     """
 
     connections: int = 10_000
@@ -50,7 +50,7 @@
     idle_ms: int = 3_600_000
 
     def channel_options(self) -> list[tuple[str, int]]:
-        """Return the limits as options of gRPC's server."""
+        """Return the limits as options for the gRPC server."""
         return [
             ("grpc.max_allowed_incoming_connections", self.connections),
             ("grpc.max_receive_message_length", self.message_bytes),
@@ -70,15 +70,15 @@
     """The gRPC API of one placer.
 
     Args:
-        operations: carry requests out.
-        common_now: the common clock, in milliseconds since the epoch.
-        pacer: shared with the REST API.
-        notify_changed: called after something was reported to the controller.
-        limits: on clients.
+        operations: executes the requests.
+        common_now: returns the common clock's time, in milliseconds since the epoch.
+        pacer: the request pacer, shared with the REST API.
+        notify_changed: called after each request that may have changed the controller's serving_status.
+        limits: the limits on clients; the defaults if None.
 
     Attributes:
-        port: that is listened on; 0 before the start.
-        streams: the streams that are open.
+        port: the port that the server listens on; 0 before the start.
+        streams: the open streams.
     """
 
     def __init__(
@@ -99,12 +99,16 @@
         self._server: grpc.aio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Listen on HOST:PORT. Raises OSError where the address cannot be had."""
+        """Start to listen on `address`, as HOST:PORT.
+
+        Raises:
+            OSError: if the server cannot listen on the address.
+        """
         server = grpc.aio.server(options=self.limits.channel_options())
         api_pb2_grpc.add_JobsServicer_to_server(self._jobs, server)
         api_pb2_grpc.add_MachinesServicer_to_server(self._machines, server)
         health_pb2_grpc.add_HealthServicer_to_server(self._health, server)
-        names = (*SERVICES, health.SERVICE_NAME, reflection.SERVICE_NAME)
+        names = (*SERVICE_NAMES, health.SERVICE_NAME, reflection.SERVICE_NAME)
         reflection.enable_server_reflection(names, server)
         self.port = _add_port(server, address)
         self._server = server
@@ -112,19 +116,22 @@
         await server.start()
 
     async def set_ready(self, *, ready: bool) -> None:
-        """Publish by the standard health service whether jobs are accepted; the server as a whole lives."""
+        """Report through the standard health service whether jobs are accepted.
+
+        The server as a whole, under the empty name, is always reported as serving.
+        """
         serving = health_pb2.HealthCheckResponse.SERVING
-        state = serving if ready else health_pb2.HealthCheckResponse.NOT_SERVING
+        serving_status = serving if ready else health_pb2.HealthCheckResponse.NOT_SERVING
         await self._health.set("", serving)
-        for name in SERVICES:
-            await self._health.set(name, state)
+        for name in SERVICE_NAMES:
+            await self._health.set(name, serving_status)
 
     def end_streams(self) -> None:
-        """Let every watch end behind a last token, and every Bindings stream with UNAVAILABLE."""
+        """Ask all streams to end: watches with a last resume token, Bindings streams with UNAVAILABLE."""
         self.streams.stop_all()
 
     async def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Accept no more calls, and cancel those that have not ended in time."""
+        """Accept no more calls, and cancel those that have not ended within `timeout_s`."""
         if self._server is not None:
             server = self._server
             self._server = None
@@ -135,7 +142,7 @@
     try:
         port = server.add_insecure_port(address)
     except RuntimeError as error:
-        raise OSError(f"{address}: cannot be listened on") from error
+        raise OSError(f"cannot listen on {address}") from error
     if not port:
-        raise OSError(f"{address}: cannot be listened on")
+        raise OSError(f"cannot listen on {address}")
     return port
--- a/kelpfront/fronts/grpc/service_context.py
+++ b/kelpfront/fronts/grpc/service_context.py
@@ -1,4 +1,4 @@
-"""What the services of the gRPC API share."""
+"""The dependencies that the services of the gRPC API share."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceContext:
-    """What the services of one server share.
+    """The dependencies that the services of one server share.
 
     Attributes:
-        operations: carry requests out.
-        now: the common clock, in milliseconds since the epoch.
-        pacer: shared with the REST API.
+        operations: executes the requests.
+        now: returns the common clock's time, in milliseconds since the epoch.
+        pacer: the request pacer, shared with the REST API.
         streams: the open streams of all services.
-        notify_changed: to be called after something was reported to the controller.
+        notify_changed: must be called after each request that may have changed the controller's state.
     """
 
     operations: Operations
--- a/kelpfront/fronts/grpc/unary.py
+++ b/kelpfront/fronts/grpc/unary.py
@@ -1,4 +1,4 @@
-"""Runs the unary calls of the gRPC API: paced, and with errors as their status."""
+"""Runs the unary calls of the gRPC API: paces them, and converts errors to their status."""
 
 from __future__ import annotations
 
@@ -17,23 +17,25 @@
 T = TypeVar("T")
 
 
-async def answer(service: ServiceContext, context: Context[Any, Any], call: Callable[[float], T]) -> T:
-    """Wait for the request's slot and return what `call` makes of it; an ApiError ends the gRPC call.
+async def run_unary_call(
+    service: ServiceContext, context: Context[Any, Any], call: Callable[[float], T]
+) -> T:
+    """Wait for a slot of the pacer, run `call` and return its result; an error aborts the gRPC call.
 
-    `call` is given when the request was received, in milliseconds of the common clock.
+    `call` receives the time at which the request arrived, in milliseconds of the common clock.
     """
     received_at = service.now()
     await service.pacer.wait_for_slot()
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     try:
         return call(received_at)
     except ApiError as error:
         await abort(context, error)
-        raise AssertionError("abort raises") from error
+        raise AssertionError("abort() returned instead of raising") from error
     except Exception:
         log.exception("grpc call failed")
         await abort(context, ApiError(500, "an error of the server's own; its log has the details"))
         raise
     finally:
-        service.pacer.record_work(time.perf_counter() - began_s)
+        service.pacer.record_work(time.perf_counter() - started_s)
         service.notify_changed()
--- a/kelpfront/fronts/open_streams.py
+++ b/kelpfront/fronts/open_streams.py
@@ -1,6 +1,6 @@
-"""The streams of one front that are open: how many there may be, and how they are told that the placer stops.
+"""Limits the number of open streams of one API, and asks them to end when the placer stops.
 
-A stream is an answer that goes on, such as a watch. What it sends is left to the stream.
+A stream is a response without a fixed end, such as a watch. This module does not deal with its content.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 from kelpfront.api.errors import ApiError
 
 RETRY_AFTER_S = 1
-"""Streams end all the time where many are open."""
+"""Short, because some of many open streams end at any time."""
 
 
 class StreamSignal:
-    """What wakes a stream that waits.
+    """Wakes a stream that waits for something to send.
 
     Attributes:
-        changed: set when there may be something to send.
-        is_stopping: whether the stream is to end.
+        changed: set when there may be something to send, or when the stream must end.
+        is_stopping: whether the stream must end.
     """
 
     def __init__(self) -> None:
@@ -37,33 +37,37 @@
     """Counts the open streams, and can ask all of them to end.
 
     Args:
-        limit: how many may be open; None for any number.
+        limit: the maximum number of open streams; None for no limit.
     """
 
     def __init__(self, limit: int | None = None) -> None:
         self._limit = limit
-        self._last_number = 0
-        self._stops: dict[int, Callable[[], None]] = {}
+        self._last_stream_id = 0
+        self._stop_callbacks: dict[int, Callable[[], None]] = {}
 
     def __len__(self) -> int:
-        return len(self._stops)
+        return len(self._stop_callbacks)
 
     @contextmanager
     def open(self, stop: Callable[[], None]) -> Iterator[None]:
-        """Count a stream within a `with` block. Raises ApiError 429 where too many are open."""
-        if self._limit is not None and len(self._stops) >= self._limit:
+        """Count a stream as open for the duration of a `with` block; `stop` is called to ask it to end.
+
+        Raises:
+            ApiError: 429 if too many streams are open.
+        """
+        if self._limit is not None and len(self._stop_callbacks) >= self._limit:
             raise ApiError(
                 429, f"{self._limit} streams are open, which is the most", retry_after_s=RETRY_AFTER_S
             )
-        self._last_number += 1
-        number = self._last_number
-        self._stops[number] = stop
+        self._last_stream_id += 1
+        stream_id = self._last_stream_id
+        self._stop_callbacks[stream_id] = stop
         try:
             yield
         finally:
-            del self._stops[number]
+            del self._stop_callbacks[stream_id]
 
     def stop_all(self) -> None:
         """Ask all streams to end."""
-        for stop in list(self._stops.values()):
+        for stop in list(self._stop_callbacks.values()):
             stop()
--- a/tests/fronts/test_binding_session.py
+++ b/tests/fronts/test_binding_session.py
@@ -48,7 +48,7 @@
         "bound",
         "over",
     ]
-    assert not session.refs
+    assert not session.active_refs
     assert kinds(session) == []
 
 
@@ -57,7 +57,7 @@
     session.grant_credits(100)
     session.record_submission("r", session_job("Refused", "Refused", attempts=4, end="refused"), created=True)
     assert kinds(session) == ["accepted", "refused"]
-    assert not session.refs
+    assert not session.active_refs
 
 
 def test_jobs_and_credits_of_a_session_are_limited() -> None:
