--- a/kelpfront/fronts/rest/__init__.py
+++ b/kelpfront/fronts/rest/__init__.py
@@ -1,4 +1,4 @@
-"""The REST API: list and watch by the public conventions of the Kubernetes API."""
+"""The REST API; it follows the public conventions of the Kubernetes API."""
 
 from kelpfront.fronts.rest.environment import Health, RestEnvironment
 from kelpfront.fronts.rest.front import RestFront
--- a/kelpfront/fronts/rest/collection_requests.py
+++ b/kelpfront/fronts/rest/collection_requests.py
@@ -1,4 +1,4 @@
-"""Requests to a collection of the REST API: list, watch, create and delete a selection."""
+"""Requests to a collection of the REST API: list, watch, create and delete by selector."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 from kelpfront.http.messages import Request, Response
 
 RETRY_AFTER_S = 1
-"""A revision of another replica's list is reached soon, if ever."""
+"""Short: a revision listed by another replica is reached soon or never."""
 
 
 class CollectionRequests:
-    """Answers requests to a collection.
+    """Handles requests to a collection.
 
     Attributes:
-        watches: the watches that are open.
+        watches: the open watches.
     """
 
     def __init__(self, operations: Operations, environment: RestEnvironment) -> None:
@@ -42,7 +42,11 @@
         self._environment = environment
 
     def handle(self, request: Request, path: ResourcePath) -> Response:
-        """Answer a request; ApiError where it is not carried out."""
+        """Execute a request and return its response.
+
+        Raises:
+            ApiError: if the request is rejected.
+        """
         can_create = path.namespace is not None and "create" in path.resource.verbs
         match request.method:
             case "GET" | "HEAD":
@@ -89,24 +93,26 @@
         head = msgspec.json.encode(
             {"kind": resource.list_kind, "apiVersion": API_VERSION, "metadata": metadata}
         )
-        # The items are encoded already: they are joined in place of the head's last brace.
+        # The items are already encoded, so they are appended in place of the closing brace of the head.
         items = b",".join([stored.encoded for stored in page.items])
         return Response(200, head[:-1] + b',"items":[' + items + b"]}")
 
     def _check_list_revision(self, request: Request) -> None:
-        """Reject a list of another than the present revision, which would mislead its client."""
-        given = read_integer(request, "resourceVersion")
-        match = request.query.get("resourceVersionMatch", "")
-        present = self._operations.store.revision
-        if match not in ("", "NotOlderThan", "Exact"):
-            raise ApiError(400, f"resourceVersionMatch: {match!r} is not one of NotOlderThan, Exact")
-        if match and not given:
+        """Reject a list request that the current revision does not satisfy; only that one can be listed."""
+        requested = read_integer(request, "resourceVersion")
+        match_mode = request.query.get("resourceVersionMatch", "")
+        current = self._operations.store.revision
+        if match_mode not in ("", "NotOlderThan", "Exact"):
+            raise ApiError(400, f"resourceVersionMatch: {match_mode!r} is not one of NotOlderThan, Exact")
+        if match_mode and not requested:
             raise ApiError(400, "resourceVersionMatch: needs a resourceVersion")
-        if given is not None and given > present:
-            message = f"Too large resource version: {given}, current: {present}"
+        if requested is not None and requested > current:
+            message = f"Too large resource version: {requested}, current: {current}"
             raise ApiError(504, message, retry_after_s=RETRY_AFTER_S)
-        if match == "Exact" and given != present:
-            raise ApiError(410, f"resource version {given} is no longer kept as a whole", reason="Expired")
+        if match_mode == "Exact" and requested != current:
+            raise ApiError(
+                410, f"resource version {requested} is no longer kept as a whole", reason="Expired"
+            )
 
     def _watch(self, request: Request, path: ResourcePath) -> Response:
         watch_request = self._read_watch_request(request, path)
@@ -118,23 +124,23 @@
         resource = path.resource
         since = read_integer(request, "resourceVersion") or None
         sends_initial_events = read_flag(request, "sendInitialEvents")
-        bookmarks = read_flag(request, "allowWatchBookmarks")
+        sends_bookmarks = read_flag(request, "allowWatchBookmarks")
         timeout_s = self._watch_timeout_s(read_integer(request, "timeoutSeconds"))
         return WatchRequest(
             resource=resource,
             namespace=path.namespace if resource.namespaced else None,
             selector=read_selector(request, resource),
             since=None if sends_initial_events else since,
-            bookmarks=bookmarks,
-            initial_end=sends_initial_events and bookmarks,
+            sends_bookmarks=sends_bookmarks,
+            marks_initial_end=sends_initial_events and sends_bookmarks,
             timeout_s=timeout_s,
         )
 
     def _watch_timeout_s(self, requested_s: int | None) -> float:
-        """Return how long a watch lasts. Without a wish of the client's it is drawn.
+        """Return how long a watch lasts: as requested, up to the maximum, or a random time if not requested.
 
-        Watches of equal length that began together would all be resumed together.
+        Watches of equal duration that were opened together would all be resumed together.
         """
-        longest_s = self._environment.watch_times.longest_s
-        drawn_s = longest_s * (0.5 + self._environment.rng.random() / 2)
-        return min(float(requested_s), longest_s) if requested_s else drawn_s
+        max_duration_s = self._environment.watch_times.max_duration_s
+        random_s = max_duration_s * (0.5 + self._environment.rng.random() / 2)
+        return min(float(requested_s), max_duration_s) if requested_s else random_s
--- a/kelpfront/fronts/rest/discovery.py
+++ b/kelpfront/fronts/rest/discovery.py
@@ -1,4 +1,7 @@
-"""What the API tells of itself: its groups, resources and version. Its models are described by `openapi`."""
+"""The discovery documents of the API: its groups, resources and version.
+
+The schemas of its objects are in `openapi`.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 _GROUP_VERSION = {"groupVersion": API_VERSION, "version": VERSION}
 
 
-def release() -> str:
+def package_version() -> str:
     """Return the version of the installed package."""
     return version("kelpfront")
 
@@ -29,7 +32,7 @@
 
 
 def core_versions() -> Object:
-    """Return the versions of the core group. There is none; its list is empty."""
+    """Return the versions of the core group: an empty list, because this API has no core group."""
     return {"kind": "APIVersions", "versions": [], "serverAddressByClientCIDRs": []}
 
 
@@ -55,5 +58,5 @@
 
 def version_info() -> Object:
     """Return the server's version."""
-    major, minor, *_ = release().split(".")
-    return {"major": major, "minor": minor, "gitVersion": f"v{release()}", "platform": "python"}
+    major, minor, *_ = package_version().split(".")
+    return {"major": major, "minor": minor, "gitVersion": f"v{package_version()}", "platform": "python"}
--- a/kelpfront/fronts/rest/environment.py
+++ b/kelpfront/fronts/rest/environment.py
@@ -1,4 +1,4 @@
-"""What the REST API is given by the process that serves it."""
+"""The dependencies that the REST API receives from the process that serves it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """Why the placer is not alive, and why it accepts no jobs; empty where it is and does."""
+    """The results of the liveness and readiness checks.
+
+    Attributes:
+        live: why the placer is not alive; empty if it is.
+        ready: why the placer accepts no jobs; empty if it accepts them.
+    """
 
     live: str = ""
     ready: str = ""
@@ -20,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RestEnvironment:
-    """What the REST API needs of its process.
+    """The dependencies that the REST API receives from its process.
 
     Attributes:
-        common_time: turns a time of the event loop, in seconds, into the common clock's milliseconds.
-        health: tells the process's health.
-        rng: spreads the ends of watches.
-        watch_times: of all watches.
-        read_task_output: reads a task's output from its machine; None where it cannot be read.
+        common_time: converts a time of the event loop, in seconds, to the common clock, in milliseconds.
+        health: returns the health of the process.
+        rng: randomizes the duration of watches.
+        watch_times: the timing of all watches.
+        read_task_output: reads a task's output from its machine; None if this process cannot.
     """
 
     common_time: Callable[[float], float]
--- a/kelpfront/fronts/rest/front.py
+++ b/kelpfront/fronts/rest/front.py
@@ -1,7 +1,7 @@
-"""The REST API of one placer: routes each request to what answers it, and turns errors into answers.
+"""The REST API of one placer: routes each request to its handler, and converts errors to responses.
 
-Objects are answered by `object_requests`, collections and watches by `collection_requests`, the documents
-that describe the API by `discovery` and `openapi`.
+`object_requests` handles objects, `collection_requests` handles collections and watches, and `discovery` and
+`openapi` provide the documents that describe the API.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         }
 
     async def handle(self, request: Request) -> Response:
-        """Answer a request, whatever comes of it."""
+        """Execute a request and return its response; errors are returned as responses too."""
         try:
             return self._route(request)
         except ApiError as error:
@@ -58,13 +58,13 @@
             return error_response(ApiError(500, "an error of the server's own; its log has the details"))
 
     def end_watches(self) -> None:
-        """Let every watch end as at its timeout: with a bookmark to resume from."""
+        """Ask every watch to end as at its timeout, with a bookmark from which its client can resume."""
         self._collections.watches.stop_all()
 
     def _route(self, request: Request) -> Response:
         path = request.path.rstrip("/") or "/"
         if path in HEALTH_PATHS:
-            return self._answer_health(path)
+            return self._health_response(path)
         if path in self._documents:
             if request.method not in ("GET", "HEAD"):
                 raise method_not_allowed(request.method, ("GET",))
@@ -73,22 +73,22 @@
             raise ApiError(404, f"{path}: no such document")
         resource_path = parse_path(path)
         if resource_path.subresource:
-            return self._read_output(request, resource_path)
+            return self._task_output_response(request, resource_path)
         check_accept(request)
         if resource_path.name:
             return self._objects.handle(request, resource_path)
         return self._collections.handle(request, resource_path)
 
-    def _answer_health(self, path: str) -> Response:
+    def _health_response(self, path: str) -> Response:
         health = self._environment.health()
         problem = health.live if path == LIVE_PATH else health.live or health.ready
         return Response(503 if problem else 200, (problem or "ok").encode(), PLAIN_TEXT)
 
-    def _read_output(self, request: Request, path: ResourcePath) -> Response:
+    def _task_output_response(self, request: Request, path: ResourcePath) -> Response:
         if request.method != "GET":
             raise method_not_allowed(request.method, ("GET",))
-        read = self._environment.read_task_output
-        if read is None:
+        read_output = self._environment.read_task_output
+        if read_output is None:
             raise ApiError(503, "this server reads no output of tasks")
         job_key = path.namespace or "", path.name
-        return task_output_response(self._operations.store, request, job_key, read)
+        return task_output_response(self._operations.store, request, job_key, read_output)
--- a/kelpfront/fronts/rest/object_requests.py
+++ b/kelpfront/fronts/rest/object_requests.py
@@ -14,14 +14,18 @@
 
 
 class ObjectRequests:
-    """Answers requests to one object."""
+    """Handles requests to one object."""
 
     def __init__(self, operations: Operations, environment: RestEnvironment) -> None:
         self._operations = operations
         self._environment = environment
 
     def handle(self, request: Request, path: ResourcePath) -> Response:
-        """Answer a request; ApiError where it is not carried out."""
+        """Execute a request and return its response.
+
+        Raises:
+            ApiError: if the request is rejected.
+        """
         is_job = path.resource is JOBS
         match request.method:
             case "GET" | "HEAD":
--- a/kelpfront/fronts/rest/openapi.py
+++ b/kelpfront/fronts/rest/openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI 3 document of the REST API, from the models that check what comes in."""
+"""The OpenAPI 3 document of the REST API, generated from the models that validate requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     Object,
     Resource,
 )
-from kelpfront.fronts.rest.discovery import release
+from kelpfront.fronts.rest.discovery import package_version
 from kelpfront.fronts.rest.parameters import JSON, MERGE_PATCH
 
 MODELS: dict[str, type[BaseModel]] = {JOBS.plural: Job, MACHINES.plural: Machine, LEVELS.plural: Level}
@@ -31,7 +31,7 @@
 
 
 def index() -> Object:
-    """Return where the document is; its hash lets clients keep it."""
+    """Return the index of documents. The URL contains a hash, so that clients can cache the document."""
     path = f"apis/{API_VERSION}"
     digest = hashlib.blake2b(msgspec.json.encode(document()), digest_size=16).hexdigest()
     return {"paths": {path: {"serverRelativeURL": f"/openapi/v3/{path}?hash={digest}"}}}
@@ -39,13 +39,13 @@
 
 @cache
 def document() -> Object:
-    """Return the document."""
+    """Return the OpenAPI document."""
     paths: dict[str, Any] = {}
     for resource in RESOURCES.values():
         paths |= _paths(resource)
     return {
         "openapi": "3.0.0",
-        "info": {"title": "kelpfront", "version": f"v{release()}"},
+        "info": {"title": "kelpfront", "version": f"v{package_version()}"},
         "paths": paths,
         "components": {"schemas": _schemas()},
     }
@@ -65,11 +65,11 @@
 
 
 def _watch_event_schema() -> Object:
-    kinds = ["ADDED", "MODIFIED", "DELETED", "BOOKMARK", "ERROR"]
+    event_types = ["ADDED", "MODIFIED", "DELETED", "BOOKMARK", "ERROR"]
     return {
         "type": "object",
         "required": ["type", "object"],
-        "properties": {"type": {"type": "string", "enum": kinds}, "object": {"type": "object"}},
+        "properties": {"type": {"type": "string", "enum": event_types}, "object": {"type": "object"}},
     }
 
 
@@ -87,38 +87,38 @@
 
 
 def _status_schema() -> Object:
-    text = {"type": "string"}
+    string = {"type": "string"}
     integer = {"type": "integer"}
-    cause = {"type": "object", "properties": {"reason": text, "message": text, "field": text}}
+    cause = {"type": "object", "properties": {"reason": string, "message": string, "field": string}}
     details = {
-        "name": text,
-        "group": text,
-        "kind": text,
-        "uid": text,
+        "name": string,
+        "group": string,
+        "kind": string,
+        "uid": string,
         "causes": {"type": "array", "items": cause},
         "retryAfterSeconds": integer,
     }
     return {
         "type": "object",
         "properties": {
-            "kind": text,
-            "apiVersion": text,
+            "kind": string,
+            "apiVersion": string,
             "metadata": {"type": "object"},
             "status": {"type": "string", "enum": ["Success", "Failure"]},
-            "message": text,
-            "reason": text,
+            "message": string,
+            "reason": string,
             "code": integer,
             "details": {"type": "object", "properties": details},
         },
     }
 
 
-def _parameter(name: str, kind: str, description: str, where: str = "query") -> Object:
+def _parameter(name: str, schema_type: str, description: str, location: str = "query") -> Object:
     return {
         "name": name,
-        "in": where,
-        "required": where == "path",
-        "schema": {"type": kind},
+        "in": location,
+        "required": location == "path",
+        "schema": {"type": schema_type},
         "description": description,
     }
 
@@ -144,26 +144,28 @@
 
 def _paths(resource: Resource) -> Object:
     base = f"/apis/{API_VERSION}"
-    path_parameters = []
+    collection_parameters = []
     collection = f"{base}/{resource.plural}"
     paths: Object = {}
     if resource.namespaced:
         paths[collection] = {"get": _operation(resource, "list", "listAll", [])}
         collection = f"{base}/namespaces/{{namespace}}/{resource.plural}"
-        path_parameters.append(_parameter("namespace", "string", "The owner's namespace.", "path"))
-    named = [*path_parameters, _parameter("name", "string", "The object's name.", "path")]
-    one: Object = {"get": _operation(resource, "get", "read", named)}
-    many: Object = {"get": _operation(resource, "list", "list", path_parameters)}
-    for verb, method, identity in (("update", "put", "replace"), ("patch", "patch", "patch")):
-        one[method] = _operation(resource, verb, identity, named)
+        collection_parameters.append(_parameter("namespace", "string", "The owner's namespace.", "path"))
+    object_parameters = [*collection_parameters, _parameter("name", "string", "The object's name.", "path")]
+    object_operations: Object = {"get": _operation(resource, "get", "read", object_parameters)}
+    collection_operations: Object = {"get": _operation(resource, "list", "list", collection_parameters)}
+    for verb, method, id_prefix in (("update", "put", "replace"), ("patch", "patch", "patch")):
+        object_operations[method] = _operation(resource, verb, id_prefix, object_parameters)
     if "create" in resource.verbs:
-        many["post"] = _operation(resource, "create", "create", path_parameters)
-        many["delete"] = _operation(resource, "deletecollection", "deleteCollection", path_parameters)
-        one["delete"] = _operation(resource, "delete", "delete", named)
-    paths[collection] = many
-    paths[f"{collection}/{{name}}"] = one
+        collection_operations["post"] = _operation(resource, "create", "create", collection_parameters)
+        collection_operations["delete"] = _operation(
+            resource, "deletecollection", "deleteCollection", collection_parameters
+        )
+        object_operations["delete"] = _operation(resource, "delete", "delete", object_parameters)
+    paths[collection] = collection_operations
+    paths[f"{collection}/{{name}}"] = object_operations
     if resource is JOBS:
-        paths[f"{collection}/{{name}}/log"] = {"get": _log_operation(named)}
+        paths[f"{collection}/{{name}}/log"] = {"get": _log_operation(object_parameters)}
     return paths
 
 
@@ -184,9 +186,9 @@
     }
 
 
-def _operation(resource: Resource, verb: str, identity: str, parameters: list[Object]) -> Object:
+def _operation(resource: Resource, verb: str, id_prefix: str, parameters: list[Object]) -> Object:
     operation: Object = {
-        "operationId": f"{identity}{resource.kind}",
+        "operationId": f"{id_prefix}{resource.kind}",
         "x-kubernetes-action": verb,
         "parameters": parameters
         + (_LIST_PARAMETERS if verb in ("list", "deletecollection") else [])
@@ -204,16 +206,17 @@
 
 def _responses(resource: Resource, verb: str) -> Object:
     schema = _reference(resource.kind)
-    answers: dict[str, Object] = {"200": schema}
+    schemas_by_status: dict[str, Object] = {"200": schema}
     match verb:
         case "list":
-            answers = {"200": _reference(resource.list_kind)}
+            schemas_by_status = {"200": _reference(resource.list_kind)}
         case "delete" | "deletecollection":
-            answers = {"200": _reference("Status")}
+            schemas_by_status = {"200": _reference("Status")}
         case "create":
-            answers = {"200": schema, "201": schema}
+            schemas_by_status = {"200": schema, "201": schema}
     responses: Object = {
-        code: {"description": "OK", "content": {JSON: {"schema": answer}}} for code, answer in answers.items()
+        status: {"description": "OK", "content": {JSON: {"schema": body_schema}}}
+        for status, body_schema in schemas_by_status.items()
     }
     responses["default"] = _ERROR_RESPONSE
     return responses
--- a/kelpfront/fronts/rest/parameters.py
+++ b/kelpfront/fronts/rest/parameters.py
@@ -1,4 +1,4 @@
-"""Reads the headers, query parameters and bodies of REST requests. What is malformed is an ApiError."""
+"""Reads the headers, query parameters and bodies of REST requests; raises ApiError if they are malformed."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 JSON = "application/json"
 MERGE_PATCH = "application/merge-patch+json"
 SENT_AT_HEADER = "kelpfront-sent-at"
-"""When the client sent the request, in milliseconds since the epoch by its own clock."""
+"""When the client sent the request, in milliseconds since the epoch by the client's clock."""
 ATTEMPT_HEADER = "kelpfront-attempt"
+"""The number of the client's attempt to send this submission; above 0 for a retry."""
 MAX_INTEGER_DIGITS = 18
-"""More would not fit into 64 bits."""
+"""Digits of a query parameter; a number with more might not fit into 64 bits."""
 
 
 def read_flag(request: Request, name: str) -> bool:
-    """Return a boolean query parameter; False where it is absent."""
+    """Return a boolean query parameter, or False if it is absent."""
     value = request.query.get(name, "false").lower()
     if value not in ("true", "1", "false", "0", ""):
         raise ApiError(400, f"{name}: {value!r} is not one of true, false")
@@ -28,7 +29,7 @@
 
 
 def read_integer(request: Request, name: str) -> int | None:
-    """Return a query parameter that is an integer of 0 or more; None where it is absent."""
+    """Return a query parameter that is a non-negative integer, or None if it is absent."""
     value = request.query.get(name, "")
     if not value:
         return None
@@ -38,13 +39,13 @@
 
 
 def read_selector(request: Request, resource: Resource) -> Selector:
-    """Return what the request selects of a resource's objects."""
+    """Return the selector in the label and field selector parameters."""
     query = request.query
     return parse_selector(resource, query.get("labelSelector", ""), query.get("fieldSelector", ""))
 
 
 def read_validation(request: Request) -> FieldValidation:
-    """Return how unknown fields of the body are to be treated."""
+    """Return how to handle unknown fields of the body."""
     value: Any = request.query.get("fieldValidation") or "Strict"
     allowed = get_args(FieldValidation)
     if value not in allowed:
@@ -54,16 +55,23 @@
 
 
 def read_body(request: Request, content_type: str) -> Object:
-    """Return the body as data; ApiError 415 where it is of another type."""
-    given = request.headers.get("content-type", content_type).partition(";")[0].strip().lower()
-    if given != content_type:
-        raise ApiError(415, f"content-type {given!r}: {content_type} is supported here")
+    """Parse the body as JSON.
+
+    Raises:
+        ApiError: 415 if the content type is not `content_type`, 400 if the body cannot be parsed.
+    """
+    actual_type = request.headers.get("content-type", content_type).partition(";")[0].strip().lower()
+    if actual_type != content_type:
+        raise ApiError(415, f"content-type {actual_type!r}: {content_type} is supported here")
     data: Object = parse_json(request.body)
     return data
 
 
 def read_sent_at(request: Request) -> float | None:
-    """Return when the client sent the request; its job's timeout then counts from there."""
+    """Return when the client sent the request; None if absent or invalid.
+
+    The timeout of the job counts from this time.
+    """
     try:
         return float(request.headers[SENT_AT_HEADER])
     except (KeyError, ValueError):
@@ -71,14 +79,14 @@
 
 
 def check_accept(request: Request) -> None:
-    """Raise ApiError 406 where the client does not accept JSON."""
+    """Raise ApiError 406 if the client does not accept JSON."""
     accept = request.headers.get("accept", "")
-    types = {part.partition(";")[0].strip() for part in accept.split(",")}
-    if accept and not types & {JSON, "application/*", "*/*", ""}:
+    accepted_types = {part.partition(";")[0].strip() for part in accept.split(",")}
+    if accept and not accepted_types & {JSON, "application/*", "*/*", ""}:
         raise ApiError(406, f"accept {accept!r}: only {JSON} is served")
 
 
 def reject_dry_run(request: Request) -> None:
-    """Raise ApiError 400 for a dry run, which would be carried out."""
+    """Raise ApiError 400 for a dry run, which would otherwise be executed as a real request."""
     if request.query.get("dryRun"):
         raise ApiError(400, "dryRun is not supported")
--- a/kelpfront/fronts/rest/paths.py
+++ b/kelpfront/fronts/rest/paths.py
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourcePath:
-    """What a path names.
+    """The resource, and the object if any, that a path refers to.
 
     Attributes:
         resource: the type of the objects.
-        namespace: None where the path has none.
-        name: of one object; empty for the collection.
-        subresource: of the object; empty for the object itself.
+        namespace: the namespace; None if the path has none.
+        name: the name of the object; empty for the collection.
+        subresource: the subresource of the object; empty for the object itself.
     """
 
     resource: Resource
@@ -28,16 +28,20 @@
 
 
 def parse_path(path: str) -> ResourcePath:
-    """Parse the path of a request. Raises ApiError 404 where it names no resource."""
-    found = _parse_segments(path.strip("/").split("/"))
-    if found is None:
+    """Parse the path of a request.
+
+    Raises:
+        ApiError: 404 if the path refers to no resource.
+    """
+    resource_path = _parse_segments(path.strip("/").split("/"))
+    if resource_path is None:
         raise ApiError(404, f"{path}: the server has no such resource")
-    return found
+    return resource_path
 
 
 def _parse_segments(segments: list[str]) -> ResourcePath | None:
-    is_of_group = segments[:2] == ["apis", GROUP] and len(segments) > 3
-    if not is_of_group or f"{GROUP}/{segments[2]}" != API_VERSION:
+    is_in_group = segments[:2] == ["apis", GROUP] and len(segments) > 3
+    if not is_in_group or f"{GROUP}/{segments[2]}" != API_VERSION:
         return None
     namespace: str | None = None
     rest = segments[3:]
@@ -50,9 +54,9 @@
     if resource is JOBS and namespace is not None and rest[2:] == [OUTPUT_SUBRESOURCE]:
         return ResourcePath(resource, namespace, rest[1], OUTPUT_SUBRESOURCE)
     name = rest[1] if len(rest) == 2 else ""
-    is_too_long = len(rest) > 2
-    has_needless_namespace = namespace is not None and not resource.namespaced
+    has_extra_segments = len(rest) > 2
+    has_unexpected_namespace = namespace is not None and not resource.namespaced
     lacks_namespace = bool(name) and resource.namespaced and namespace is None
-    if is_too_long or has_needless_namespace or lacks_namespace:
+    if has_extra_segments or has_unexpected_namespace or lacks_namespace:
         return None
     return ResourcePath(resource, namespace, name)
--- a/kelpfront/fronts/rest/task_output.py
+++ b/kelpfront/fronts/rest/task_output.py
@@ -1,6 +1,6 @@
-"""The output of a job's task, read from the machine that runs or ran it: `GET .../jobs/NAME/log`.
+"""Serves the output of a task from the machine that runs or ran it: `GET .../jobs/NAME/log`.
 
-Finding the attempt is done here; reading from the machine is left to the process.
+This module finds the attempt; a `TaskOutputReader` reads the output from the machine.
 """
 
 from __future__ import annotations
@@ -16,59 +16,67 @@
 from kelpfront.store import ResourceStore
 
 DEFAULT_TAIL_BYTES = 1 << 20
-"""Where the request names no number: some ten thousand lines."""
+"""Used if the request does not specify a number of bytes: about ten thousand lines."""
 MAX_TAIL_BYTES = 16 << 20
-"""The output is held in memory while it is sent."""
-NOT_EXECUTED = ("refused", "not sent", "unreachable")
-"""Ends of attempts that have no output."""
+"""Limited because the output is held in memory while it is sent."""
+NOT_EXECUTED_ENDS = ("refused", "not sent", "unreachable")
+"""The `end` values of attempts that were never executed and so have no output."""
 
 TaskOutputReader = Callable[[str, str, int, int], Awaitable[bytes]]
-"""Machine, task's uid, attempt and the most bytes, to output; ApiError where there is none to be had."""
+"""Reads the output of an attempt, given the machine, task uid, attempt number and maximum number of bytes.
+
+Raises ApiError if the output cannot be read.
+"""
 
 
 class ExecutedAttempt(NamedTuple):
-    """One attempt of a task on its machine."""
+    """One attempt to run a task on a machine; `number` is the attempt number."""
 
     machine: str
     task_uid: str
     number: int
 
 
-def find_attempt(job: Object, index: int, attempt: int | None) -> ExecutedAttempt:
-    """Find an attempt of a task; the last that was executed where none is named.
+def find_attempt(job: Object, index: int, attempt_number: int | None) -> ExecutedAttempt:
+    """Find an attempt of a task: the last one that was executed, unless `attempt_number` selects one.
+
+    If no attempt was executed, the last one is returned.
 
-    Raises ApiError 404 where there is none.
+    Raises:
+        ApiError: 404 if there is no such task or attempt.
     """
     name = job["metadata"]["name"]
     task = next((task for task in job["status"]["tasks"] if task["index"] == index), None)
     if task is None:
         raise ApiError(404, f'job "{name}" has no task {index}', resource=JOBS, name=name)
-    attempts = [known for known in task["attempts"] if attempt in (None, known["attempt"])]
+    attempts = [attempt for attempt in task["attempts"] if attempt_number in (None, attempt["attempt"])]
     if not attempts:
-        which = "has not been sent to a machine" if attempt is None else f"has no attempt {attempt}"
-        raise ApiError(404, f'task {index} of job "{name}" {which}', resource=JOBS, name=name)
-    executed = [known for known in attempts if known.get("end") not in NOT_EXECUTED]
+        problem = (
+            "has not been sent to a machine" if attempt_number is None else f"has no attempt {attempt_number}"
+        )
+        raise ApiError(404, f'task {index} of job "{name}" {problem}', resource=JOBS, name=name)
+    executed = [attempt for attempt in attempts if attempt.get("end") not in NOT_EXECUTED_ENDS]
     chosen = (executed or attempts)[-1]
     return ExecutedAttempt(chosen["machine"], task["uid"], chosen["attempt"])
 
 
 def task_output_response(
-    store: ResourceStore, request: Request, job_key: tuple[str, str], read: TaskOutputReader
+    store: ResourceStore, request: Request, job_key: tuple[str, str], read_output: TaskOutputReader
 ) -> Response:
-    """Answer with a task's output once its machine has sent it."""
+    """Return a response that is completed with the task's output once the machine has sent it."""
     index = read_integer(request, "task")
-    attempt = read_integer(request, "attempt")
+    attempt_number = read_integer(request, "attempt")
     tail_bytes = read_integer(request, "tailBytes")
     if tail_bytes is not None and tail_bytes > MAX_TAIL_BYTES:
         raise ApiError(400, f"tailBytes: {tail_bytes}; at most {MAX_TAIL_BYTES} are sent")
     max_bytes = DEFAULT_TAIL_BYTES if tail_bytes is None else tail_bytes
-    found = find_attempt(store.get(JOBS, job_key).body, index or 0, attempt)
+    attempt = find_attempt(store.get(JOBS, job_key).body, index or 0, attempt_number)
 
-    async def read_and_answer() -> Response:
+    async def read_and_respond() -> Response:
         try:
-            output = await read(found.machine, found.task_uid, found.number, max_bytes)
+            output = await read_output(attempt.machine, attempt.task_uid, attempt.number, max_bytes)
         except ApiError as error:
             return error_response(error)
         return Response(200, output, PLAIN_TEXT)
 
-    return Response(200, deferred=read_and_answer())
+    return Response(200, deferred=read_and_respond())
--- a/kelpfront/fronts/rest/watch.py
+++ b/kelpfront/fronts/rest/watch.py
@@ -1,6 +1,6 @@
-"""A watch as the lines that its client reads: changes of objects, bookmarks and errors.
+"""Produces the lines of a watch response: changes of objects, bookmarks and errors.
 
-Which changes concern the watch is decided by the store, and what the request means by `collection_requests`.
+The store selects the changes, and `collection_requests` parses the request.
 """
 
 from __future__ import annotations
@@ -21,50 +21,55 @@
 from kelpfront.store import ResourceStore, Watch, WatchEvent
 
 MAX_EVENTS_PER_ITERATION = 200
-"""Written before the event loop's other work: some milliseconds."""
+"""Events written before the event loop does other work; they take a few milliseconds."""
 INITIAL_EVENTS_END = {"k8s.io/initial-events-end": "true"}
-"""The annotation of the bookmark behind the objects that a watch began with."""
+"""The annotation of the bookmark that follows the initial objects of a watch."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchTimes:
-    """How often watches tell the revision that they reached, and how long they last at most; seconds."""
+    """The timing of watches, in seconds.
+
+    Attributes:
+        bookmark_s: the time between bookmarks.
+        max_duration_s: the maximum duration of a watch.
+    """
 
     bookmark_s: float = 10.0
-    longest_s: float = 3600.0
+    max_duration_s: float = 3600.0
 
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """What a client asks of a watch.
+    """The parameters of a watch request.
 
     Attributes:
         resource: the type of the objects.
-        namespace: of the objects; None for all.
-        selector: which of them.
-        since: the revision to resume behind; None to begin with all objects.
-        bookmarks: whether bookmarks are sent.
-        initial_end: whether a bookmark marks the end of the objects that the watch begins with.
-        timeout_s: when the watch ends.
+        namespace: the namespace of the objects; None for all namespaces.
+        selector: selects the objects to watch.
+        since: the revision to resume after; None to start with all existing objects.
+        sends_bookmarks: whether bookmarks are sent.
+        marks_initial_end: whether a bookmark marks the end of the initial objects.
+        timeout_s: how long the watch lasts.
     """
 
     resource: Resource
     namespace: str | None
     selector: Selector
     since: int | None
-    bookmarks: bool
-    initial_end: bool
+    sends_bookmarks: bool
+    marks_initial_end: bool
     timeout_s: float
 
 
 class WatchLines:
-    """The lines of one watch.
+    """Produces the lines of one watch.
 
     Args:
-        store: has the objects.
-        request: what is watched.
-        peer: the client; the watch ends when it disconnects.
-        times: of the watch.
+        store: the store of the objects.
+        request: the parameters of the watch.
+        peer: the client's connection; the watch ends when it is closed.
+        times: the timing of the watch.
     """
 
     def __init__(self, store: ResourceStore, request: WatchRequest, peer: Peer, times: WatchTimes) -> None:
@@ -73,20 +78,20 @@
         self._peer = peer
         self._times = times
         self._signal = StreamSignal()
-        self._is_initial_end_due = request.initial_end
-        self._end_at = 0.0
-        self._bookmark_at = 0.0
+        self._is_initial_end_due = request.marks_initial_end
+        self._ends_at = 0.0
+        self._next_bookmark_at = 0.0
 
     async def stream(self, streams: OpenStreams) -> AsyncIterator[bytes]:
-        """Yield lines until either side ends the watch, its time is up or its history is lost."""
+        """Yield lines until the client or the server ends the watch, it times out, or it misses changes."""
         try:
             watch = self._open_watch()
         except ApiError as error:
-            yield error_line(error)  # clients of the API expect an expired revision in the stream
+            yield error_line(error)  # the API reports an expired revision in the stream, not in the status
             return
         now = asyncio.get_running_loop().time()
-        self._end_at = now + self._request.timeout_s
-        self._bookmark_at = now + self._times.bookmark_s
+        self._ends_at = now + self._request.timeout_s
+        self._next_bookmark_at = now + self._times.bookmark_s
         unsubscribe = self._peer.on_change(self._signal.changed.set)
         try:
             with streams.open(self._signal.stop):
@@ -118,27 +123,27 @@
             if self._is_initial_end_due:
                 self._is_initial_end_due = False
                 yield self._bookmark(INITIAL_EVENTS_END)
-            if self._is_over(now):
-                if self._request.bookmarks and not self._peer.closed:
+            if self._has_ended(now):
+                if self._request.sends_bookmarks and not self._peer.closed:
                     yield self._bookmark()
                 return
-            if self._pass_bookmark_time(now) and self._request.bookmarks:
+            if self._advance_bookmark_time(now) and self._request.sends_bookmarks:
                 yield self._bookmark()
             await self._wait_for_change()
 
-    def _is_over(self, now: float) -> bool:
-        return self._signal.is_stopping or now >= self._end_at or self._peer.closed
+    def _has_ended(self, now: float) -> bool:
+        return self._signal.is_stopping or now >= self._ends_at or self._peer.closed
 
-    def _pass_bookmark_time(self, now: float) -> bool:
-        """Return whether the time of a bookmark has come, and set the next."""
-        if now < self._bookmark_at:
+    def _advance_bookmark_time(self, now: float) -> bool:
+        """Return whether a bookmark is due; if so, schedule the next one."""
+        if now < self._next_bookmark_at:
             return False
-        self._bookmark_at = now + self._times.bookmark_s
+        self._next_bookmark_at = now + self._times.bookmark_s
         return True
 
     async def _wait_for_change(self) -> None:
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(min(self._end_at, self._bookmark_at)):
+            async with asyncio.timeout_at(min(self._ends_at, self._next_bookmark_at)):
                 await self._signal.changed.wait()
 
     def _bookmark(self, annotations: dict[str, str] | None = None) -> bytes:
@@ -146,12 +151,12 @@
 
 
 def event_line(event: WatchEvent) -> bytes:
-    """Return the line of a change."""
+    """Return the line for a change."""
     return b'{"type":"%s","object":%s}\n' % (event.type.value.encode(), event.stored.encoded)
 
 
 def bookmark_line(resource: Resource, revision: int, annotations: dict[str, str] | None = None) -> bytes:
-    """Return the line that tells the revision which the watch has reached."""
+    """Return the line for a bookmark, which reports the revision that the watch has reached."""
     metadata: dict[str, Any] = {"resourceVersion": str(revision)}
     if annotations:
         metadata["annotations"] = annotations
@@ -159,9 +164,9 @@
 
 
 def error_line(error: ApiError) -> bytes:
-    """Return the line of an error, with which a watch ends."""
+    """Return the line for an error; it is the last line of a watch."""
     return _line("ERROR", error.render())
 
 
-def _line(kind: str, obj: Any) -> bytes:
-    return msgspec.json.encode({"type": kind, "object": obj}) + b"\n"
+def _line(event_type: str, content: Any) -> bytes:
+    return msgspec.json.encode({"type": event_type, "object": content}) + b"\n"
