--- a/tests/fronts/test_bindings_stream.py
+++ b/tests/fronts/test_bindings_stream.py
@@ -1,4 +1,4 @@
-"""Bindings streams on real sockets."""
+"""Tests Bindings streams over real sockets."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 from clusters import QUICK, spec
-from grpc_calls import Open, credits, served, submit
+from grpc_calls import OPEN_REQUEST, credits_request, grpc_cluster, submit_request
 from waiting import until
 
 from kelpfront.api.meta import JOBS
@@ -19,17 +19,17 @@
 from kelpfront.v1 import resources_pb2
 
 LONG_TASKS = msgspec.structs.replace(QUICK, life_ms=3_600_000.0)
-"""Machines on which no task ends during a test, however slowly it runs."""
+"""A fleet model whose tasks run for an hour, so that none ends during a test, however slow the test is."""
 
 
-async def test_a_stream_sends_offers_bindings_refusals_and_ends() -> None:
-    async with served() as (test_cluster, service, stubs):
+async def test_a_stream_sends_offers_bindings_refusals_and_ends_of_tasks() -> None:
+    async with grpc_cluster() as (test_cluster, service, stubs):
         call = stubs.jobs.Bindings()
-        await call.write(Open)
-        await call.write(credits(1000))
-        await call.write(submit("fine"))
-        await call.write(submit("wrong", "nope"))
-        await call.write(submit("huge", cores=90_000.0, patience="300ms"))
+        await call.write(OPEN_REQUEST)
+        await call.write(credits_request(1000))
+        await call.write(submit_request("fine"))
+        await call.write(submit_request("wrong", "nope"))
+        await call.write(submit_request("huge", cores=90_000.0, patience="300ms"))
         sent: dict[str, list[str]] = {"fine": [], "wrong": [], "huge": []}
         while not ("bound" in sent["fine"] and sent["wrong"] and {"refused", "failed"} & {*sent["huge"]}):
             event = await asyncio.wait_for(call.read(), 20)
@@ -50,25 +50,25 @@
         assert len(service.grpc.streams if service.grpc else ()) == 0
 
 
-async def test_nothing_is_sent_without_credits_and_what_is_sent_later_is_complete() -> None:
-    async with served(model=LONG_TASKS) as (_, service, stubs):
+async def test_a_stream_sends_no_events_without_credits_and_all_of_them_once_credits_are_granted() -> None:
+    async with grpc_cluster(model=LONG_TASKS) as (_, service, stubs):
         call = stubs.jobs.Bindings()
-        await call.write(Open)
+        await call.write(OPEN_REQUEST)
         for number in range(20):
-            await call.write(submit(f"r{number}"))
+            await call.write(submit_request(f"r{number}"))
         await until(lambda: service.store.count(JOBS) == 20 and not service.controller.open_tasks)
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await call.read()
-        # A read that was given up ends the call; its client comes again with the same tokens.
+        # Cancelling a read ends the call, so the client opens another stream with the same client tokens.
         call = stubs.jobs.Bindings()
-        await call.write(Open)
+        await call.write(OPEN_REQUEST)
         for number in range(20):
-            await call.write(submit(f"r{number}"))
+            await call.write(submit_request(f"r{number}"))
         expected = {job["spec"]["clientToken"]: complete_events(job) for job in stored_jobs(service)}
         sent: dict[str, list[str]] = {}
         for _ in range(sum(len(events) for events in expected.values())):
-            await call.write(credits(1))
+            await call.write(credits_request(1))
             event = await asyncio.wait_for(call.read(), 20)
             sent.setdefault(event.ref, []).append(event.WhichOneof("event"))
         assert sent == expected
@@ -84,8 +84,9 @@
 def complete_events(job: dict[str, Any]) -> list[str]:
     """Return the names of the events for a job whose only task was placed.
 
-    An offer that the event loop delays for longer than the connect timeout of 250 ms is held back before its
-    first byte, and another follows. Without such a delay the events are accepted, offered, bound.
+    If the event loop delays an offer for longer than the connect timeout of 250 ms, the offer ends before its
+    first byte is sent, and another offer follows. Without such a delay the events are accepted, offered and
+    bound.
     """
     (task,) = job["status"]["tasks"]
     assert task["answer"] == "Placed"
@@ -99,14 +100,14 @@
     return events
 
 
-async def test_a_stream_that_broke_between_offer_and_binding_continues_by_token_over_either_api() -> None:
-    async with served() as (test_cluster, service, stubs):
+async def test_after_a_stream_breaks_both_apis_find_its_job_by_the_client_token() -> None:
+    async with grpc_cluster() as (test_cluster, service, stubs):
         for machine in test_cluster.fleet.machines.values():
             machine.troubles.late_ms = 400.0
         call = stubs.jobs.Bindings()
-        await call.write(Open)
-        await call.write(credits(10))
-        await call.write(submit("one", "blend"))
+        await call.write(OPEN_REQUEST)
+        await call.write(credits_request(10))
+        await call.write(submit_request("one", "blend"))
         while (await asyncio.wait_for(call.read(), 20)).WhichOneof("event") != "offered":
             pass
         call.cancel()
@@ -114,25 +115,25 @@
         job = await client.wait_answers(await client.submit("climate", spec("blend", clientToken="one")))
         assert job.status is not None
         assert job.status.tasks[0].answer == "Placed"
-        again = stubs.jobs.Bindings()
-        await again.write(Open)
-        await again.write(credits(10))
-        await again.write(submit("other-ref", "blend", clientToken="one"))
-        events = [(await asyncio.wait_for(again.read(), 20)) for _ in range(3)]
+        second_call = stubs.jobs.Bindings()
+        await second_call.write(OPEN_REQUEST)
+        await second_call.write(credits_request(10))
+        await second_call.write(submit_request("other-ref", "blend", clientToken="one"))
+        events = [(await asyncio.wait_for(second_call.read(), 20)) for _ in range(3)]
         assert [event.WhichOneof("event") for event in events] == ["accepted", "offered", "bound"]
         assert not events[0].accepted.created
         assert events[0].accepted.uid == job.metadata.uid
         assert len(test_cluster.events("start")) == 1
-        again.cancel()
+        second_call.cancel()
 
 
-async def test_a_withdrawn_job_is_deleted_and_a_deletion_by_others_is_sent() -> None:
-    async with served() as (test_cluster, service, stubs):
+async def test_withdrawing_deletes_a_job_and_a_deletion_by_another_client_is_reported() -> None:
+    async with grpc_cluster() as (test_cluster, service, stubs):
         call = stubs.jobs.Bindings()
-        await call.write(Open)
-        await call.write(credits(100))
-        await call.write(submit("mine"))
-        await call.write(submit("theirs"))
+        await call.write(OPEN_REQUEST)
+        await call.write(credits_request(100))
+        await call.write(submit_request("mine"))
+        await call.write(submit_request("theirs"))
         names: dict[str, str] = {}
         while len(names) < 2 or service.controller.open_tasks:
             event = await asyncio.wait_for(call.read(), 20)
@@ -150,9 +151,9 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "code"),
+    ("first_request", "code"),
     [
-        (credits(5), grpc.StatusCode.INVALID_ARGUMENT),
+        (credits_request(5), grpc.StatusCode.INVALID_ARGUMENT),
         (pb.BindingsRequest(), grpc.StatusCode.INVALID_ARGUMENT),
         (
             pb.BindingsRequest(open=pb.BindingsRequest.Open.FromString(b"\x0a\x01a\x10\x63")),  # detail 99
@@ -161,11 +162,11 @@
     ],
 )
 async def test_a_stream_without_a_valid_open_message_is_rejected_with_the_reason(
-    first: pb.BindingsRequest, code: grpc.StatusCode
+    first_request: pb.BindingsRequest, code: grpc.StatusCode
 ) -> None:
-    async with served() as (_, _service, stubs):
+    async with grpc_cluster() as (_, _service, stubs):
         call = stubs.jobs.Bindings()
-        await call.write(first)
+        await call.write(first_request)
         with pytest.raises(grpc.aio.AioRpcError):
             await call.read()
         assert await call.code() is code
@@ -173,11 +174,11 @@
 
 
 async def test_a_client_that_sends_invalid_jobs_and_reads_nothing_is_disconnected() -> None:
-    async with served(1) as (_, service, stubs):
+    async with grpc_cluster(1) as (_, service, stubs):
         call = stubs.jobs.Bindings()
-        await call.write(Open)
+        await call.write(OPEN_REQUEST)
         for number in range(MAX_REJECTIONS + 1):
-            await call.write(submit(f"r{number}", "nope"))
+            await call.write(submit_request(f"r{number}", "nope"))
         with pytest.raises(grpc.aio.AioRpcError) as caught:
             await call.read()
         assert caught.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
--- a/tests/fronts/test_grpc_services.py
+++ b/tests/fronts/test_grpc_services.py
@@ -1,4 +1,4 @@
-"""The gRPC services on real sockets, by the generated stubs and by a client that knows only reflection."""
+"""Tests the gRPC services over real sockets, with the generated stubs and with server reflection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from clusters import spec
 from google.protobuf import descriptor_pool, message_factory
 from google.protobuf.duration_pb2 import Duration
-from grpc_calls import job_spec, refused, served
+from grpc_calls import call_error, grpc_cluster, job_spec
 from grpc_reflection.v1alpha.proto_reflection_descriptor_database import ProtoReflectionDescriptorDatabase
 from waiting import until
 
@@ -21,74 +21,82 @@
 from kelpfront.v1 import resources_pb2
 
 
-async def test_submit_get_list_watch_delete() -> None:
-    async with served() as (_, service, stubs):
-        labels = resources_pb2.ObjectMeta(name="front", labels={"tier": "web"})
-        request = pb.SubmitRequest(namespace="climate", metadata=labels, spec=job_spec(count=2))
-        made = await stubs.jobs.Submit(request)
-        assert made.created
-        assert made.job.metadata.name == "front"
-        assert len(made.job.status.tasks) == 2
+async def test_jobs_are_submitted_read_listed_watched_and_deleted() -> None:
+    async with grpc_cluster() as (_, service, stubs):
+        metadata = resources_pb2.ObjectMeta(name="front", labels={"tier": "web"})
+        request = pb.SubmitRequest(namespace="climate", metadata=metadata, spec=job_spec(count=2))
+        submitted = await stubs.jobs.Submit(request)
+        assert submitted.created
+        assert submitted.job.metadata.name == "front"
+        assert len(submitted.job.status.tasks) == 2
         received: list[pb.WatchJobsResponse] = []
-        watching = stubs.jobs.Watch(pb.WatchRequest(namespace="climate", label_selector="tier=web"))
-        async for event in watching:
+        watch_call = stubs.jobs.Watch(pb.WatchRequest(namespace="climate", label_selector="tier=web"))
+        async for event in watch_call:
             received.append(event)
             if event.job.status.answered == 2:
                 break
-        watching.cancel()
+        watch_call.cancel()
         tasks = received[-1].job.status.tasks
         assert {task.answer for task in tasks} == {resources_pb2.ANSWER_PLACED}
         await until(
             lambda: service.store.get(JOBS, ("climate", "front")).body["status"]["counts"] == {"running": 2}
         )
-        got = await stubs.jobs.Get(pb.GetRequest(namespace="climate", name="front"))
-        assert job_object(got) == service.store.get(JOBS, ("climate", "front")).body
+        stored_job = await stubs.jobs.Get(pb.GetRequest(namespace="climate", name="front"))
+        assert job_object(stored_job) == service.store.get(JOBS, ("climate", "front")).body
         listed = await stubs.jobs.List(pb.ListRequest(namespace="climate", limit=1))
         assert [job.metadata.name for job in listed.jobs] == ["front"]
         assert listed.resume_token
         await stubs.jobs.Delete(pb.DeleteRequest(namespace="climate", name="front"))
-        code, error = await refused(stubs.jobs.Get(pb.GetRequest(namespace="climate", name="front")))
+        code, error = await call_error(stubs.jobs.Get(pb.GetRequest(namespace="climate", name="front")))
         assert code is grpc.StatusCode.NOT_FOUND
         assert error is not None
         assert error.reason == "NotFound"
-        resumed = stubs.jobs.Watch(pb.WatchRequest(namespace="climate", resume_token=listed.resume_token))
-        kinds = []
-        async for event in resumed:
-            kinds.append(event.type)
+        resumed_watch = stubs.jobs.Watch(
+            pb.WatchRequest(namespace="climate", resume_token=listed.resume_token)
+        )
+        event_types = []
+        async for event in resumed_watch:
+            event_types.append(event.type)
             if event.type == pb.EVENT_TYPE_DELETED:
                 break
-        resumed.cancel()
-        assert kinds[0] == pb.EVENT_TYPE_BOOKMARK
+        resumed_watch.cancel()
+        assert event_types[0] == pb.EVENT_TYPE_BOOKMARK
 
 
-async def test_machines_are_read_and_drained() -> None:
-    async with served() as (_, service, stubs):
+async def test_machines_are_listed_watched_and_marked_unschedulable() -> None:
+    async with grpc_cluster() as (_, service, stubs):
         listed = await stubs.machines.List(pb.ListRequest())
         assert {machine.metadata.name for machine in listed.machines} == {"n0", "n1"}
-        one = await stubs.machines.SetUnschedulable(pb.SetUnschedulableRequest(name="n0", unschedulable=True))
-        assert one.status.state == resources_pb2.MACHINE_STATE_DRAINING
+        drained = await stubs.machines.SetUnschedulable(
+            pb.SetUnschedulableRequest(name="n0", unschedulable=True)
+        )
+        assert drained.status.state == resources_pb2.MACHINE_STATE_DRAINING
         body = service.store.get(MACHINES, ("", "n0")).body
-        again = machine_object(machine_message(body))
-        assert again["spec"] == body["spec"]
-        assert again["status"]["state"] == body["status"]["state"]
-        watching = stubs.machines.Watch(pb.WatchRequest())
+        round_trip = machine_object(machine_message(body))
+        assert round_trip["spec"] == body["spec"]
+        assert round_trip["status"]["state"] == body["status"]["state"]
+        watch_call = stubs.machines.Watch(pb.WatchRequest())
         states = {}
-        async for event in watching:
+        async for event in watch_call:
             if event.type != pb.EVENT_TYPE_BOOKMARK:
                 states[event.machine.metadata.name] = event.machine.status.state
             if len(states) == 2:
                 break
-        watching.cancel()
+        watch_call.cancel()
         assert states["n0"] == resources_pb2.MACHINE_STATE_DRAINING
 
 
-async def test_submissions_with_one_token_over_both_apis_make_one_job() -> None:
-    async with served() as (test_cluster, service, stubs):
+async def test_submissions_with_the_same_client_token_over_both_apis_create_one_job() -> None:
+    async with grpc_cluster() as (test_cluster, service, stubs):
         client = test_cluster.client(service)
-        made = spec("blend", clientToken="once", count=3)
+        blend_spec = spec("blend", clientToken="once", count=3)
         request = pb.SubmitRequest(namespace="climate", spec=job_spec("blend", clientToken="once", count=3))
         answers = await asyncio.gather(
-            *(call for _ in range(5) for call in (client.submit("climate", made), stubs.jobs.Submit(request)))
+            *(
+                call
+                for _ in range(5)
+                for call in (client.submit("climate", blend_spec), stubs.jobs.Submit(request))
+            )
         )
         uids = {a.job.metadata.uid if isinstance(a, pb.SubmitResponse) else a.metadata.uid for a in answers}
         assert len(uids) == 1
@@ -96,7 +104,7 @@
         await until(lambda: service.controller.open_tasks == 0)
         assert len(test_cluster.events("start")) == 3
         changed = pb.SubmitRequest(namespace="climate", spec=job_spec("web", clientToken="once"))
-        code, error = await refused(stubs.jobs.Submit(changed))
+        code, error = await call_error(stubs.jobs.Submit(changed))
         assert code is grpc.StatusCode.ABORTED
         assert error is not None
         assert error.reason == "Conflict"
@@ -116,8 +124,8 @@
         ({"env": {"A": "b"}}, "spec"),
     ],
 )
-async def test_invalid_fields_are_named(change: dict[str, Any], field: str) -> None:
-    async with served() as (_, _service, stubs):
+async def test_an_invalid_field_is_reported_by_name(change: dict[str, Any], field: str) -> None:
+    async with grpc_cluster() as (_, _service, stubs):
         invalid = job_spec()
         for name, value in change.items():
             if isinstance(value, Duration):
@@ -126,7 +134,7 @@
                 invalid.env.update(value)
             else:
                 setattr(invalid, name, value)
-        code, error = await refused(stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=invalid)))
+        code, error = await call_error(stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=invalid)))
         assert code is grpc.StatusCode.INVALID_ARGUMENT
         assert error is not None
         assert error.reason == "Invalid"
@@ -134,42 +142,44 @@
 
 
 async def test_unknown_fields_are_rejected_in_a_spec_and_ignored_elsewhere() -> None:
-    async with served() as (_, _service, stubs):
-        later = resources_pb2.JobSpec.FromString(
+    async with grpc_cluster() as (_, _service, stubs):
+        unknown_field_spec = resources_pb2.JobSpec.FromString(
             job_spec().SerializeToString() + b"\xf8\x07\x01"
         )  # field 127
-        code, error = await refused(stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=later)))
+        code, error = await call_error(
+            stubs.jobs.Submit(pb.SubmitRequest(namespace="climate", spec=unknown_field_spec))
+        )
         assert code is grpc.StatusCode.INVALID_ARGUMENT
         assert error is not None
         assert [cause.field for cause in error.causes] == ["spec.127"]
-        got = pb.ListRequest.FromString(b"\xf8\x07\x01")
-        assert (await stubs.jobs.List(got)).resume_token
+        list_request = pb.ListRequest.FromString(b"\xf8\x07\x01")
+        assert (await stubs.jobs.List(list_request)).resume_token
 
 
 async def test_invalid_tokens_and_namespaces_are_rejected() -> None:
-    async with served() as (_, _service, stubs):
-        for request, wanted in (
+    async with grpc_cluster() as (_, _service, stubs):
+        for request, reason in (
             (stubs.jobs.Submit(pb.SubmitRequest(namespace="../x", spec=job_spec())), "BadRequest"),
             (stubs.jobs.List(pb.ListRequest(continue_token="nope")), "BadRequest"),
             (stubs.jobs.List(pb.ListRequest(limit=-1)), "BadRequest"),
             (stubs.jobs.List(pb.ListRequest(field_selector="status.no=1")), "BadRequest"),
         ):
-            _, error = await refused(request)
+            _, error = await call_error(request)
             assert error is not None
-            assert error.reason == wanted
+            assert error.reason == reason
         for token, code in (("x", grpc.StatusCode.INVALID_ARGUMENT), ("5", grpc.StatusCode.OUT_OF_RANGE)):
-            watching = stubs.jobs.Watch(pb.WatchRequest(resume_token=token))
+            watch_call = stubs.jobs.Watch(pb.WatchRequest(resume_token=token))
             with pytest.raises(grpc.aio.AioRpcError) as caught:
-                async for _ in watching:
+                async for _ in watch_call:
                     pass
             assert caught.value.code() is code
 
 
-async def test_a_client_that_knows_only_reflection_submits_a_job() -> None:
-    """Without any code of this project: the server's descriptors are enough."""
-    async with served() as (_, service, _stubs):
+async def test_a_client_that_uses_only_reflection_submits_a_job() -> None:
+    """The client needs no code of this project: the descriptors that the server sends are sufficient."""
+    async with grpc_cluster() as (_, service, _stubs):
 
-        def stock() -> str:
+        def submit_by_reflection() -> str:
             with grpc.insecure_channel(service.grpc_target) as channel:
                 database: Any = ProtoReflectionDescriptorDatabase(channel)
                 assert "kelpfront.v1.Jobs" in database.get_services()
@@ -188,5 +198,5 @@
                 name: str = call(request, timeout=20).job.metadata.name
                 return name
 
-        name = await asyncio.to_thread(stock)
+        name = await asyncio.to_thread(submit_by_reflection)
         assert service.store.find(JOBS, ("climate", name)) is not None
--- a/tests/fronts/test_rest_errors.py
+++ b/tests/fronts/test_rest_errors.py
@@ -1,4 +1,4 @@
-"""Requests to the REST API that are wrong or cannot arrive."""
+"""Tests invalid requests to the REST API, and requests to a placer that cannot be reached."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 )
 async def test_invalid_requests_are_rejected(method: str, path: str, status: int, reason: str) -> None:
     async with cluster(1) as (_, service, _client):
-        got, body = await call_json(service, method, path, JOB if method == "POST" else None)
-        assert (got, body["kind"], body["reason"], body["code"]) == (status, "Status", reason, status)
+        actual, body = await call_json(service, method, path, JOB if method == "POST" else None)
+        assert (actual, body["kind"], body["reason"], body["code"]) == (status, "Status", reason, status)
 
 
 async def test_invalid_bodies_are_rejected() -> None:
@@ -59,19 +59,19 @@
             service, "POST", JOBS_PATH, {**JOB, "spec": {**JOB["spec"], "class": "none"}}
         )
         assert body["details"]["causes"][0]["message"] == "'none' is not one of web, ingest, blend"
-        for raw, kind, want in (
+        for raw_body, kind, expected_status in (
             (b'{"spec": ', "application/json", 400),
             (b"[1]", "application/json", 400),
             (b"a: b", "application/yaml", 415),
             (b"x" * (1 << 21), "application/json", 413),
         ):
-            status, body = await call_json(service, "POST", JOBS_PATH, raw, kind=kind)
-            assert (status, body["kind"]) == (want, "Status")
+            status, body = await call_json(service, "POST", JOBS_PATH, raw_body, kind=kind)
+            assert (status, body["kind"]) == (expected_status, "Status")
         await call_json(service, "POST", JOBS_PATH, JOB)
         for kind in ("application/json-patch+json", "application/apply-patch+yaml", "application/json"):
             assert (await call_json(service, "PATCH", f"{JOBS_PATH}/a", {}, kind=kind))[0] == 415
         merge = "application/merge-patch+json"
-        for patch, want in (
+        for patch, code in (
             ([], 400),
             ({"metadata": None}, 422),
             ({"metadata": {"name": "b"}}, 422),
@@ -79,7 +79,7 @@
             ({"spec": None}, 422),
             ({"metadata": {"resourceVersion": "5"}}, 409),
         ):
-            assert (await call_json(service, "PATCH", f"{JOBS_PATH}/a", patch, kind=merge))[0] == want, patch
+            assert (await call_json(service, "PATCH", f"{JOBS_PATH}/a", patch, kind=merge))[0] == code, patch
         reply = await call(
             service, "POST", f"{JOBS_PATH}?fieldValidation=Warn", {**JOB, "odd": 1, "metadata": {}}
         )
@@ -93,8 +93,8 @@
         url = service.url
         await client.submit("climate", spec())
         await service.close()
-        with pytest.raises(ServerUnreachableError) as error:
+        with pytest.raises(ServerUnreachableError) as caught:
             await Client(url).submit("climate", spec())
-        assert not error.value.may_have_arrived
+        assert not caught.value.may_have_arrived
     with pytest.raises(ValueError, match="is not http"):
         Client("ftp://x")
--- a/tests/fronts/test_rest_objects.py
+++ b/tests/fronts/test_rest_objects.py
@@ -1,4 +1,4 @@
-"""Objects, lists and discovery of the REST API on real sockets."""
+"""Tests objects, lists and discovery of the REST API over real sockets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from kelpfront.api.meta import MACHINES
 
 
-async def test_discovery_and_health() -> None:
+async def test_discovery_health_and_openapi_documents_are_served() -> None:
     async with cluster(1) as (_, service, _client):
         for path, kind in (
             ("/api", "APIVersions"),
@@ -46,28 +46,28 @@
         spec_schema = document["components"]["schemas"]["JobSpec"]
         assert set(spec_schema["required"]) == {"class", "service", "cores", "memory"}
         text = json.dumps(document)
-        wanted = {part.split('"')[0] for part in text.split('"$ref": "#/components/schemas/')[1:]}
-        assert wanted <= set(document["components"]["schemas"])
+        referenced_schemas = {part.split('"')[0] for part in text.split('"$ref": "#/components/schemas/')[1:]}
+        assert referenced_schemas <= set(document["components"]["schemas"])
 
 
 async def test_objects_are_created_changed_and_deleted() -> None:
     async with cluster() as (_, service, _client):
-        status, made = await call_json(service, "POST", JOBS_PATH, JOB)
+        status, created = await call_json(service, "POST", JOBS_PATH, JOB)
         assert status == 201
-        Job.model_validate(made)
-        assert made["metadata"]["creationTimestamp"].endswith("Z")
+        Job.model_validate(created)
+        assert created["metadata"]["creationTimestamp"].endswith("Z")
         assert (await call_json(service, "POST", JOBS_PATH, JOB))[1]["reason"] == "AlreadyExists"
         labelled = {"metadata": {"labels": {"team": "x"}}}
         merge = "application/merge-patch+json"
         status, patched = await call_json(service, "PATCH", f"{JOBS_PATH}/a", labelled, kind=merge)
         assert (status, patched["metadata"].get("labels")) == (200, {"team": "x"}), patched
-        assert patched["metadata"]["uid"] == made["metadata"]["uid"]
-        stale = {**JOB, "metadata": {"name": "a", "resourceVersion": made["metadata"]["resourceVersion"]}}
+        assert patched["metadata"]["uid"] == created["metadata"]["uid"]
+        stale = {**JOB, "metadata": {"name": "a", "resourceVersion": created["metadata"]["resourceVersion"]}}
         status, conflict = await call_json(service, "PUT", f"{JOBS_PATH}/a", stale)
         assert (status, conflict["reason"]) == (409, "Conflict")
-        now = (await call_json(service, "GET", f"{JOBS_PATH}/a"))[1]
-        now["spec"]["count"] = 3
-        status, replaced = await call_json(service, "PUT", f"{JOBS_PATH}/a", now)
+        current = (await call_json(service, "GET", f"{JOBS_PATH}/a"))[1]
+        current["spec"]["count"] = 3
+        status, replaced = await call_json(service, "PUT", f"{JOBS_PATH}/a", current)
         assert (status, replaced["metadata"]["generation"]) == (200, 2)
         assert "labels" in replaced["metadata"]
         options = {"preconditions": {"uid": "another"}}
@@ -76,7 +76,7 @@
         assert (status, deleted_job["status"], deleted_job["details"]["uid"]) == (
             200,
             "Success",
-            made["metadata"]["uid"],
+            created["metadata"]["uid"],
         )
         status, missing = await call_json(service, "GET", f"{JOBS_PATH}/a")
         assert (status, missing["reason"], missing["details"]["name"]) == (404, "NotFound", "a")
@@ -93,19 +93,21 @@
 
 async def test_lists_are_paged_and_filtered() -> None:
     async with cluster(5) as (_, service, _client):
-        for n in range(7):
-            labels = {"half": "first" if n < 4 else "second"}
-            where = f"{BASE}/namespaces/{'climate' if n % 2 else 'tickets'}/jobs"
-            await call_json(service, "POST", where, {**JOB, "metadata": {"name": f"j{n}", "labels": labels}})
+        for number in range(7):
+            labels = {"half": "first" if number < 4 else "second"}
+            path = f"{BASE}/namespaces/{'climate' if number % 2 else 'tickets'}/jobs"
+            await call_json(
+                service, "POST", path, {**JOB, "metadata": {"name": f"j{number}", "labels": labels}}
+            )
         status, page = await call_json(service, "GET", f"{BASE}/jobs?limit=4")
         assert (status, len(page["items"]), page["metadata"]["remainingItemCount"]) == (200, 4, 3)
         token = page["metadata"]["continue"]
-        rest = (await call_json(service, "GET", f"{BASE}/jobs?limit=4&continue={token}"))[1]
-        names = [item["metadata"]["name"] for item in page["items"] + rest["items"]]
+        last_page = (await call_json(service, "GET", f"{BASE}/jobs?limit=4&continue={token}"))[1]
+        names = [item["metadata"]["name"] for item in page["items"] + last_page["items"]]
         assert names == ["j1", "j3", "j5", "j0", "j2", "j4", "j6"]
-        assert rest["metadata"]["resourceVersion"] == page["metadata"]["resourceVersion"]
-        chosen = (await call_json(service, "GET", f"{JOBS_PATH}?labelSelector=half%3Dfirst"))[1]["items"]
-        assert [item["metadata"]["name"] for item in chosen] == ["j1", "j3"]
+        assert last_page["metadata"]["resourceVersion"] == page["metadata"]["resourceVersion"]
+        selected = (await call_json(service, "GET", f"{JOBS_PATH}?labelSelector=half%3Dfirst"))[1]["items"]
+        assert [item["metadata"]["name"] for item in selected] == ["j1", "j3"]
         machines = (await call_json(service, "GET", f"{BASE}/machines?fieldSelector=spec.room%3Droom1"))[1][
             "items"
         ]
@@ -114,7 +116,7 @@
             Machine.model_validate(machine)
 
 
-async def test_concurrent_posts_with_one_token_make_one_job() -> None:
+async def test_concurrent_posts_with_the_same_client_token_or_name_create_one_job() -> None:
     async with cluster(2) as (_, service, client):
         body = {"metadata": {}, "spec": {**JOB["spec"], "clientToken": "t-1"}}
         answers = await asyncio.gather(*(call_json(service, "POST", JOBS_PATH, body) for _ in range(10)))
@@ -123,8 +125,8 @@
         named = await asyncio.gather(*(call_json(service, "POST", JOBS_PATH, JOB) for _ in range(10)))
         assert sorted(status for status, _ in named) == [201] + [409] * 9
         assert len(await client.list_jobs("climate")) == 2
-        other = {"metadata": {}, "spec": {**body["spec"], "cores": 2}}
-        status, conflict = await call_json(service, "POST", JOBS_PATH, other)
+        changed_body = {"metadata": {}, "spec": {**body["spec"], "cores": 2}}
+        status, conflict = await call_json(service, "POST", JOBS_PATH, changed_body)
         assert (status, conflict["reason"]) == (409, "Conflict")
         assert "cores" in conflict["message"]
 
@@ -134,16 +136,16 @@
         machine = await client.set_unschedulable("n0", unschedulable=True)
         assert machine.status is not None
         assert (machine.spec.unschedulable, machine.status.state) == (True, "Draining")
-        with pytest.raises(ApiError) as error:
+        with pytest.raises(ApiError) as caught:
             await client.patch(MACHINES, None, "n0", {"spec": {"cores": 5, "rack": "x"}})
-        assert {cause.field for cause in error.value.causes} == {"spec.cores", "spec.rack"}
+        assert {cause.field for cause in caught.value.causes} == {"spec.cores", "spec.rack"}
         body = await client.read(MACHINES, None, "n0")
         body["spec"]["unschedulable"] = False
         status, replaced = await call_json(service, "PUT", f"{BASE}/machines/n0", body)
         assert (status, replaced["status"]["state"]) == (200, "Ready")
 
 
-async def test_a_full_placer_tells_when_to_retry() -> None:
+async def test_a_full_placer_sends_retry_after() -> None:
     async with cluster(1, "limits.open_tasks=2") as (_, service, client):
         await client.submit("climate", spec(count=2, cores=1000.0))
         with pytest.raises(ApiError) as full:
--- a/tests/fronts/test_rpc_messages.py
+++ b/tests/fronts/test_rpc_messages.py
@@ -1,4 +1,4 @@
-"""Errors and jobs of the gRPC API mean what they mean over REST. No sockets."""
+"""Tests that errors and jobs have the same meaning over gRPC as over REST. No sockets."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 @pytest.mark.parametrize("reason", [*REASON_OF_CODE.values(), "AlreadyExists"])
 def test_every_reason_of_the_rest_api_survives_the_conversion_to_a_status(reason: str) -> None:
-    http = next((code for code, name in REASON_OF_CODE.items() if name == reason), 409)
+    http_code = next((code for code, name in REASON_OF_CODE.items() if name == reason), 409)
     causes = (Cause("spec.cores", "must be above 0"), Cause("spec.key", "is required", "FieldValueRequired"))
-    error = ApiError(http, "words", reason=reason, name="x", causes=causes, retry_after_s=3)
+    error = ApiError(http_code, "words", reason=reason, name="x", causes=causes, retry_after_s=3)
     assert reason in CODE_OF_REASON
-    back = error_of(code_of(error), "words", trailers(error))
-    assert back is not None
-    assert (back.code, back.reason, back.message, back.name) == (http, reason, "words", "x")
-    assert (back.causes, back.retry_after_s) == (causes, 3)
+    decoded = error_of(code_of(error), "words", trailers(error))
+    assert decoded is not None
+    assert (decoded.code, decoded.reason, decoded.message, decoded.name) == (http_code, reason, "words", "x")
+    assert (decoded.causes, decoded.retry_after_s) == (causes, 3)
 
 
-def test_a_status_without_error_info_is_the_transports() -> None:
+def test_a_status_without_error_info_is_not_an_api_error() -> None:
     assert error_of(grpc.StatusCode.UNAVAILABLE, "x", ()) is None
     assert error_of(grpc.StatusCode.UNAVAILABLE, "x", (("grpc-status-details-bin", b"\xff\xff"),)) is None
 
--- a/tests/grpc_calls.py
+++ b/tests/grpc_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a placer's gRPC API by the generated stubs, as the tests of its parts make them."""
+"""Helpers that call the gRPC API of a placer through the generated stubs."""
 
 from __future__ import annotations
 
@@ -18,10 +18,9 @@
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
 
-SERVED = ("placer.grpc=127.0.0.1:0",)
+GRPC_SETTINGS = ("placer.grpc=127.0.0.1:0",)
 
-
-Open = pb.BindingsRequest(open=pb.BindingsRequest.Open(namespace="climate"))
+OPEN_REQUEST = pb.BindingsRequest(open=pb.BindingsRequest.Open(namespace="climate"))
 
 
 class Stubs:
@@ -32,10 +31,10 @@
 
 
 @asynccontextmanager
-async def served(
+async def grpc_cluster(
     machines: int = 2, *overrides: str, model: FleetModel = QUICK
 ) -> AsyncIterator[tuple[TestCluster, PlacerService, Stubs]]:
-    async with cluster(machines, *SERVED, *overrides, model=model) as (test_cluster, service, _):
+    async with cluster(machines, *GRPC_SETTINGS, *overrides, model=model) as (test_cluster, service, _):
         stubs = Stubs(service.grpc_target)
         try:
             yield test_cluster, service, stubs
@@ -43,20 +42,20 @@
             await stubs.channel.close()
 
 
-def job_spec(cls: str = "web", **changes: Any) -> resources_pb2.JobSpec:
-    return spec_message(spec(cls, **changes).model_dump(by_alias=True, exclude_none=True))
+def job_spec(class_name: str = "web", **changes: Any) -> resources_pb2.JobSpec:
+    return spec_message(spec(class_name, **changes).model_dump(by_alias=True, exclude_none=True))
 
 
-def submit(ref: str, cls: str = "web", **changes: Any) -> pb.BindingsRequest:
+def submit_request(ref: str, class_name: str = "web", **changes: Any) -> pb.BindingsRequest:
     changes.setdefault("clientToken", ref)
-    return pb.BindingsRequest(submit=pb.BindingsRequest.Submit(ref=ref, spec=job_spec(cls, **changes)))
+    return pb.BindingsRequest(submit=pb.BindingsRequest.Submit(ref=ref, spec=job_spec(class_name, **changes)))
 
 
-def credits(count: int) -> pb.BindingsRequest:
+def credits_request(count: int) -> pb.BindingsRequest:
     return pb.BindingsRequest(credits=count)
 
 
-async def refused(call: Any) -> tuple[grpc.StatusCode, ApiError | None]:
+async def call_error(call: Any) -> tuple[grpc.StatusCode, ApiError | None]:
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await call
     error = caught.value
@@ -68,4 +67,4 @@
 
 
 async def all_messages(call: Any) -> list[Any]:
-    return [event async for event in call]
+    return [message async for message in call]
--- a/tests/rest_calls.py
+++ b/tests/rest_calls.py
@@ -1,4 +1,4 @@
-"""Requests to a placer's REST API, as the tests of several packages make them."""
+"""Helpers that send requests to the REST API of a placer, shared by tests of several packages."""
 
 from __future__ import annotations
 
@@ -24,10 +24,13 @@
     kind: str = "application/json",
     **headers: str,
 ) -> Reply:
-    raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
+    encoded_body = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
     connection = await HttpConnection.open("127.0.0.1", service.http.port)
-    sent = (("content-type", kind), *((name.replace("_", "-"), value) for name, value in headers.items()))
-    reply = await connection.request(method, path, raw, sent)
+    request_headers = (
+        ("content-type", kind),
+        *((name.replace("_", "-"), value) for name, value in headers.items()),
+    )
+    reply = await connection.request(method, path, encoded_body, request_headers)
     connection.close()
     return reply
 
