--- a/kelpfront/fronts/grpc/binding_session.py
+++ b/kelpfront/fronts/grpc/binding_session.py
@@ -18,7 +18,7 @@
 MAX_REJECTIONS = 1_000
 """Rejections that a client has not read. The stream of a client that exceeds this is ended."""
 MAX_CREDITS = 100_000
-"""Unused credits of a client; a larger grant indicates a faulty client and is rejected."""
+"""Limit of unused credits. A larger grant, by a faulty client, is rejected; a larger sum is capped."""
 MAX_REF_LENGTH = 128
 """In characters."""
 RETRY_AFTER_S = 1
@@ -41,9 +41,7 @@
         self._answers_only = answers_only
         self._jobs: dict[str, JobProgress] = {}
         self._rejections: deque[Event] = deque()
-        self._pending_refs: dict[
-            str, None
-        ] = {}  # used as an ordered set: jobs that may have events to send, oldest first
+        self._pending_refs: dict[str, None] = {}  # ordered set of jobs that may have events, oldest first
 
     @property
     def active_refs(self) -> frozenset[str]:
--- a/kelpfront/fronts/grpc/server.py
+++ b/kelpfront/fronts/grpc/server.py
@@ -21,7 +21,7 @@
 CLOSE_TIMEOUT_S = 2.0
 """Time for open calls to finish; then they are cancelled."""
 MAX_PING_STRIKES = 3
-"""Pings sent too early before a client is disconnected."""
+"""The number of pings that a client may send too early before it is disconnected."""
 KEEPALIVE_INTERVAL_MS = 30_000
 KEEPALIVE_TIMEOUT_MS = 20_000
 """A connection is closed if its client does not answer a ping for this long."""
