--- a/examples/bindings.py
+++ b/examples/bindings.py
@@ -1,4 +1,4 @@
-"""Submits several jobs over one stream, and receives the outcome of each on it.
+"""Submits several jobs over one stream and reads their outcomes from it.
 
 Run with the placer's address: python examples/bindings.py 127.0.0.1:8141
 """
@@ -14,7 +14,7 @@
 
 
 async def main(target: str) -> None:
-    """Print each event, until every job has its final one."""
+    """Print each event until every job has an outcome."""
     async with GrpcClient(target) as client, client.bindings("climate") as stream:
         for number in range(JOB_COUNT):
             token = f"series-{number}"
--- a/examples/grpc_calls.py
+++ b/examples/grpc_calls.py
@@ -11,7 +11,7 @@
 
 
 async def main(*targets: str) -> None:
-    """Print the answer of each task, and its machine or why it has none."""
+    """Print the answer of each task, with its machine or the reason why it has none."""
     async with GrpcClient(targets) as client:
         spec = JobSpec(class_="web", service="front", cores=1, memory=2, count=2)
         job = await client.submit("climate", spec, deadline_s=10)
--- a/examples/reflection.py
+++ b/examples/reflection.py
@@ -1,4 +1,4 @@
-"""Submits a job with any gRPC client: the server's reflection tells it the messages, no generated code.
+"""Submits a job without generated code: the message types come from gRPC server reflection.
 
 Run with the placer's address: python examples/reflection.py 127.0.0.1:8141
 """
--- a/examples/rest.py
+++ b/examples/rest.py
@@ -11,7 +11,7 @@
 
 
 async def main(*urls: str) -> None:
-    """Print the state of each task whenever one changes, until all have an answer."""
+    """Print the state of all tasks after each change, until all have an answer."""
     async with RestClient(urls) as client:
         spec = JobSpec(class_="web", service="front", cores=1, memory=2, count=2)
         job = await client.submit("climate", spec, deadline_s=10)
--- a/kelpfront/client/__init__.py
+++ b/kelpfront/client/__init__.py
@@ -1,4 +1,4 @@
-"""The client library: submit work, wait for its answers, list and watch.
+"""The client library: submit jobs, wait for the answers of their tasks, list and watch objects.
 
 ```python
 from kelpfront.client import Client, JobSpec
--- a/kelpfront/client/bindings.py
+++ b/kelpfront/client/bindings.py
@@ -1,8 +1,7 @@
-"""A Bindings stream as a client keeps it, over reconnects: jobs go in, events about them come out.
+"""The client side of a Bindings stream, which submits jobs and receives their events.
 
-A stream that breaks is opened again after the same backoff as watches. Jobs that have not ended are sent
-again with their tokens, by which the placer finds them. Events that were delivered before are not delivered
-again.
+A broken stream is reopened after the same backoff as a watch. Jobs that have not ended are then sent again;
+the placer recognizes them by their client tokens. Each event is delivered to the caller only once.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import resources_pb2
 
-MAX_CREDITS = 256  # events that the placer may be ahead of the reader
+MAX_CREDITS = 256  # events that the placer may send before the reader grants more credits
 CONNECT_TIMEOUT_S = 5.0
 
 
@@ -40,15 +39,15 @@
     """A job that has not ended."""
 
     request: pb.BindingsRequest
-    task_count: int = 0  # known once it was accepted
+    task_count: int = 0  # 0 until the job is accepted
     delivered: set[_EventKey] = field(default_factory=set)
     ended_tasks: set[int] = field(default_factory=set)
 
 
 class BindingsClient:
-    """One stream to one placer. Read it with `async for`; it ends when `done` was called and all jobs ended.
+    """A stream to one placer, read with `async for`; it ends once `done` was called and all jobs have ended.
 
-    `delete_job` removes a job by namespace and name, with retries. `cuts` counts the streams that broke.
+    `delete_job` deletes a job by namespace and name, with retries. `cuts` counts the broken streams.
     """
 
     def __init__(
@@ -65,12 +64,14 @@
         self._namespace = namespace
         self._delete_job = delete_job
         detail = pb.DETAIL_ANSWERS if answers_only else pb.DETAIL_ALL
-        self._open = pb.BindingsRequest(open=pb.BindingsRequest.Open(namespace=namespace, detail=detail))
+        self._open_request = pb.BindingsRequest(
+            open=pb.BindingsRequest.Open(namespace=namespace, detail=detail)
+        )
         self._jobs: dict[str, _OpenJob] = {}
         self._outgoing: asyncio.Queue[pb.BindingsRequest | None] = asyncio.Queue()
         self._done = False
         self._call: Any = None
-        self._sending: asyncio.Task[None] | None = None
+        self._send_task: asyncio.Task[None] | None = None
         self.cuts = 0
 
     async def __aenter__(self) -> Self:
@@ -84,17 +85,17 @@
     def submit(
         self, ref: str, spec: JobSpec, *, name: str = "", labels: dict[str, str] | None = None
     ) -> None:
-        """Submit a job; its events have its `ref`.
+        """Submit a job; its events carry `ref`.
 
-        Raises ValueError where `spec` has no client token or the ref is in use, and OverflowError where
-        MAX_STREAM_JOBS jobs of the stream have not ended: read events first.
+        Raises ValueError if `spec` has no client token or `ref` is in use, and OverflowError if the stream
+        already has MAX_STREAM_JOBS jobs that have not ended; read events before submitting more.
         """
         if spec.client_token is None:
             raise ValueError("a job on a stream needs a client token: the stream may break at any time")
         if ref in self._jobs:
-            raise ValueError(f"{ref!r} is on this stream already")
+            raise ValueError(f"ref {ref!r} is already in use on this stream")
         if len(self._jobs) >= MAX_STREAM_JOBS:
-            raise OverflowError(f"{MAX_STREAM_JOBS} jobs are not at their end, which is the most")
+            raise OverflowError(f"the stream already has {MAX_STREAM_JOBS} open jobs, which is the maximum")
         metadata = resources_pb2.ObjectMeta(name=name, labels=labels or {})
         message = spec_message(spec.model_dump(by_alias=True, exclude_none=True))
         submit = pb.BindingsRequest.Submit(ref=ref, metadata=metadata, spec=message)
@@ -103,10 +104,10 @@
         self._outgoing.put_nowait(request)
 
     async def withdraw(self, ref: str) -> None:
-        """Remove a job; there are no more events about it.
+        """Delete a job; no more of its events are delivered.
 
-        It is removed by a call of its own and not by a message of the stream, which might be lost with the
-        stream; the job would run on without anybody to follow it.
+        This uses a separate call rather than a message on the stream. If the stream broke, such a message
+        could be lost, and the job would keep running with no client following it.
         """
         job = self._jobs.pop(ref, None)
         if job is None:
@@ -120,14 +121,14 @@
                 raise
 
     def done(self) -> None:
-        """Say that no more jobs will be submitted."""
+        """Declare that no more jobs will be submitted."""
         self._done = True
         self._outgoing.put_nowait(None)
 
     def close(self) -> None:
-        """End the stream; jobs that have not ended are left to their placer."""
-        if self._sending is not None:
-            self._sending.cancel()
+        """Close the stream. Jobs that have not ended stay with their placer."""
+        if self._send_task is not None:
+            self._send_task.cancel()
         if self._call is not None:
             self._call.cancel()
 
@@ -146,8 +147,8 @@
                 backoff_ms = self._retry_policy.reconnect_backoff_ms(failures)
             except ServerUnreachableError:
                 backoff_ms = self._retry_policy.reconnect_backoff_ms(failures)
-            except grpc.aio.AioRpcError as broken:
-                backoff_ms = self._backoff_ms(failures, self._transport.error(broken))
+            except grpc.aio.AioRpcError as error:
+                backoff_ms = self._backoff_ms(failures, self._transport.error(error))
             if self._is_complete():
                 return
             self.cuts += 1
@@ -158,7 +159,7 @@
         return self._done and not self._jobs
 
     def _backoff_ms(self, failures: int, error: Exception) -> float:
-        """Return how long to stay away after a stream ended with an error; raise it where that is no use."""
+        """Return the delay before reopening a stream that failed; raise `error` if reopening cannot help."""
         if not isinstance(error, ApiError):
             return self._retry_policy.reconnect_backoff_ms(failures)
         backoff_ms = self._retry_policy.stream_backoff_ms(failures, error.code, error.retry_after_s)
@@ -170,28 +171,28 @@
         await self._transport.connect(CONNECT_TIMEOUT_S)
         call = self._call = self._transport.bindings()
         try:
-            await call.write(self._open)
+            await call.write(self._open_request)
             await call.write(pb.BindingsRequest(credits=MAX_CREDITS))
             self._outgoing = asyncio.Queue()
             for job in self._jobs.values():
                 self._outgoing.put_nowait(job.request)
             if self._done:
                 self._outgoing.put_nowait(None)
-            self._sending = asyncio.create_task(self._send(call))
-            unacknowledged = 0
+            self._send_task = asyncio.create_task(self._send(call))
+            consumed_credits = 0
             while (event := await call.read()) is not grpc.aio.EOF:
                 yield event
-                unacknowledged += 1
-                if unacknowledged * 2 >= MAX_CREDITS and not call.done():
-                    self._outgoing.put_nowait(pb.BindingsRequest(credits=unacknowledged))
-                    unacknowledged = 0
+                consumed_credits += 1
+                if consumed_credits * 2 >= MAX_CREDITS and not call.done():
+                    self._outgoing.put_nowait(pb.BindingsRequest(credits=consumed_credits))
+                    consumed_credits = 0
         finally:
-            if self._sending is not None:
-                self._sending.cancel()
+            if self._send_task is not None:
+                self._send_task.cancel()
             call.cancel()
 
     async def _send(self, call: Any) -> None:
-        """Write outgoing messages. The end of the jobs is not sent, because credits follow it."""
+        """Write outgoing messages. The sending side stays open after the last job, to grant more credits."""
         while True:
             request = await self._outgoing.get()
             if request is None:
@@ -199,10 +200,10 @@
             try:
                 await call.write(request)
             except (grpc.aio.AioRpcError, asyncio.InvalidStateError):
-                return  # the reader sees how the call ended
+                return  # the reading side handles the error that ended the call
 
     def _record(self, event: pb.BindingsResponse) -> bool:
-        """Update the event's job; return whether the event is new to the client."""
+        """Update the job of an event; return whether the event has not been delivered before."""
         job = self._jobs.get(event.ref)
         if job is None:
             return False
@@ -225,5 +226,5 @@
 
     @property
     def open_jobs(self) -> int:
-        """How many jobs have not ended."""
+        """The number of jobs that have not ended."""
         return len(self._jobs)
--- a/kelpfront/client/client.py
+++ b/kelpfront/client/client.py
@@ -1,6 +1,6 @@
-"""The client of one placer's REST API, for asyncio.
+"""An asyncio client of one placer's REST API.
 
-It makes each request once and resumes watches. Retries and several placers are left to `retrying`.
+It sends each request once and resumes interrupted watches. `retrying` adds retries and several placers.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from kelpfront.api.machines import Machine
 from kelpfront.api.meta import API_VERSION, JOBS, MACHINES, Object, Resource
 from kelpfront.backoff import Backoff
-from kelpfront.client.events import all_answered, job_after, job_metadata
+from kelpfront.client.events import all_answered, job_after_event, job_metadata
 from kelpfront.client.informer import Event, Informer, ObjectList, status_error
 from kelpfront.client.interface import ServerUnreachableError
 from kelpfront.http.client import HttpConnection, HttpError, NotSentError, Reply
 from kelpfront.http.pool import HttpPool
 
-MAX_CONNECTIONS = 64  # for requests; each watch has one of its own besides
+MAX_CONNECTIONS = 64  # for requests; each watch opens an additional connection
 CONNECT_TIMEOUT_S = 5.0
-MAX_IDLE_S = 60.0  # a watch that receives nothing for so long, not even a bookmark, is cut
-PAGE_OBJECTS = 500  # of one answer to a list
-RESUMABLE_CODES = (429, 500, 503, 504)  # with which a server may end a watch that can be resumed
+MAX_IDLE_S = 60.0  # a watch that receives no event or bookmark for this long is closed
+PAGE_OBJECTS = 500  # objects per page of a list
+RESUMABLE_CODES = (429, 500, 503, 504)  # HTTP status codes of a failed watch that can be resumed
 
 
 class Client:
     """A client of one placer at `url`.
 
-    Methods raise ApiError where the server answers with an error, and ServerUnreachableError where it does
-    not answer. `request_s` bounds each request in seconds. `wall` returns seconds since the epoch, because
-    requests say when they were sent.
+    Methods raise ApiError if the server responds with an error, and ServerUnreachableError if it does not
+    respond. `request_s` is the timeout of each request in seconds. `wall` returns the seconds since the
+    epoch; it supplies the time of sending that requests carry.
     """
 
     def __init__(
@@ -51,14 +51,14 @@
     ) -> None:
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname:
-            raise ValueError(f"{url!r} is not http://HOST:PORT")
+            raise ValueError(f"expected a URL of the form http://HOST:PORT, got {url!r}")
         self.url = url
         self._host = parts.hostname
         self._port = parts.port or 80
         self._path = parts.path.rstrip("/")
         self._request_s = request_s
         self._rng = random.Random(seed)
-        self._wall = wall
+        self._wall_clock = wall
         self._pool = HttpPool(self._host, self._port, MAX_CONNECTIONS, CONNECT_TIMEOUT_S)
 
     async def __aenter__(self) -> Client:
@@ -84,38 +84,38 @@
         labels: dict[str, str] | None = None,
         annotations: dict[str, str] | None = None,
     ) -> Job:
-        """Submit a job. With a client token in the spec, doing so again returns the same job."""
+        """Submit a job. If the spec has a client token, submitting it again returns the same job."""
         metadata = job_metadata(name, labels, annotations)
         body = {"metadata": metadata, "spec": spec.model_dump(by_alias=True, exclude_none=True)}
         return Job.model_validate(await self.create(JOBS, namespace, body))
 
     async def get_job(self, namespace: str, name: str) -> Job:
-        """Return a job. Raises ApiError 404."""
+        """Return a job. Raises ApiError 404 if it does not exist."""
         return Job.model_validate(await self.read(JOBS, namespace, name))
 
     async def list_jobs(self, namespace: str | None = None, **selectors: str) -> list[Job]:
-        """Return the jobs of a namespace, or of all, that `label_selector` and `field_selector` match."""
+        """Return the jobs of a namespace, or of all, that match `label_selector` and `field_selector`."""
         items, _ = await self.list_objects(JOBS, namespace, **selectors)
         return [Job.model_validate(item) for item in items]
 
     async def delete_job(self, namespace: str, name: str) -> None:
-        """Remove a job and withdraw its tasks."""
+        """Delete a job and withdraw its tasks."""
         await self.request("DELETE", self.path(JOBS, namespace, name))
 
     async def follow(self, job: Job) -> AsyncIterator[Job]:
-        """Yield the job as it is and after each change; ApiError 404 when it is deleted."""
+        """Yield the current job, then its state after each change. Raises ApiError 404 once it is deleted."""
         namespace = job.metadata.namespace or ""
         name = job.metadata.name or ""
         async for event in self.watch(JOBS, namespace, field_selector=f"metadata.name={name}"):
-            yield job_after(event, name)
+            yield job_after_event(event, name)
 
     async def wait_answers(self, job: Job, *, timeout_s: float | None = None) -> Job:
-        """Return the job once each of its tasks has its answer; ApiError 404 if it is deleted before."""
+        """Return the job once each task has an answer. Raises ApiError 404 if it is deleted before that."""
         async with asyncio.timeout(timeout_s):
             async for state in self.follow(job):
                 if all_answered(state):
                     return state
-        raise AssertionError("a watch does not end by itself")
+        raise AssertionError("the watch ended without an error")
 
     async def logs(
         self,
@@ -126,22 +126,22 @@
         attempt: int | None = None,
         tail_bytes: int | None = None,
     ) -> bytes:
-        """Return the output of a job's task, at most its last `tail_bytes`.
+        """Return the output of a task of a job, limited to the last `tail_bytes`.
 
-        Raises ApiError 404 where none is kept.
+        Raises ApiError 404 if no output is kept.
         """
         query = {"task": task, "attempt": attempt, "tailBytes": tail_bytes}
         text = urlencode({key: value for key, value in query.items() if value is not None})
         target = f"{self._path}{self.path(JOBS, namespace, name)}/log?{text}"
         reply = await self._exchange("GET", target, b"", ())
         if reply.status >= 400:
-            raise status_error(_decoded(reply.body))
+            raise status_error(_decode_json(reply.body))
         return reply.body
 
     # ---- Machines -------------------------------------------------------------------------------------
 
     async def list_machines(self, **selectors: str) -> list[Machine]:
-        """Return the machines that `label_selector` and `field_selector` match."""
+        """Return the machines that match `label_selector` and `field_selector`."""
         items, _ = await self.list_objects(MACHINES, None, **selectors)
         return [Machine.model_validate(item) for item in items]
 
@@ -153,7 +153,7 @@
     # ---- Any resource ---------------------------------------------------------------------------------
 
     def path(self, resource: Resource, namespace: str | None = None, name: str = "") -> str:
-        """Return the path of an object, or of all of a namespace or of the cluster."""
+        """Return the path of an object, or of all objects of a namespace or of the cluster."""
         path = f"/apis/{API_VERSION}"
         if namespace is not None and resource.namespaced:
             path += f"/namespaces/{quote(namespace, safe='')}"
@@ -161,15 +161,15 @@
         return f"{path}/{quote(name, safe='')}" if name else path
 
     async def create(self, resource: Resource, namespace: str | None, body: Object) -> Object:
-        """Create an object and return it as the server has it."""
+        """Create an object and return it as stored by the server."""
         return await self.request("POST", self.path(resource, namespace), body)
 
     async def read(self, resource: Resource, namespace: str | None, name: str) -> Object:
-        """Return an object. Raises ApiError 404."""
+        """Return an object. Raises ApiError 404 if it does not exist."""
         return await self.request("GET", self.path(resource, namespace, name))
 
     async def patch(self, resource: Resource, namespace: str | None, name: str, patch: Object) -> Object:
-        """Apply a JSON merge patch and return the object after it."""
+        """Apply a JSON merge patch and return the patched object."""
         path = self.path(resource, namespace, name)
         return await self.request("PATCH", path, patch, content_type="application/merge-patch+json")
 
@@ -180,8 +180,8 @@
         label_selector: str = "",
         field_selector: str = "",
     ) -> ObjectList:
-        """Return all objects, read in pages, and the revision that they together show."""
-        query = _selectors(label_selector, field_selector) | {"limit": str(PAGE_OBJECTS)}
+        """Return all objects, read in pages, and the revision of the list."""
+        query = _selector_parameters(label_selector, field_selector) | {"limit": str(PAGE_OBJECTS)}
         items: list[Object] = []
         while True:
             page = await self.request("GET", f"{self.path(resource, namespace)}?{urlencode(query)}")
@@ -198,15 +198,15 @@
         label_selector: str = "",
         field_selector: str = "",
     ) -> AsyncIterator[Event]:
-        """Yield what is there, then every change, for as long as it is read.
+        """Yield the existing objects, then every change, until the caller stops reading.
 
-        After a cut the watch is resumed behind the last event. Where the server no longer has that history,
-        the objects are listed again and the changes derived. Errors that another attempt cannot mend are
-        raised.
+        An interrupted watch is resumed after the last event. If the server no longer keeps the history since
+        then, the objects are listed again and the changes are derived from the list. Errors that a retry
+        cannot resolve are raised.
         """
         informer = Informer()
         backoff = Backoff(self._rng)
-        selectors = _selectors(label_selector, field_selector)
+        selectors = _selector_parameters(label_selector, field_selector)
         while True:
             try:
                 if informer.revision is None:
@@ -220,7 +220,7 @@
                     change = informer.apply_line(data)
                     if change is not None:
                         yield change
-                continue  # the server ended it, as it does after a while
+                continue  # the server closes each watch after some time
             except ApiError as error:
                 if error.code == 410:
                     continue
@@ -239,7 +239,7 @@
         informer: Informer,
         on_open: Callable[[], None] = lambda: None,
     ) -> AsyncIterator[Any]:
-        """Yield the lines of one watch, as data, from the informer's revision until it ends or breaks.
+        """Yield the decoded lines of one watch, from the informer's revision until the watch ends or fails.
 
         `on_open` is called once the server has accepted the watch.
         """
@@ -258,7 +258,7 @@
                     reply = await connection.stream("GET", target)
                 fragments = aiter(reply.fragments)
                 if reply.status != 200:
-                    raise status_error(_decoded(await _read_all(fragments)))
+                    raise status_error(_decode_json(await _read_all(fragments)))
                 on_open()
                 rest = b""
                 while (fragment := await _next_fragment(fragments)) is not None:
@@ -280,22 +280,22 @@
         headers: tuple[tuple[str, str], ...] | None = None,
         timeout_s: float | None = None,
     ) -> Object:
-        """Make one request and return its JSON answer. Raises ApiError for an error.
+        """Send one request and return its JSON response. Raises ApiError for an error response.
 
-        `path` is below the client's URL. `headers` replace the one that says when the request was sent.
+        `path` is relative to the client's URL. `headers` replace the header with the time of sending.
         """
         raw = b"" if body is None else msgspec.json.encode(body)
         sent_headers = [("accept", "application/json"), *(headers or ())]
         if raw:
             sent_headers.append(("content-type", content_type))
             if headers is None:
-                sent_headers.append(sent_at_header(self._wall))
+                sent_headers.append(sent_at_header(self._wall_clock))
         reply = await self._exchange(method, self._path + path, raw, tuple(sent_headers), timeout_s)
-        data = _decoded(reply.body)
+        data = _decode_json(reply.body)
         if reply.status >= 400:
             raise status_error(data)
-        answer: Object = data
-        return answer
+        response: Object = data
+        return response
 
     async def _exchange(
         self,
@@ -306,9 +306,9 @@
         timeout_s: float | None = None,
     ) -> Reply:
         sent = False
-        within_s = self._request_s if timeout_s is None else min(timeout_s, self._request_s)
+        effective_timeout_s = self._request_s if timeout_s is None else min(timeout_s, self._request_s)
         try:
-            async with asyncio.timeout(within_s):
+            async with asyncio.timeout(effective_timeout_s):
                 connection = await self._pool.acquire()
                 try:
                     sent = True
@@ -321,12 +321,12 @@
             raise ServerUnreachableError(str(error), may_have_arrived=True) from error
         except TimeoutError as error:
             raise ServerUnreachableError(
-                f"no answer within {within_s:.3g} s", may_have_arrived=sent
+                f"no response within {effective_timeout_s:.3g} s", may_have_arrived=sent
             ) from error
 
 
 async def _next_fragment(fragments: AsyncIterator[bytes]) -> bytes | None:
-    """Return the next fragment, or None at the end. Raises TimeoutError where none arrives for too long."""
+    """Return the next fragment, or None at the end. Raises TimeoutError if none arrives in MAX_IDLE_S."""
     async with asyncio.timeout(MAX_IDLE_S):
         try:
             return await anext(fragments)
@@ -341,15 +341,15 @@
     return body
 
 
-def sent_at_header(wall: Callable[[], float] = time.time) -> tuple[str, str]:
-    """Return the header that says when a request was sent.
+def sent_at_header(wall_clock: Callable[[], float] = time.time) -> tuple[str, str]:
+    """Return the header with the time at which a request is sent.
 
-    The job's patience counts from then, and not from when the placer reads the request.
+    The patience of a job starts at this time, not when the placer reads the request.
     """
-    return "kelpfront-sent-at", f"{wall() * 1000:.3f}"
+    return "kelpfront-sent-at", f"{wall_clock() * 1000:.3f}"
 
 
-def _selectors(labels: str, fields: str) -> dict[str, str]:
+def _selector_parameters(labels: str, fields: str) -> dict[str, str]:
     query = {}
     if labels:
         query["labelSelector"] = labels
@@ -358,8 +358,8 @@
     return query
 
 
-def _decoded(body: bytes) -> Any:
+def _decode_json(body: bytes) -> Any:
     try:
         return msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        raise ApiError(500, f"the server's answer is not JSON: {body[:100]!r}") from error
+        raise ApiError(500, f"the server's response is not JSON: {body[:100]!r}") from error
--- a/kelpfront/client/grpc.py
+++ b/kelpfront/client/grpc.py
@@ -1,4 +1,4 @@
-"""The client over gRPC, with retries.
+"""The gRPC client, with retries.
 
 ```python
 from kelpfront.client import JobSpec
@@ -32,10 +32,10 @@
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
 
 CONNECT_TIMEOUT_S = 5.0
-MAX_MESSAGE_BYTES = 64 << 20  # of an answer
-PAGE_OBJECTS = 500  # of one answer to a list
-OPTIONS = [
-    # `retry` decides whether a call is made again, and when an address is tried again.
+MAX_MESSAGE_BYTES = 64 << 20  # of a response
+PAGE_OBJECTS = 500  # objects per page of a list
+CHANNEL_OPTIONS = [
+    # gRPC must not retry calls: `retry` decides whether a call is retried and when an address is tried again.
     ("grpc.enable_retries", 0),
     ("grpc.initial_reconnect_backoff_ms", 50),
     ("grpc.min_reconnect_backoff_ms", 200),
@@ -50,7 +50,7 @@
     pb.EVENT_TYPE_MODIFIED: "MODIFIED",
     pb.EVENT_TYPE_DELETED: "DELETED",
 }
-# Codes that the transport itself ends calls with and another attempt cannot change, with the HTTP status.
+# Codes with which the transport itself ends a call and which a retry cannot change, with their HTTP status.
 FINAL_TRANSPORT_CODES = {
     grpc.StatusCode.RESOURCE_EXHAUSTED: 413,
     grpc.StatusCode.UNIMPLEMENTED: 405,
@@ -58,81 +58,83 @@
 }
 
 
-def metadata_of(marks: AttemptMarks) -> tuple[tuple[str, str], ...]:
-    """Return the metadata that says which attempt this is."""
+def attempt_metadata(marks: AttemptMarks) -> tuple[tuple[str, str], ...]:
+    """Return the gRPC metadata that describes an attempt."""
     metadata = [("sent-at-ms", f"{marks.sent_at_ms:.3f}"), ("attempt", str(marks.attempt))]
-    if marks.previous:
-        metadata.append(("previous", marks.previous))
+    if marks.previous_outcome:
+        metadata.append(("previous", marks.previous_outcome))
     return tuple(metadata)
 
 
 class GrpcTransport:
-    """Single attempts at one placer; see `transport.Transport`."""
+    """A `transport.Transport` to one placer over gRPC."""
 
     def __init__(self, target: str) -> None:
         self.address = target
-        self._closing: asyncio.Task[None] | None = None
-        self._channel = grpc.aio.insecure_channel(target, options=OPTIONS)
+        self._close_task: asyncio.Task[None] | None = None
+        self._channel = grpc.aio.insecure_channel(target, options=CHANNEL_OPTIONS)
         self._jobs: Any = api_pb2_grpc.JobsStub(self._channel)
         self._machines: Any = api_pb2_grpc.MachinesStub(self._channel)
 
-    async def connect(self, within_s: float) -> None:
-        """Wait until the channel is up, or its next attempt to connect has failed.
+    async def connect(self, timeout_s: float) -> None:
+        """Wait until the channel is connected or its next connection attempt has failed.
 
-        Before it is up no call can have arrived. A channel that failed connects again after its own backoff,
-        which has jitter. A channel for each of our attempts was measured against that; it made more retries
-        and a fuller worst 100 ms (docs/measurements.md). Raises ServerUnreachableError.
+        Raises ServerUnreachableError if it is not connected; no call can have arrived before it is. A failed
+        channel reconnects after gRPC's own backoff, which has jitter. Opening a new channel for each attempt
+        caused more retries and more load in the busiest 100 ms (docs/measurements.md).
         """
         failed = grpc.ChannelConnectivity.TRANSIENT_FAILURE
         ready = grpc.ChannelConnectivity.READY
         state = self._channel.get_state(try_to_connect=True)
         try:
-            async with asyncio.timeout(min(CONNECT_TIMEOUT_S, within_s)):
+            async with asyncio.timeout(min(CONNECT_TIMEOUT_S, timeout_s)):
                 has_attempted = False
                 while state is not ready:
                     if state is failed and has_attempted:
                         raise ServerUnreachableError(
-                            f"{self.address}: cannot be connected to", may_have_arrived=False
+                            f"{self.address}: connection failed", may_have_arrived=False
                         )
                     has_attempted = has_attempted or state is grpc.ChannelConnectivity.CONNECTING
                     await self._channel.wait_for_state_change(state)
                     state = self._channel.get_state(try_to_connect=True)
         except TimeoutError as error:
             raise ServerUnreachableError(
-                f"{self.address}: no connection in time", may_have_arrived=False
+                f"{self.address}: connection timed out", may_have_arrived=False
             ) from error
 
     async def _unary(self, method: Any, request: Any, timeout_s: float, marks: AttemptMarks) -> Any:
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout_s
+        deadline = loop.time() + timeout_s
         await self.connect(timeout_s)
         try:
-            return await method(request, timeout=max(0.001, until - loop.time()), metadata=metadata_of(marks))
+            return await method(
+                request, timeout=max(0.001, deadline - loop.time()), metadata=attempt_metadata(marks)
+            )
         except grpc.aio.AioRpcError as error:
             raise self.error(error) from error
 
     def error(self, error: grpc.aio.AioRpcError) -> Exception:
-        """Return what a call's error means: the placer's own error, or that it did not answer."""
+        """Convert a call's error to an ApiError, or to ServerUnreachableError if a retry may succeed."""
         code = error.code()
         text = error.details() or ""
-        answered = error_of(code, text, error.trailing_metadata())
-        if answered is not None:
-            return answered
+        placer_error = error_of(code, text, error.trailing_metadata())
+        if placer_error is not None:
+            return placer_error
         if code in FINAL_TRANSPORT_CODES:
             return ApiError(FINAL_TRANSPORT_CODES[code], text)
         return ServerUnreachableError(f"{self.address}: {code.name}: {text}", may_have_arrived=True)
 
     async def create(self, namespace: str, body: Object, timeout_s: float, marks: AttemptMarks) -> Object:
         """Submit a job."""
-        given = body["metadata"]
+        job_metadata = body["metadata"]
         metadata = resources_pb2.ObjectMeta(
-            name=given.get("name", ""),
-            labels=given.get("labels") or {},
-            annotations=given.get("annotations") or {},
+            name=job_metadata.get("name", ""),
+            labels=job_metadata.get("labels") or {},
+            annotations=job_metadata.get("annotations") or {},
         )
         request = pb.SubmitRequest(namespace=namespace, metadata=metadata, spec=spec_message(body["spec"]))
-        answer = await self._unary(self._jobs.Submit, request, timeout_s, marks)
-        return job_object(answer.job)
+        response = await self._unary(self._jobs.Submit, request, timeout_s, marks)
+        return job_object(response.job)
 
     async def read(
         self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: AttemptMarks
@@ -181,23 +183,25 @@
         revision: str | None,
         on_open: Callable[[], None],
     ) -> AsyncIterator[WatchLine]:
-        """Yield the lines of one watch, until it ends or breaks."""
+        """Yield the lines of one watch until it ends or fails."""
         await self.connect(CONNECT_TIMEOUT_S)
         request = pb.WatchRequest(
             namespace=namespace or "",
             field_selector="" if name is None else f"metadata.name={name}",
             resume_token=revision or "",
         )
-        jobs = resource is JOBS
-        call = (self._jobs if jobs else self._machines).Watch(request)
+        is_job_watch = resource is JOBS
+        call = (self._jobs if is_job_watch else self._machines).Watch(request)
         try:
             await call.initial_metadata()
             on_open()
             async for event in call:
                 kind = EVENT_KINDS.get(event.type)
                 if kind is not None:
-                    yield WatchLine(kind, job_object(event.job) if jobs else machine_object(event.machine))
-                elif event.resume_token:  # a bookmark, or a kind of a later version
+                    yield WatchLine(
+                        kind, job_object(event.job) if is_job_watch else machine_object(event.machine)
+                    )
+                elif event.resume_token:  # a bookmark, or an event type of a later version
                     yield WatchLine("BOOKMARK", {"metadata": {"resourceVersion": event.resume_token}})
         except grpc.aio.AioRpcError as error:
             raise self.error(error) from error
@@ -205,33 +209,33 @@
             call.cancel()
 
     def bindings(self) -> Any:
-        """Return a new call of the Bindings stream."""
+        """Open a new Bindings stream."""
         return self._jobs.Bindings()
 
     def close(self) -> None:
         """Close the connections."""
-        if self._closing is None:
-            self._closing = asyncio.get_running_loop().create_task(self._channel.close())
+        if self._close_task is None:
+            self._close_task = asyncio.get_running_loop().create_task(self._channel.close())
 
     async def closed(self) -> None:
-        """Wait until the channel that `close` closes is closed."""
-        if self._closing is not None:
-            await self._closing
+        """Wait until the channel is closed, if `close` was called."""
+        if self._close_task is not None:
+            await self._close_task
 
 
 class GrpcClient(RetryingClient):
-    """A `PlacerClient` over gRPC; `targets` are HOST:PORT of one placer or of several."""
+    """A `PlacerClient` over gRPC. `targets` is the HOST:PORT of one placer or a sequence of them."""
 
     def __init__(self, targets: str | Sequence[str], **options: Any) -> None:
         all_targets = [targets] if isinstance(targets, str) else targets
         super().__init__([GrpcTransport(target) for target in all_targets], **options)
 
     def bindings(self, namespace: str, *, answers_only: bool = False) -> BindingsClient:
-        """Return a stream of jobs, and of events about them, to one placer."""
-        address = self.retry_policy.addresses.choose(self._now())
+        """Return a client of a new Bindings stream to one placer, for submitting jobs and reading events."""
+        address = self.retry_policy.addresses.choose(self._now_ms())
 
         async def delete(namespace: str, name: str) -> None:
-            self._remember(namespace, name, address)
+            self._remember_address(namespace, name, address)
             await self.delete_job(namespace, name)
 
         return BindingsClient(
--- a/kelpfront/client/informer.py
+++ b/kelpfront/client/informer.py
@@ -1,8 +1,8 @@
-"""What a client knows of a resource from lists and watch events, whatever was cut in between. No I/O.
+"""A client's local copy of a resource, kept current across interrupted watches. No I/O.
 
-An `Informer` says what to do next (list, or watch from a revision) and turns lines into events. After a cut
-it resumes behind the last event. Where the server no longer has that history, the client lists again and the
-informer derives what changed meanwhile: its user sees each object's changes without a gap or repetition.
+An `Informer` tracks whether to list next or to watch from a revision, and converts watch lines to events. An
+interrupted watch resumes after the last event. If the server no longer keeps the history since then, the
+client lists again and the informer derives the changes in between, so that no change is reported twice.
 """
 
 from __future__ import annotations
@@ -18,49 +18,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A change of one object; `object` is its state after the change, or its last one."""
+    """A change of one object. `object` is its state after the change; for DELETED, its last state."""
 
     kind: EventKind
     object: Object
 
 
 class ObjectList(NamedTuple):
-    """All objects of a list, and the revision that they together show."""
+    """All objects of a list, and the revision at which they were listed."""
 
     items: list[Object]
     revision: str
 
 
 class Informer:
-    """The state of one list. `revision` is None until the first list; a watch starts after it."""
+    """The local copy of one list. Watches start after `revision`, which is None if a list is needed first."""
 
     def __init__(self) -> None:
         self.revision: str | None = None
-        self._known: dict[tuple[str, str], Object] = {}
+        self._objects: dict[tuple[str, str], Object] = {}
 
     @property
-    def known(self) -> dict[tuple[str, str], Object]:
-        """Objects by namespace and name, as last observed; not to be changed."""
-        return self._known
+    def objects(self) -> dict[tuple[str, str], Object]:
+        """The last observed objects by namespace and name. Callers must not modify the map."""
+        return self._objects
 
     def apply_list(self, items: list[Object], revision: str) -> list[Event]:
-        """Return the events that lead from what was known to a complete list."""
+        """Replace the objects by a complete list; return the events for the differences."""
         new = {key_of(item): item for item in items}
-        events = [Event("DELETED", old) for key, old in self._known.items() if not _same(new.get(key), old)]
+        events = [
+            Event("DELETED", old)
+            for key, old in self._objects.items()
+            if not _is_same_object(new.get(key), old)
+        ]
         for key, item in new.items():
-            old = self._known.get(key)
-            if old is None or not _same(item, old):
+            old = self._objects.get(key)
+            if old is None or not _is_same_object(item, old):
                 events.append(Event("ADDED", item))
             elif revision_of(item) != revision_of(old):
                 events.append(Event("MODIFIED", item))
-        self._known = new
+        self._objects = new
         self.revision = revision
         return events
 
     def apply_line(self, data: Any) -> Event | None:
-        """Return the event of one line of a watch, or None for a bookmark.
+        """Apply one line of a watch and return its event, or None for a bookmark.
 
-        Raises ApiError where the server ends the watch with an error; 410 means that it must list again.
+        Raises ApiError if the line is an error of the server; after error 410 the client must list again.
         """
         kind = data["type"]
         obj = data["object"]
@@ -74,28 +78,28 @@
             return None
         key = key_of(obj)
         if kind == "DELETED":
-            self._known.pop(key, None)
+            self._objects.pop(key, None)
         else:
-            self._known[key] = obj
+            self._objects[key] = obj
         return Event(kind, obj)
 
 
 def key_of(obj: Object) -> tuple[str, str]:
-    """Return an object's namespace, empty if it has none, and name."""
+    """Return the namespace of an object, empty if it has none, and its name."""
     metadata = obj["metadata"]
     return metadata.get("namespace", ""), metadata["name"]
 
 
 def revision_of(obj: Object) -> str:
-    """Return an object's resource version."""
+    """Return the resource version of an object."""
     revision: str = obj["metadata"]["resourceVersion"]
     return revision
 
 
 def status_error(status: Any) -> ApiError:
-    """Return the error that a `Status` object describes."""
+    """Convert a `Status` object to an ApiError."""
     if not isinstance(status, dict):
-        return ApiError(500, "the server's error is not a Status")
+        return ApiError(500, "the server's error response is not a Status object")
     details = status.get("details") or {}
     return ApiError(
         int(status.get("code") or 500),
@@ -112,6 +116,6 @@
     )
 
 
-def _same(new: Object | None, old: Object) -> bool:
-    """Return whether it is the same object: one that was deleted and created again has another uid."""
+def _is_same_object(new: Object | None, old: Object) -> bool:
+    """Return whether both are the same object; one that was deleted and recreated has a different uid."""
     return new is not None and new["metadata"].get("uid") == old["metadata"].get("uid")
--- a/kelpfront/client/interface.py
+++ b/kelpfront/client/interface.py
@@ -1,6 +1,6 @@
-"""What both client libraries offer, whichever protocol they speak, and their errors.
+"""The interface and the errors of the client libraries, independent of the protocol.
 
-`rest` and `grpc` implement it, `retrying` what they share.
+`rest` and `grpc` implement the interface; `retrying` contains the code that they share.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ServerUnreachableError(Exception):
-    """There was no answer. `may_have_arrived` is False where it is certain that nothing was sent."""
+    """The server did not respond. `may_have_arrived` is False if the request was certainly not sent."""
 
     def __init__(self, message: str, *, may_have_arrived: bool) -> None:
         super().__init__(message)
@@ -23,10 +23,10 @@
 
 
 class UnknownOutcomeError(ServerUnreachableError):
-    """A job was sent, and it is not known whether its placer accepted it.
+    """A job was sent, but it is not known whether the placer accepted it.
 
-    Submitting it again with the same client token to the same placer, `address`, does no harm; another placer
-    may start it a second time.
+    It is safe to submit the job again with the same client token to the same placer, `address`. A different
+    placer may start it a second time.
     """
 
     def __init__(self, message: str, address: str) -> None:
@@ -35,10 +35,10 @@
 
 
 class PlacerClient(Protocol):
-    """Asynchronous access to placers. Deadlines are seconds from the call.
+    """Asynchronous access to placers. Deadlines are in seconds from the start of the call.
 
-    Methods raise ApiError for an error that a placer answered with, ServerUnreachableError where none
-    answered in time, and UnknownOutcomeError where a job may have been accepted.
+    Methods raise ApiError if a placer responds with an error, ServerUnreachableError if none responds in
+    time, and UnknownOutcomeError if a job may have been accepted.
     """
 
     async def submit(  # noqa: PLR0913 - fields of a job, all but two by keyword
@@ -51,28 +51,31 @@
         annotations: dict[str, str] | None = None,
         deadline_s: float | None = None,
     ) -> Job:
-        """Submit a job once, however many attempts it takes. Its patience is what is left of the deadline."""
+        """Submit a job once, over several attempts if needed. The remaining deadline limits its patience."""
 
     async def get_job(self, namespace: str, name: str) -> Job:
-        """Return a job. Raises ApiError 404 where no placer that can be reached has it."""
+        """Return a job. Raises ApiError 404 if all placers respond and none has it."""
 
     async def list_jobs(self, namespace: str | None = None) -> list[Job]:
-        """Return the jobs of a namespace, or of all, of all placers."""
+        """Return the jobs of a namespace, or of all namespaces, from all placers."""
 
     async def delete_job(self, namespace: str, name: str) -> None:
-        """Remove a job and withdraw its tasks."""
+        """Delete a job and withdraw its tasks."""
 
     def follow(self, job: Job) -> AsyncIterator[Job]:
-        """Yield the job as it is and after each change, over reconnects; ApiError 404 when it is deleted."""
+        """Yield the current job, then its state after each change, across reconnects.
+
+        Raises ApiError 404 once the job is deleted.
+        """
 
     async def wait_answers(self, job: Job, *, timeout_s: float | None = None) -> Job:
-        """Return the job once each of its tasks has its answer."""
+        """Return the job once each of its tasks has an answer."""
 
     def watch_jobs(self, namespace: str | None = None) -> AsyncIterator[Event]:
-        """Yield the jobs of one placer, and every change of them, over reconnects."""
+        """Yield the jobs of one placer, then every change to them, across reconnects."""
 
     async def list_machines(self) -> list[Machine]:
-        """Return the machines as one placer sees them."""
+        """Return the machines as known to one placer."""
 
     async def set_unschedulable(self, machine: str, *, unschedulable: bool) -> Machine:
         """Drain a machine at every placer, or let it accept work again."""
--- a/kelpfront/client/rest.py
+++ b/kelpfront/client/rest.py
@@ -1,4 +1,4 @@
-"""The client over REST, with retries.
+"""The REST client, with retries.
 
 ```python
 from kelpfront.client import JobSpec
@@ -22,15 +22,18 @@
 from kelpfront.client.transport import AttemptMarks, WatchLine
 
 
-def _headers(marks: AttemptMarks) -> tuple[tuple[str, str], ...]:
-    headers = [("kelpfront-sent-at", f"{marks.sent_at_ms:.3f}"), ("kelpfront-attempt", str(marks.attempt))]
-    if marks.previous:
-        headers.append(("kelpfront-previous", marks.previous))
+def _attempt_headers(marks: AttemptMarks) -> tuple[tuple[str, str], ...]:
+    headers = [
+        ("kelpfront-sent-at", f"{marks.sent_at_ms:.3f}"),
+        ("kelpfront-attempt", str(marks.attempt)),
+    ]
+    if marks.previous_outcome:
+        headers.append(("kelpfront-previous", marks.previous_outcome))
     return tuple(headers)
 
 
 class RestTransport:
-    """Single attempts at one placer; see `transport.Transport`."""
+    """A `transport.Transport` to one placer over REST."""
 
     def __init__(self, url: str) -> None:
         self.address = url
@@ -39,21 +42,23 @@
     async def create(self, namespace: str, body: Object, timeout_s: float, marks: AttemptMarks) -> Object:
         """Submit a job."""
         path = self._client.path(JOBS, namespace)
-        return await self._client.request("POST", path, body, headers=_headers(marks), timeout_s=timeout_s)
+        return await self._client.request(
+            "POST", path, body, headers=_attempt_headers(marks), timeout_s=timeout_s
+        )
 
     async def read(
         self, resource: Resource, namespace: str, name: str, timeout_s: float, marks: AttemptMarks
     ) -> Object:
         """Return an object."""
         path = self._client.path(resource, namespace, name)
-        return await self._client.request("GET", path, headers=_headers(marks), timeout_s=timeout_s)
+        return await self._client.request("GET", path, headers=_attempt_headers(marks), timeout_s=timeout_s)
 
     async def list_objects(
         self,
         resource: Resource,
         namespace: str | None,
-        timeout_s: float,  # noqa: ARG002 - the interface's; each page has the client's own timeout
-        marks: AttemptMarks,  # noqa: ARG002 - the interface's; lists are not marked over REST
+        timeout_s: float,  # noqa: ARG002 - required by Transport; each page has the client's timeout
+        marks: AttemptMarks,  # noqa: ARG002 - required by Transport; not sent with lists over REST
     ) -> ObjectList:
         """Return all objects, read in pages."""
         return await self._client.list_objects(resource, namespace)
@@ -61,13 +66,13 @@
     async def delete(self, namespace: str, name: str, timeout_s: float, marks: AttemptMarks) -> None:
         """Delete a job."""
         path = self._client.path(JOBS, namespace, name)
-        await self._client.request("DELETE", path, headers=_headers(marks), timeout_s=timeout_s)
+        await self._client.request("DELETE", path, headers=_attempt_headers(marks), timeout_s=timeout_s)
 
     async def set_unschedulable(
         self,
         name: str,
-        timeout_s: float,  # noqa: ARG002 - the interface's; the request has the client's own timeout
-        marks: AttemptMarks,  # noqa: ARG002 - the interface's; patches are not marked over REST
+        timeout_s: float,  # noqa: ARG002 - required by Transport; the client's timeout applies
+        marks: AttemptMarks,  # noqa: ARG002 - required by Transport; not sent with patches over REST
         *,
         unschedulable: bool,
     ) -> Object:
@@ -82,7 +87,7 @@
         revision: str | None,
         on_open: Callable[[], None],
     ) -> AsyncIterator[WatchLine]:
-        """Yield the lines of one watch, until it ends or breaks."""
+        """Yield the lines of one watch until it ends or fails."""
         selectors = {} if name is None else {"fieldSelector": f"metadata.name={name}"}
         informer = Informer()
         informer.revision = revision
@@ -95,7 +100,10 @@
 
 
 class RestClient(RetryingClient):
-    """A `PlacerClient` over REST; `urls` are of one placer or of several, `options` of `RetryingClient`."""
+    """A `PlacerClient` over REST. `urls` is the URL of one placer or a sequence of them.
+
+    `options` are passed to `RetryingClient`.
+    """
 
     def __init__(self, urls: str | Sequence[str], **options: Any) -> None:
         all_urls = [urls] if isinstance(urls, str) else urls
--- a/kelpfront/client/sync.py
+++ b/kelpfront/client/sync.py
@@ -1,4 +1,4 @@
-"""The client libraries for programs without asyncio: the same calls, which block.
+"""A blocking client for programs without asyncio.
 
 ```python
 from kelpfront.client import JobSpec
@@ -28,9 +28,10 @@
 
 
 class SyncClient:
-    """Runs a client on an event loop in a thread of its own, which `close` ends.
+    """Runs a `PlacerClient` on an event loop in a separate thread, until `close` is called.
 
-    `make` returns the client; it is called in the loop's thread. Methods are those of `PlacerClient`.
+    `make` returns the client; it is called in the thread of the loop. The methods are the blocking
+    equivalents of those of `PlacerClient`.
     """
 
     def __init__(self, make: Callable[[], PlacerClient]) -> None:
@@ -38,20 +39,20 @@
         self._thread = threading.Thread(target=self._loop.run_forever, name="kelpfront", daemon=True)
         self._thread.start()
 
-        async def made() -> PlacerClient:
+        async def make_client() -> PlacerClient:
             return make()
 
         try:
-            self._client = self._run(made())
+            self._client = self._run(make_client())
         except BaseException:
-            self._end()
+            self._stop_loop()
             raise
 
     def _run(self, coroutine: Coroutine[Any, Any, T]) -> T:
         future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
             return future.result()
-        except BaseException:  # also of Ctrl-C: the call must not go on after its caller has left
+        except BaseException:  # includes KeyboardInterrupt: cancel the call when its caller stops waiting
             future.cancel()
             raise
 
@@ -82,27 +83,27 @@
         return self._run(self._client.get_job(namespace, name))
 
     def list_jobs(self, namespace: str | None = None) -> list[Job]:
-        """Return the jobs of a namespace, or of all."""
+        """Return the jobs of a namespace, or of all namespaces."""
         return self._run(self._client.list_jobs(namespace))
 
     def delete_job(self, namespace: str, name: str) -> None:
-        """Remove a job and withdraw its tasks."""
+        """Delete a job and withdraw its tasks."""
         self._run(self._client.delete_job(namespace, name))
 
     def follow(self, job: Job) -> Iterator[Job]:
-        """Yield the job as it is and after each change."""
+        """Yield the current job, then its state after each change."""
         return self._iterate(self._client.follow(job))
 
     def wait_answers(self, job: Job, *, timeout_s: float | None = None) -> Job:
-        """Return the job once each of its tasks has its answer."""
+        """Return the job once each of its tasks has an answer."""
         return self._run(self._client.wait_answers(job, timeout_s=timeout_s))
 
     def watch_jobs(self, namespace: str | None = None) -> Iterator[Event]:
-        """Yield the jobs of one placer, and every change of them."""
+        """Yield the jobs of one placer, then every change to them."""
         return self._iterate(self._client.watch_jobs(namespace))
 
     def list_machines(self) -> list[Machine]:
-        """Return the machines as one placer sees them."""
+        """Return the machines as known to one placer."""
         return self._run(self._client.list_machines())
 
     def set_unschedulable(self, machine: str, *, unschedulable: bool) -> Machine:
@@ -110,12 +111,12 @@
         return self._run(self._client.set_unschedulable(machine, unschedulable=unschedulable))
 
     def close(self) -> None:
-        """Close the client, and end its loop and thread."""
+        """Close the client, its event loop and its thread."""
         if self._thread.is_alive():
             self._run(self._client.__aexit__(None, None, None))
-            self._end()
+            self._stop_loop()
 
-    def _end(self) -> None:
+    def _stop_loop(self) -> None:
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
         self._loop.close()
--- a/kelpfront/client/transport.py
+++ b/kelpfront/client/transport.py
@@ -1,6 +1,6 @@
 """The interface of a transport, which makes single attempts at one placer over one protocol.
 
-`rest` and `grpc` implement it. Whether and where another attempt is made is decided in `retrying`.
+`rest` and `grpc` implement it; `retrying` decides on retries.
 """
 
 from __future__ import annotations
@@ -20,25 +20,28 @@
 
 @dataclass(slots=True)
 class AttemptMarks:
-    """What a request says of itself: which attempt it is, how the one before ended, and when it was sent."""
+    """The description of an attempt that is sent with its request.
+
+    `previous_outcome` is the outcome of the previous attempt, empty for the first.
+    """
 
     attempt: int
-    previous: str
+    previous_outcome: str
     sent_at_ms: float = field(default_factory=_now_ms)
 
 
 class WatchLine(NamedTuple):
-    """One event of a watch; of a BOOKMARK the object has the revision alone."""
+    """One line of a watch. The object of a BOOKMARK has only its resource version."""
 
     type: str
     object: Object
 
 
 class Transport(Protocol):
-    """One protocol to one address.
+    """Access to the placer at one address over one protocol.
 
-    Methods raise ApiError for an error that the placer answered with, and ServerUnreachableError where it did
-    not answer. `marks` are sent with the request.
+    Methods raise ApiError if the placer responds with an error, and ServerUnreachableError if it does not
+    respond. `marks` is sent with the request.
     """
 
     address: str
@@ -77,7 +80,7 @@
         revision: str | None,
         on_open: Callable[[], None],
     ) -> AsyncIterator[WatchLine]:
-        """Yield the lines of one watch, until it ends or breaks; `on_open` is called once it is up."""
+        """Yield the lines of one watch until it ends or fails; `on_open` is called once it is accepted."""
         ...
 
     def close(self) -> None:
