--- a/tests/surfaces/surface_commands.py
+++ b/tests/surfaces/surface_commands.py
@@ -1,7 +1,7 @@
-"""Prints the commands as a machine with another number of cores shows them.
+"""Prints the sample of the command line as it is on a machine with a given number of cores.
 
-Run as a program, since defaults that depend on the machine are evaluated when the commands are imported.
-The first line holds these defaults as JSON, the rest is the sample of `commands.json`.
+Runs as a separate program because the defaults that depend on the machine are evaluated when the commands are
+imported. The first line of output holds these defaults as JSON, the rest is the sample of `commands.json`.
 """
 
 from __future__ import annotations
--- a/tests/surfaces/surface_folders.py
+++ b/tests/surfaces/surface_folders.py
@@ -1,4 +1,4 @@
-"""Samples of folders on disk: the store's journal and an agent's state."""
+"""Samples of the folders on disk: the store's write-ahead log and an agent's state."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def write_journal(folder: Path) -> None:
-    """A store's folder: a snapshot, and records behind it."""
+    """Write a store's folder: a snapshot and the records appended after it."""
     directory = HostDirectory(folder)
     log = WriteAheadLog(directory, lambda: SEED)
     log.open()
@@ -53,7 +53,7 @@
 
 
 def write_agent_state(folder: Path) -> None:
-    """An agent's folder: its state with a task that runs and one that is over, and the folders of both."""
+    """Write an agent's folder: its state with a running and an ended task, and the folders of both tasks."""
     asyncio.run(_write_state(folder))
     for name in ("uid-a-2@1", "uid-b-0@0"):
         (folder / "tasks" / name).mkdir(parents=True)
@@ -87,7 +87,7 @@
 
 
 def dump_state(folder: Path) -> bytes:
-    """The state file as SQL: its bytes depend on the library's version."""
+    """Return the state file as SQL, because its bytes depend on the version of SQLite."""
     db = sqlite3.connect(f"file:{folder / 'state.db'}?mode=ro", uri=True)
     try:
         return "\n".join([*db.iterdump(), ""]).encode()
@@ -96,7 +96,10 @@
 
 
 def read_agent_state(folder: Path) -> bytes:
-    """All that an agent that comes up makes of such a folder, which is changed by it: give it a copy."""
+    """Return everything that a starting agent reads from its folder.
+
+    Reading changes the folder, so callers pass a copy.
+    """
     state = AgentState(folder)
     stored = state.open()
     asyncio.run(state.close())
@@ -108,7 +111,7 @@
 
 
 def _stored_forms(inspection: FolderInspection) -> list[object]:
-    """An inspection with the records of the stop and the exit as they are stored, to the last key."""
+    """Return an inspection with its stop and exit records in their stored form, with every key."""
     stop, exited = inspection.stop, inspection.exit
     return [
         inspection.evidence,
@@ -120,22 +123,22 @@
 
 
 def journal_read() -> bytes:
-    return _of_copy(JOURNAL, read_journal)
+    return _read_copy(JOURNAL, read_journal)
 
 
 def agent_state_read() -> bytes:
-    return _of_copy(AGENT_STATE, read_agent_state)
+    return _read_copy(AGENT_STATE, read_agent_state)
 
 
 def agent_state_dump() -> bytes:
-    return _of_copy(AGENT_STATE, dump_state)
+    return _read_copy(AGENT_STATE, dump_state)
 
 
-def _of_copy(folder: Path, read: Callable[[Path], bytes]) -> bytes:
-    with tempfile.TemporaryDirectory() as place:
-        return read(Path(shutil.copytree(folder, Path(place) / "copy")))
+def _read_copy(folder: Path, read: Callable[[Path], bytes]) -> bytes:
+    with tempfile.TemporaryDirectory() as temporary_folder:
+        return read(Path(shutil.copytree(folder, Path(temporary_folder) / "copy")))
 
 
-def files_of(folder: Path) -> dict[str, bytes]:
+def file_contents(folder: Path) -> dict[str, bytes]:
     paths = sorted(path for path in folder.rglob("*") if path.is_file())
     return {str(path.relative_to(folder)): path.read_bytes() for path in paths}
--- a/tests/surfaces/surface_golden.py
+++ b/tests/surfaces/surface_golden.py
@@ -1,4 +1,4 @@
-"""Golden files, and parsed values rendered without the names of their fields."""
+"""Access to the golden files, and rendering of parsed values without their field names."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def values(value: Any) -> Any:
-    """A parsed value as JSON data: fields and members of enumerations by position, not by name."""
+    """Convert a parsed value to JSON data, with fields and enum members by position instead of by name."""
     if isinstance(value, IntEnum):
         return int(value)
     if isinstance(value, Enum):
--- a/tests/surfaces/surface_machines.py
+++ b/tests/surfaces/surface_machines.py
@@ -72,12 +72,13 @@
 
 def machine_messages() -> bytes:
     return b"".join(
-        name.encode() + b" " + machine.encode(it) + b"\n" for name, (it, _) in MACHINE_MESSAGES.items()
+        name.encode() + b" " + machine.encode(message) + b"\n"
+        for name, (message, _) in MACHINE_MESSAGES.items()
     )
 
 
 def machine_grpc_messages() -> bytes:
-    """The same messages as they go over gRPC."""
+    """Return the offers, answers and stream messages of MACHINE_MESSAGES as they are encoded for gRPC."""
     sent: list[tuple[str, Any]] = [
         ("offer", machine_grpc.offer_message(OFFER)),
         ("offer-plain", machine_grpc.offer_message(PLAIN_OFFER)),
@@ -91,7 +92,7 @@
 
 
 def machine_grpc_read(name: str, data: bytes) -> Any:
-    """A message from gRPC, as it is in MACHINE_MESSAGES."""
+    """Decode a message from gRPC into the type that MACHINE_MESSAGES holds under its name."""
     if name.startswith("offer"):
         return machine_grpc.read_offer(node_pb2.OfferTask.FromString(data))
     message = node_pb2.NodeMessage.FromString(data)
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -1,4 +1,4 @@
-"""Samples of what people and clients are given: the APIs, settings files and commands."""
+"""Samples of the published interfaces: the APIs, the settings files and the command line."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def discovery_documents() -> bytes:
-    """What clients find their way by, beside the OpenAPI document; `/version` tells of the host."""
+    """Return the discovery documents; `/version` is left out because it describes the host."""
     documents = (discovery.core_versions, discovery.groups, discovery.group, discovery.resources)
     return as_json([document() for document in documents])
 
@@ -44,8 +44,8 @@
     return "\n".join(parts).encode()
 
 
-def keys_of(example: str) -> bytes:
-    """Sections and keys of a commented example, without its explanations, which are for people."""
+def sections_and_keys(example: str) -> bytes:
+    """Return the sections and keys of a commented example, without its explanations."""
     lines = [line for line in example.splitlines() if line.startswith("[") or _is_key(line)]
     return "\n".join([*lines, ""]).encode()
 
@@ -56,34 +56,34 @@
 
 
 def settings_keys() -> bytes:
-    return keys_of(placer_example())
+    return sections_and_keys(placer_example())
 
 
 def agent_settings_keys() -> bytes:
-    return keys_of(agent_settings.agent_example())
+    return sections_and_keys(agent_settings.agent_example())
 
 
 def settings_read() -> bytes:
-    """The golden keys with their defaults written out, as they are read."""
-    return as_json(settings.parse_config(_written_out("settings-keys.ini"), "golden"))
+    """Return the settings parsed from the golden keys, with each default given explicitly."""
+    return as_json(settings.parse_config(_uncommented("settings-keys.ini"), "golden"))
 
 
 def agent_settings_read() -> bytes:
-    return as_json(agent_settings.parse_agent_config(_written_out("agent-settings-keys.ini"), "golden"))
+    return as_json(agent_settings.parse_agent_config(_uncommented("agent-settings-keys.ini"), "golden"))
 
 
-def _written_out(name: str) -> str:
+def _uncommented(name: str) -> str:
     lines = (line.removeprefix("# ") for line in golden(name).decode().splitlines())
     return "\n".join(line for line in lines if not line.endswith("="))
 
 
 def platform_config_full_read() -> bytes:
-    """Every key of a placer's file, each with a value that is not its default."""
+    """Return the configuration of a placer with every key set to a value that is not its default."""
     return as_json(platform_config.config_of(json.loads(golden("platform-config-full.json"))))
 
 
 def platform_config_least_read() -> bytes:
-    """Only the keys that must be there: the defaults of all others."""
+    """Return the configuration of a placer with only the required keys, which shows the other defaults."""
     return as_json(platform_config.config_of(json.loads(golden("platform-config-least.json"))))
 
 
@@ -92,7 +92,7 @@
 
 
 def directory_read() -> bytes:
-    """The coordinator's answer, as `known` in the configuration has it too."""
+    """Return the events parsed from `known`, which has the form of the coordinator's answer."""
     raw = json.loads(golden("platform-config-full.json"))
     return as_json(platform_events.parse_events(raw["known"], platform_config.config_of(raw)))
 
@@ -106,7 +106,11 @@
     if isinstance(command, click.Group):
         names = command.list_commands(context)
         found = {name: command.get_command(context, name) for name in names}
-        shown["commands"] = {name: _command(its, context) for name, its in found.items() if its is not None}
+        shown["commands"] = {
+            name: _command(subcommand, context)
+            for name, subcommand in found.items()
+            if subcommand is not None
+        }
     return shown
 
 
@@ -132,13 +136,13 @@
 
 
 def described_default(item: click.Parameter) -> str | None:
-    """Return the words that help prints for a default that depends on the machine, None for others."""
+    """Return the help text of a default that depends on the machine, or None for other defaults."""
     described = getattr(item, "show_default", None)
     return described if isinstance(described, str) else None
 
 
 def machine_dependent_defaults() -> dict[str, tuple[str, Any]]:
-    """Return the words of help and the value on this machine, by command and option."""
+    """Return the help text and this machine's value of each such default, by command and option."""
     return _machine_dependent(cli.main, click.Context(cli.main), ())
 
 
@@ -159,5 +163,5 @@
 
 
 def printed_addresses(service: PlacerService) -> dict[str, str]:
-    """What `kelpfront serve` prints as JSON once it serves."""
+    """Return the addresses that `kelpfront serve` prints as JSON once it is ready."""
     return addresses(service)
--- a/tests/surfaces/surface_samples.py
+++ b/tests/surfaces/surface_samples.py
@@ -1,14 +1,14 @@
-"""Samples of every surface of the program, as bytes: what it serves, writes, sends and reads.
+"""Samples of every external interface of the program, as bytes: what it serves, writes, sends and reads.
 
-This table names the sample of each golden file. The modules `surface_*` beside it build them and are where
-internal names are imported: a rename inside the program is followed there, and the golden files stay as they
-are. Parsed values are rendered by position, without the names of their fields.
+SAMPLES maps each golden file to the function that builds its sample. These functions are in the other
+`surface_*` modules, the only ones that import internal names: a rename inside the program changes them, and
+the golden files stay as they are. Parsed values are rendered by position, without their field names.
 
-The golden files are rewritten by this command alone, never by a test; look at `git diff` afterwards:
+Only this command rewrites the golden files, never a test; review the changes with `git diff` afterwards:
 
     PYTHONPATH=tests .venv/bin/python tests/surfaces/surface_samples.py --write
 
-Four of them are inputs, written by hand, which the command reads and leaves as they are:
+Four golden files are inputs written by hand, which the command reads and does not change:
 `platform-config-full.json`, `platform-config-least.json`, `drain.json` and `simulator-settings.json`.
 """
 
@@ -56,7 +56,7 @@
     watch_config_full_read,
 )
 
-# What each golden file must be. Files that are read by a later one come before it.
+# The sample of each golden file. A file that a later sample reads comes before that sample.
 SAMPLES: dict[str, Callable[[], bytes]] = {
     "openapi.json": openapi,
     "discovery.json": discovery_documents,
--- a/tests/surfaces/test_surface_api.py
+++ b/tests/surfaces/test_surface_api.py
@@ -1,7 +1,7 @@
 """The APIs as clients see them: discovery, the OpenAPI document byte for byte, the descriptors of `proto/`.
 
-Beside these, `tools/protos.py --check` keeps `kelpfront/v1` in step with `proto/`, and `tests/fronts`
-holds what the calls do. Golden files are rewritten as `surface_samples` says.
+`tools/protos.py --check` checks that `kelpfront/v1` matches `proto/`, and `tests/fronts` tests the calls.
+`surface_samples` explains how to rewrite the golden files.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 @pytest.mark.parametrize("name", ["openapi.json", "discovery.json", "descriptors.txt"])
-def test_the_apis_are_as_they_were(name: str) -> None:
+def test_api_documents_match_the_golden_files(name: str) -> None:
     assert SAMPLES[name]() == golden(name)
 
 
-async def test_the_document_is_served_byte_for_byte() -> None:
+async def test_openapi_document_is_served_byte_for_byte() -> None:
     async with cluster(1) as (_, service, _client):
         connection = await HttpConnection.open("127.0.0.1", service.http.port)
         reply = await connection.request("GET", "/openapi/v3/apis/kelpfront.dev/v1")
--- a/tests/surfaces/test_surface_folders.py
+++ b/tests/surfaces/test_surface_folders.py
@@ -1,8 +1,7 @@
-"""Folders on disk: those that an earlier version wrote are read, and the same is written today.
+"""Folders on disk: this version reads what an earlier version wrote, and writes the same content.
 
-`tests/store/test_write_ahead_log.py` and `tests/agent/test_agent.py` hold what becomes of folders after
-crashes and damage.
-Golden files are rewritten as `surface_samples` says.
+`tests/store/test_write_ahead_log.py` and `tests/agent` test recovery after crashes and damage.
+`surface_samples` explains how to rewrite the golden files.
 """
 
 from __future__ import annotations
@@ -11,12 +10,12 @@
 
 import pytest
 from agents import running_agent
-from surface_folders import AGENT_STATE, JOURNAL, dump_state, files_of, write_agent_state, write_journal
+from surface_folders import AGENT_STATE, JOURNAL, dump_state, file_contents, write_agent_state, write_journal
 from surface_golden import golden
 from surface_samples import SAMPLES
 from waiting import until
 
-STATE_FILE = "state.db"  # its bytes depend on the library's version; its content is compared
+STATE_FILE = "state.db"  # compared as SQL, because its bytes depend on the version of SQLite
 RECORD_KEYS = {
     "task": ["boot", "env", "log_bytes", "log_files", "request", "run", "since"],
     "claim": ["boot", "by", "pid", "ticks"],
@@ -28,33 +27,33 @@
 
 
 @pytest.mark.parametrize("name", ["journal-read.json", "agent-state-read.json", "agent-state.sql"])
-def test_what_an_earlier_version_wrote_is_read(name: str) -> None:
+def test_folders_of_an_earlier_version_are_readable(name: str) -> None:
     assert SAMPLES[name]() == golden(name)
 
 
-def test_a_journal_is_written_byte_for_byte(tmp_path: Path) -> None:
+def test_journal_is_written_byte_for_byte(tmp_path: Path) -> None:
     write_journal(tmp_path)
-    assert files_of(tmp_path) == files_of(JOURNAL)
+    assert file_contents(tmp_path) == file_contents(JOURNAL)
 
 
-def test_an_agents_state_is_written_as_it_was(tmp_path: Path) -> None:
+def test_agent_state_matches_the_golden_folder(tmp_path: Path) -> None:
     write_agent_state(tmp_path)
-    written, kept = files_of(tmp_path), files_of(AGENT_STATE)
+    written, expected = file_contents(tmp_path), file_contents(AGENT_STATE)
     assert written.pop(STATE_FILE)
-    assert kept.pop(STATE_FILE)
-    assert written == kept
+    assert expected.pop(STATE_FILE)
+    assert written == expected
     assert dump_state(tmp_path) == golden("agent-state.sql")
 
 
-async def test_the_records_of_a_task_have_the_keys_that_later_agents_look_for(tmp_path: Path) -> None:
-    async with running_agent(tmp_path) as its:
-        await its.offer("t1")
-        assert await its.stop("t1") in ("stopped", "stopping")
-        await until(lambda: its.record("t1", "exit"))
-        records = {name: its.record("t1", name) for name in RECORD_KEYS}
+async def test_task_records_have_the_keys_that_later_agents_read(tmp_path: Path) -> None:
+    async with running_agent(tmp_path) as agent:
+        await agent.offer("t1")
+        assert await agent.stop("t1") in ("stopped", "stopping")
+        await until(lambda: agent.record("t1", "exit"))
+        records = {name: agent.record("t1", name) for name in RECORD_KEYS}
     assert {name: sorted(record or {}) for name, record in records.items()} == RECORD_KEYS
-    claim, ended = records["claim"], records["exit"]
+    claim, exited = records["claim"], records["exit"]
     assert claim is not None
     assert claim["by"] == "supervisor"
-    assert ended is not None
-    assert ended["ran"] is True
+    assert exited is not None
+    assert exited["ran"] is True
--- a/tests/surfaces/test_surface_settings.py
+++ b/tests/surfaces/test_surface_settings.py
@@ -1,8 +1,8 @@
-"""Every key of the settings files with its default, and what is read from it.
+"""Every key of the settings files with its default, and the value parsed from it.
 
-That the examples name every key and that a placer's is valid is in `tests/config`; what a
-platform's configuration should not hold is in `tests/test_platform_settings.py`. Explanations, which are for
-people, are not held. Golden files are rewritten as `surface_samples` says.
+`tests/config` checks that the examples name every key and that the placer's example is valid;
+`tests/platform/test_platform_settings.py` tests invalid configurations of the platform. Explanations in the
+examples are not compared. `surface_samples` explains how to rewrite the golden files.
 """
 
 from __future__ import annotations
@@ -24,5 +24,5 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_settings_are_as_they_were(name: str) -> None:
+def test_settings_match_the_golden_files(name: str) -> None:
     assert SAMPLES[name]() == golden(name)
--- a/tests/surfaces/test_surface_wires.py
+++ b/tests/surfaces/test_surface_wires.py
@@ -1,7 +1,8 @@
-"""What is sent and read on each wire: the platform's lines, machines' messages, frames and datagrams.
+"""The encoding of each protocol: the platform's lines, machines' messages, frames and datagrams.
 
-`tests/platform/`, `tests/test_node.py`, `tests/test_wire.py` and `tests/test_liveness.py` hold
-what is done about each, and what is refused. Golden files are rewritten as `surface_samples` says.
+`tests/platform/`, `tests/machine/test_node.py`, `tests/scheduling/test_wire.py` and
+`tests/failure_detection/test_digest.py` test how messages are handled and which are rejected.
+`surface_samples` explains how to rewrite the golden files.
 """
 
 from __future__ import annotations
@@ -26,21 +27,21 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_wires_are_as_they_were(name: str) -> None:
+def test_protocols_match_the_golden_files(name: str) -> None:
     assert SAMPLES[name]() == golden(name)
 
 
-def test_messages_of_machines_are_read_as_they_were_meant() -> None:
+def test_machine_messages_decode_to_the_originals() -> None:
     rows = dict(line.split(b" ", 1) for line in golden("machine-messages.txt").splitlines())
     assert [name.decode() for name in rows] == list(MACHINE_MESSAGES)
-    for name, (meant, decode) in MACHINE_MESSAGES.items():
-        assert decode(rows[name.encode()]) == meant, name
+    for name, (expected, decode) in MACHINE_MESSAGES.items():
+        assert decode(rows[name.encode()]) == expected, name
 
 
-def test_messages_of_machines_over_grpc_are_read_as_they_were_meant() -> None:
+def test_machine_messages_over_grpc_decode_to_the_originals() -> None:
     for name, data in from_hex(golden("machine-grpc-messages.hex")).items():
         assert machine_grpc_read(name, data) == MACHINE_MESSAGES[name][0], name
 
 
-async def test_a_placer_asks_the_coordinator_as_it_did() -> None:
+async def test_placer_requests_the_endpoint_list_from_the_coordinator() -> None:
     assert await coordinator_request() == b"GET /v2/stream?follow=41&wait_ms=0 HTTP/1.1\r\n"
