--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -1,4 +1,4 @@
-"""A placer with stand-in machines on loopback, in the test's own process."""
+"""Runs placers with simulated machines on loopback, inside the process of the test."""
 
 from __future__ import annotations
 
@@ -59,16 +59,16 @@
 def spec(cls: str = "web", **changes: Any) -> JobSpec:
     if cls == "ingest":
         changes.setdefault("key", "batch")
-    plain = {"class": cls, "service": "front", "cores": 1.0, "memory": 2.0}
-    return JobSpec.model_validate({**plain, **changes})
+    defaults = {"class": cls, "service": "front", "cores": 1.0, "memory": 2.0}
+    return JobSpec.model_validate({**defaults, **changes})
 
 
-def some_hosts(count: int) -> list[Host]:
+def make_hosts(count: int) -> list[Host]:
     return [Host(f"n{n}", "small", f"r{n // 2}", f"room{n % 2}", 24.0, 48.0, "") for n in range(count)]
 
 
 class TestCluster:
-    """Machines that outlive placers, and placers that come and go."""
+    """Simulated machines that stay up while placers are started and stopped."""
 
     __test__ = False
 
@@ -84,7 +84,7 @@
         self.recorder = Recorder("machines")
         self.fleet = Fleet(
             config(*overrides),
-            some_hosts(machines),
+            make_hosts(machines),
             model,
             1,
             self.clock.now,
@@ -101,7 +101,7 @@
     async def placer(
         self, *overrides: str, controller_class: type[JobController] = JobController
     ) -> PlacerService:
-        """A new placer process's worth, ready for jobs."""
+        """Start another placer, and wait until it accepts jobs and knows the load of its machines."""
         service = PlacerService(
             config(*self.overrides, *overrides),
             self.inventory,
@@ -114,7 +114,9 @@
         await service.start()
         await until(lambda: not service.operations.closed)
         await until(
-            lambda: all(e.load is not None for e in service.controller.registry.entries.values() if e.boot)
+            lambda: all(
+                entry.load is not None for entry in service.controller.registry.entries.values() if entry.boot
+            )
         )
         return service
 
@@ -131,7 +133,7 @@
         self.fleet.close()
 
     def events(self, kind: str, **where: Any) -> list[dict[str, Any]]:
-        """Lines of the machines' recording."""
+        """Return the events that the machines recorded, filtered by kind and by field values."""
         return [
             line
             for line in self.recorder.lines
@@ -146,7 +148,7 @@
     model: FleetModel = QUICK,
     protocol: Literal["http", "grpc"] = "http",
 ) -> AsyncIterator[tuple[TestCluster, PlacerService, Client]]:
-    """A cluster with one placer and a client of it."""
+    """Start a cluster with one placer and a client connected to it."""
     test_cluster = TestCluster(machines, model, overrides, protocol)
     await test_cluster.start()
     try:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""What all tests share: property tests draw the same examples every time, and none has a deadline.
+"""Configuration of all tests: property tests draw the same examples in every run and have no deadline.
 
-Tests that KNOWN-RED.txt lists are expected to fail; reading the list is left to `known_red`.
+Tests listed in KNOWN-RED.txt are expected to fail; `known_red` reads the list.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class _MissingTest(pytest.Item):
-    """Fails in place of a test that is listed and does not exist.
+    """Fails in place of a listed test that does not exist.
 
-    An error while tests are collected would not do: where they run in several processes, none of these can
-    stop the run.
+    Raising an error during collection is not enough: when pytest-xdist runs the tests in several processes, a
+    worker process cannot stop the run.
     """
 
     def __init__(self, *, failure: known_red.KnownFailure, **kwargs: Any) -> None:
@@ -28,18 +28,18 @@
 
     def runtest(self) -> None:
         position = f"{known_red.FILE_NAME}:{self._failure.line}"
-        pytest.fail(f"{position}: there is no test {self._failure.test}", pytrace=False)
+        pytest.fail(f"{position}: test does not exist: {self._failure.test}", pytrace=False)
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """End the run before any test if the list cannot be read."""
+    """Stop the run before the first test if the list is invalid."""
     _read_list(config)
 
 
-# Before -k and the like take tests out: one that is left out by a choice is not missing.
+# Runs before -k and similar options deselect tests, because a deselected test is not missing.
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the tests of the list as expected failures, and let missing ones fail."""
+    """Mark the listed tests as expected failures, and add a failing item for each missing one."""
     failures = _read_list(config)
     tests = {item.nodeid: item for item in items}
     has_whole_files = not any("::" in arg for arg in config.args)
@@ -54,13 +54,13 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print the list, so that it is seen in every run."""
+    """Print the list at the end of every run."""
     for failure in _read_list(config):
-        terminalreporter.write_line(f"known red: {failure}")
+        terminalreporter.write_line(f"known failure: {failure}")
 
 
 def _read_list(config: pytest.Config) -> list[known_red.KnownFailure]:
     try:
         return known_red.read_known_failures(config.rootpath / known_red.FILE_NAME)
-    except known_red.KnownRedError as error:
+    except known_red.KnownFailuresError as error:
         raise pytest.UsageError(str(error)) from error
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders of settings and events for tests, and a driver that keeps a scheduler's actions."""
+"""Builders of settings and events for tests, and a driver that records a scheduler's actions."""
 
 from __future__ import annotations
 
@@ -114,7 +114,7 @@
 
 
 class Driver:
-    """One scheduler with its clock and the record of all that it did."""
+    """Runs one scheduler with its own clock, and records all of its actions."""
 
     def __init__(self, its_settings: SchedulerSettings | None = None, seed: int = 7) -> None:
         self.scheduler = Scheduler(its_settings or settings(), seed)
@@ -142,7 +142,7 @@
         return self.send(TaskArrived(task, cls, service, cores, memory, timeout_ms), after)
 
     def bind(self, task: int, **more: Any) -> int:
-        """Arrive and return the machine of the one bind."""
+        """Send the arrival of a task, and return the machine of the only bind action."""
         return only_action(self.arrive(task, **more), Bind).machine
 
     def close(
@@ -160,7 +160,7 @@
         return self.send(AttemptClosed(task, attempt, machine, outcome, reason, task_finished, 5.0), after)
 
     def report_load(self, machine: int, load: LoadReport) -> list[SchedulerAction]:
-        """Send a load report with the end of an attempt that the scheduler does not know."""
+        """Send a load report with the end of an attempt that is unknown to the scheduler."""
         closed = AttemptClosed(
             77,
             0,
@@ -191,15 +191,16 @@
 
 
 def deadline_timer(actions: list[SchedulerAction]) -> SetTimer:
-    """The timer of a task's final answer: the latest of those that were set."""
+    """Return the timer of a task's final answer, which is the latest of the timers that were set."""
     return max(actions_of(actions, SetTimer), key=lambda timer: timer.at)
 
 
 def crowded_settings(**changes: Any) -> SchedulerSettings:
-    """Settings with which no machine serves in full, so that the least loaded safe machine is chosen.
+    """Return settings under which no machine gives full service, so the least loaded safe machine is chosen.
 
-    One placer and its sizes make the guardrails as tight as they get. The class is above the lowest priority,
-    so it does not wait for capacity by use.
+    A single placer, and a mean task that needs all cores of the smallest kind of machine, make the
+    guardrails as tight as possible. The class is above the lowest priority, so it does not wait for capacity
+    by measured usage.
     """
     classes = task_class(full_service_utilization=0.01, degradation_range=0.0), task_class(priority=0)
     plain = settings(*classes, replica_count=1, **changes)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Reads KNOWN-RED.txt at the root: tests that fail for a real fault, each with its cause and its issue.
+"""Reads KNOWN-RED.txt at the root, the list of known failures: tests with a real fault, its cause and issue.
 
-They run as strict expected failures, which `conftest.py` sees to. A line that cannot be read, names no test,
-or names one that passes again fails the run, so that the list stays short and true.
+`conftest.py` marks these tests as strict expected failures. A line that is malformed, names a missing test or
+a test that passes again fails the run. This keeps the list short and accurate.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 from pathlib import Path
 
 FILE_NAME = "KNOWN-RED.txt"
-MAX_ENTRIES = 3  # so that faults are mended and not collected
+MAX_ENTRIES = 3  # a low limit, so that faults are fixed instead of collected
 
 _TEST = re.compile(r"tests/[\w/]+\.py::\S.*")
 _ISSUE = re.compile(r"(issue )?#?\d+")
 
 
-class KnownRedError(ValueError):
-    """Raised for a list that cannot be used; the text names file and line."""
+class KnownFailuresError(ValueError):
+    """Raised for an invalid list; the message names the file and the line."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A test that is expected to fail; `line` is where the list has it, counted from 1."""
+    """A test that is expected to fail; `line` is its line number in the list, counted from 1."""
 
     test: str
     cause: str
@@ -36,10 +36,10 @@
 
 
 def read_known_failures(path: Path) -> list[KnownFailure]:
-    """Return the entries of the list; none where there is no file.
+    """Return the entries of the list, or an empty list if the file does not exist.
 
     Raises:
-        KnownRedError: a line is no entry, names a test that an earlier one names, or is one too many.
+        KnownFailuresError: a line is malformed, repeats a test, or exceeds MAX_ENTRIES.
     """
     if not path.exists():
         return []
@@ -51,17 +51,17 @@
         position = f"{path.name}:{number}"
         failure = _parse_line(text, number, position)
         if any(earlier.test == failure.test for earlier in failures):
-            raise KnownRedError(f"{position}: {failure.test} is listed twice")
+            raise KnownFailuresError(f"{position}: {failure.test} is listed twice")
         failures.append(failure)
         if len(failures) > MAX_ENTRIES:
-            raise KnownRedError(f"{position}: {MAX_ENTRIES} tests at most may be listed")
+            raise KnownFailuresError(f"{position}: at most {MAX_ENTRIES} tests may be listed")
     return failures
 
 
 def find_missing_tests(
     failures: Iterable[KnownFailure], collected: Iterable[str], root: Path
 ) -> list[KnownFailure]:
-    """Return the entries that name no test, as far as one run can say.
+    """Return the entries whose test does not exist, as far as one run can tell.
 
     A test is missing if its file does not exist, or if the file was collected and the test was not in it.
     """
@@ -70,17 +70,17 @@
     missing = []
     for failure in failures:
         file = failure.test.partition("::")[0]
-        is_decided = file in collected_files or not (root / file).exists()
-        if failure.test not in tests and is_decided:
+        is_determined = file in collected_files or not (root / file).exists()
+        if failure.test not in tests and is_determined:
             missing.append(failure)
     return missing
 
 
 def _parse_line(text: str, number: int, position: str) -> KnownFailure:
     test, _, rest = text.partition(", ")
-    cause, _, issue = rest.rpartition(", ")  # a cause may hold commas
+    cause, _, issue = rest.rpartition(", ")  # a cause may contain commas
     failure = KnownFailure(test.strip(), cause.strip(), issue.strip(), number)
     is_complete = _TEST.fullmatch(failure.test) and failure.cause and _ISSUE.fullmatch(failure.issue)
     if not is_complete:
-        raise KnownRedError(f"{position}: 'tests/FILE.py::TEST, cause, issue N' is wanted: {text!r}")
+        raise KnownFailuresError(f"{position}: expected 'tests/FILE.py::TEST, cause, issue N', got {text!r}")
     return failure
--- a/tests/placers.py
+++ b/tests/placers.py
@@ -1,4 +1,4 @@
-"""Placers as processes, as seen by an owner."""
+"""Connections of a client to placers that run as separate processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 async def reached(placer: PlacerProcess) -> Peer | None:
-    """A connection to it that has passed a test; None where it does not let owners in yet."""
+    """Return a connection to the placer that has passed a test, or None if it accepts no clients yet."""
     try:
         peer = Peer(*await asyncio.open_connection("127.0.0.1", placer.port))
     except OSError:
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -1,4 +1,4 @@
-"""A placer in service inside the test's own loop, and a configuration for it."""
+"""Runs a platform placer inside the event loop of the test, and builds its configuration."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def info(**changes: Any) -> Json:
-    """Settings with one safe, one keyed and one unsafe class; machines of one kind in two zones."""
+    """Return settings with a safe, a keyed and an unsafe class, and machines of one kind in two zones."""
     plain = frames.info(RegistryMode="pushed", Shapes=["plain"], **changes)
     (keyed,) = plain["Categories"]
     plain["Categories"] = [
@@ -54,7 +54,7 @@
 
 
 class Placer:
-    """A placer in service inside the test's own loop, and its clients."""
+    """Runs a placer inside the event loop of the test, and keeps its client connections."""
 
     def __init__(self, path: Path, raw: Json) -> None:
         path.write_text(json.dumps(raw))
@@ -134,7 +134,7 @@
 
 
 class Dials:
-    """Connections to machines: the first `prompt` come up at once, the others when `up` is set."""
+    """Delays connections to machines: the first `prompt` open at once, the others once `up` is set."""
 
     def __init__(self, stage: Stage, monkeypatch: pytest.MonkeyPatch, prompt: int) -> None:
         self.prompt, self.begun = prompt, 0
@@ -152,10 +152,10 @@
 
 
 def free_address() -> tuple[str, int]:
-    """A loopback address of this process alone, and a port that is free there.
+    """Return a loopback address that only this process uses, and a free port on it.
 
-    Between the choice of a port and the start of the program under test, any other socket of the machine may
-    get a port of 127.0.0.1; a client of the test would then be connected to something else.
+    On 127.0.0.1, any other socket of the machine could get the port before the program under test binds it,
+    and the client of the test would then connect to the wrong program.
     """
     pid = os.getpid()
     host = f"127.{2 + (pid >> 16) % 250}.{pid >> 8 & 255}.{pid & 255}"
--- a/tests/project/test_architecture.py
+++ b/tests/project/test_architecture.py
@@ -1,4 +1,4 @@
-"""docs/ARCHITECTURE.md names modules that exist, and every package of the project."""
+"""Checks that docs/ARCHITECTURE.md names only modules that exist, and every package of the project."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 @pytest.mark.parametrize("path", named_paths())
-def test_a_path_on_the_architecture_page_exists(path: str) -> None:
+def test_path_on_the_architecture_page_exists(path: str) -> None:
     assert (ROOT / path).exists() or (ROOT / f"{path}.py").exists()
 
 
 @pytest.mark.parametrize("name", re.findall(r"python -m (kelpfront[\w.]*)", PAGE.read_text()))
-def test_a_program_on_the_architecture_page_can_be_started(name: str) -> None:
+def test_program_on_the_architecture_page_exists(name: str) -> None:
     path = ROOT / name.replace(".", "/")
     assert (path / "__main__.py").exists() or path.with_suffix(".py").exists()
 
 
 @pytest.mark.parametrize("package", PACKAGES)
-def test_each_package_is_on_the_architecture_page(package: str) -> None:
-    if package in ("api", "watch"):  # API types are named in words; `watch` is an alias of a program
+def test_package_is_on_the_architecture_page(package: str) -> None:
+    if package in ("api", "watch"):  # the page names API types in prose; `watch` is an alias of a program
         assert package in PAGE.read_text().lower()
     else:
         assert f"kelpfront/{package}" in PAGE.read_text()
 
 
-def test_links_of_the_architecture_page_lead_to_pages() -> None:
+def test_links_of_the_architecture_page_lead_to_existing_pages() -> None:
     targets = re.findall(r"\]\(([\w./-]+\.md)\)", PAGE.read_text())
     assert targets
     assert [target for target in targets if not (PAGE.parent / target).is_file()] == []
--- a/tests/project/test_fuzz.py
+++ b/tests/project/test_fuzz.py
@@ -1,6 +1,6 @@
-"""Whatever comes in, each reader takes it or says in its own way what is wrong; nothing else gets out.
+"""Fuzz tests: each reader must accept its input or raise its own error, and let no other exception escape.
 
-Inputs are those of `corpus/`, as they are and changed: what was once found to break a reader is kept there.
+Inputs are the files of `corpus/`, unchanged and mutated. The corpus keeps inputs that once broke a reader.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 
 def changed(data: bytes, rng: random.Random) -> bytes:
-    """Some bytes cut, doubled, swapped or put in."""
+    """Return a mutation of the data: some bytes removed, repeated, replaced, inserted or moved."""
     raw = bytearray(data)
     for _ in range(rng.randint(1, 4)):
         first = rng.randrange(len(raw) + 1)
@@ -79,7 +79,7 @@
     return bytes(raw)
 
 
-def days(_: str) -> str:
+def load_day_script(_: str) -> str:
     return "name: short\nseconds: 4\nmachines: 3\n"
 
 
@@ -97,7 +97,7 @@
 
 
 def plan_reader(data: bytes, _: Path) -> None:
-    read_plan(data.decode("utf-8", "replace"), "fuzzed", days)
+    read_plan(data.decode("utf-8", "replace"), "fuzzed", load_day_script)
 
 
 def day_reader(data: bytes, _: Path) -> None:
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("kind", READERS)
-def test_readers_take_a_file_or_name_what_is_wrong(kind: str, tmp_path: Path) -> None:
+def test_reader_accepts_a_file_or_raises_its_own_error(kind: str, tmp_path: Path) -> None:
     read, allowed = READERS[kind]
     items = corpus(kind)
     rng = random.Random(f"fuzz/{kind}")
@@ -133,21 +133,22 @@
     for data, text in rejections:
         assert "fuzzed" in text or "command line" in text, data
         assert len(text) < 100_000
-    assert 0 < len(rejections) < len(inputs)  # neither all nor none: the changes are such as to matter
+    # Some inputs must be accepted and some rejected; otherwise the mutations are too weak or too strong.
+    assert 0 < len(rejections) < len(inputs)
 
 
-def test_a_reader_that_lets_something_else_out_is_found(tmp_path: Path) -> None:
-    def careless(data: bytes, _: Path) -> None:
+def test_unexpected_exception_of_a_reader_is_not_hidden(tmp_path: Path) -> None:
+    def reader_without_error_handling(data: bytes, _: Path) -> None:
         for line in data.decode("utf-8", "replace").splitlines()[1:]:
             float(line.split(",")[0])
 
-    kept = READERS["trace"]
-    READERS["trace"] = careless, TraceError
+    original = READERS["trace"]
+    READERS["trace"] = reader_without_error_handling, TraceError
     try:
         with pytest.raises(ValueError, match="could not convert"):
-            test_readers_take_a_file_or_name_what_is_wrong("trace", tmp_path)
+            test_reader_accepts_a_file_or_raises_its_own_error("trace", tmp_path)
     finally:
-        READERS["trace"] = kept
+        READERS["trace"] = original
 
 
 # ---- gRPC messages ----------------------------------------------------------------------------------------
@@ -182,15 +183,15 @@
 
 
 async def send(data: bytes) -> list[int]:
-    """The statuses that come back over one connection; h11 has to take each answer as one."""
+    """Return the statuses received over one connection; h11 must be able to parse each response."""
     reader, writer = await asyncio.open_connection("p0", 8140)
     writer.write(data)
     writer.write_eof()
     raw = b""
     try:
         async with asyncio.timeout(60.0):
-            while piece := await reader.read(65_536):
-                raw += piece
+            while chunk := await reader.read(65_536):
+                raw += chunk
                 if len(raw) > 1 << 20:
                     break
     except (TimeoutError, ConnectionError):
@@ -210,13 +211,13 @@
         while isinstance(event, (h11.Response, h11.Data)):
             event = client.next_event()
         if not isinstance(event, h11.EndOfMessage):
-            break  # a watch, cut where the test left
+            break  # a watch, cut off when this function stopped reading
         raw = client.trailing_data[0]
     return statuses
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_the_rest_front_answers_or_closes_and_goes_on(seed: int) -> None:
+def test_rest_front_answers_or_closes_the_connection_and_stays_ready(seed: int) -> None:
     loop = VirtualLoop()
     network = loop.network = Network(seed)
     errors: list[str] = []
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail, and that it cannot hide anything else."""
+"""The list of known failures: listed tests may fail, and the list cannot hide any other failure."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 @pytest.mark.parametrize("n", [1, 2])
 def test_half(n): assert n == 1
 """
-WRONG = "tests/test_it.py::test_wrong, a fault, found on roll, issue 37\n"
+WRONG_ENTRY = "tests/test_it.py::test_wrong, a fault, found in review, issue 37\n"
 
 
 def run(tmp_path: Path, listed: str | None, *args: str) -> subprocess.CompletedProcess[str]:
-    """A run of three tests under this project's set-up."""
+    """Run three small tests with this project's conftest."""
     tests = tmp_path / "tests"
     tests.mkdir()
     for name in ("conftest.py", "known_red.py"):
@@ -35,52 +35,70 @@
     return subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, timeout=100, check=False)
 
 
-HALF = "tests/test_it.py::test_half[2], another, #38\n"
+HALF_ENTRY = "tests/test_it.py::test_half[2], another, #38\n"
 
 
 @pytest.mark.parametrize("parallel", [(), ("-n", "2")], ids=["in one process", "in two"])
 def test_listed_tests_may_fail_and_are_printed(tmp_path: Path, parallel: tuple[str, ...]) -> None:
-    done = run(tmp_path, f"# said why\n\n{WRONG}{HALF}", *parallel)
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "2 passed, 2 xfailed" in done.stdout
-    assert "known red: tests/test_it.py::test_wrong: a fault, found on roll (issue 37)" in done.stdout
-    assert "known red: tests/test_it.py::test_half[2]: another (#38)" in done.stdout
+    completed = run(tmp_path, f"# a comment\n\n{WRONG_ENTRY}{HALF_ENTRY}", *parallel)
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    assert "2 passed, 2 xfailed" in completed.stdout
+    assert (
+        "known failure: tests/test_it.py::test_wrong: a fault, found in review (issue 37)" in completed.stdout
+    )
+    assert "known failure: tests/test_it.py::test_half[2]: another (#38)" in completed.stdout
 
 
 @pytest.mark.parametrize("listed", [None, "# nothing\n"])
-def test_what_is_not_listed_fails(tmp_path: Path, listed: str | None) -> None:
-    done = run(tmp_path, listed)
-    assert done.returncode == 1
-    assert "2 failed, 2 passed" in done.stdout
+def test_unlisted_failures_fail_the_run(tmp_path: Path, listed: str | None) -> None:
+    completed = run(tmp_path, listed)
+    assert completed.returncode == 1
+    assert "2 failed, 2 passed" in completed.stdout
 
 
 @pytest.mark.parametrize("parallel", [(), ("-n", "2")], ids=["in one process", "in two"])
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "message"),
     [
         ("tests/test_it.py::test_right, a fault, issue 37\n", "XPASS(strict)"),
-        ("tests/test_it.py::test_gone, a fault, issue 37\n", "there is no test tests/test_it.py::test_gone"),
-        ("tests/test_old.py::test_wrong, a fault, issue 37\n", "there is no test tests/test_old.py"),
+        (
+            "tests/test_it.py::test_gone, a fault, issue 37\n",
+            "test does not exist: tests/test_it.py::test_gone",
+        ),
+        ("tests/test_old.py::test_wrong, a fault, issue 37\n", "test does not exist: tests/test_old.py"),
         ("tests/test_it.py::test_wrong, issue 37\n", "KNOWN-RED.txt:3"),
         ("tests/test_it.py::test_wrong\n", "KNOWN-RED.txt:3"),
         ("test_wrong, a fault, issue 37\n", "KNOWN-RED.txt:3"),
         ("tests/test_it.py::test_wrong, a fault, soon\n", "KNOWN-RED.txt:3"),
-        (WRONG, "listed twice"),
-        (f"tests/test_it.py::test_right, a fault, 1\n{HALF}tests/test_it.py::b, c, 1\n", "3 tests at most"),
+        (WRONG_ENTRY, "listed twice"),
+        (
+            f"tests/test_it.py::test_right, a fault, 1\n{HALF_ENTRY}tests/test_it.py::b, c, 1\n",
+            "at most 3 tests may be listed",
+        ),
+    ],
+    ids=[
+        "passes",
+        "missing",
+        "file missing",
+        "no cause",
+        "only test",
+        "no file",
+        "no issue",
+        "twice",
+        "too many",
     ],
-    ids=["passes", "gone", "file gone", "no cause", "alone", "no file", "no issue", "twice", "too many"],
 )
-def test_a_line_that_is_not_true_fails_the_run(
-    tmp_path: Path, line: str, says: str, parallel: tuple[str, ...]
+def test_invalid_or_outdated_line_fails_the_run(
+    tmp_path: Path, line: str, message: str, parallel: tuple[str, ...]
 ) -> None:
-    done = run(tmp_path, f"{WRONG}\n{line}", *parallel)
-    assert done.returncode != 0
-    assert says in done.stdout + done.stderr, done.stdout + done.stderr
+    completed = run(tmp_path, f"{WRONG_ENTRY}\n{line}", *parallel)
+    assert completed.returncode != 0
+    assert message in completed.stdout + completed.stderr, completed.stdout + completed.stderr
 
 
-def test_a_choice_of_tests_is_no_unknown_line(tmp_path: Path) -> None:
-    assert run(tmp_path, WRONG, "-k", "right").returncode == 0
+def test_listed_test_left_out_by_selection_is_not_missing(tmp_path: Path) -> None:
+    assert run(tmp_path, WRONG_ENTRY, "-k", "right").returncode == 0
 
 
-def test_the_list_of_this_project_can_be_read() -> None:
+def test_list_of_this_project_is_valid() -> None:
     assert len(known_red.read_known_failures(ROOT / known_red.FILE_NAME)) <= known_red.MAX_ENTRIES
--- a/tests/project/test_layers.py
+++ b/tests/project/test_layers.py
@@ -1,4 +1,4 @@
-"""The arrow of imports: decisions <- core (sans I/O) <- service, fronts, agent <- command line."""
+"""Checks that imports run one way: decisions <- core (sans I/O) <- service, fronts, agent <- command line."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 ROOT = Path(__file__).parents[2] / "kelpfront"
 
-# What each part may import of the project. A part that is not named may import only what all may.
-ALL = {
+# Modules that every part of the project may import, except `scheduling`, `wire` and `simhost`.
+IMPORTABLE_BY_ALL = {
     "kelpfront.logs",
     "kelpfront.timers",
     "kelpfront.units",
@@ -24,7 +24,8 @@
     "kelpfront.scheduling.events",
     "kelpfront.scheduling.settings",
 }
-MAY: dict[str, set[str]] = {
+# Further modules that each part may import. A part that is not listed may import none of these.
+ALLOWED_IMPORTS: dict[str, set[str]] = {
     "scheduling": set(),
     "wire": {"kelpfront.scheduling.actions", "kelpfront.scheduling.events", "kelpfront.scheduling.settings"},
     "simhost": {
@@ -84,7 +85,7 @@
     "failure_detector": {"kelpfront.failure_detection", "kelpfront.platform"},
     "watch": {"kelpfront.failure_detector"},
 }
-PURE = (
+PURE_PARTS = (
     "api",
     "background",
     "degradation",
@@ -166,8 +167,8 @@
         "slow_start",
     },
 }
-"""Files without I/O of parts that have some."""
-IMPURE = {"asyncio", "socket", "time", "threading", "subprocess", "select", "uuid", "secrets"}
+"""Files without I/O, by part, in parts where other files do I/O."""
+IO_AND_CLOCK_MODULES = {"asyncio", "socket", "time", "threading", "subprocess", "select", "uuid", "secrets"}
 
 
 def modules() -> list[Path]:
@@ -190,53 +191,58 @@
 
 
 @pytest.mark.parametrize("path", modules(), ids=lambda path: str(path.relative_to(ROOT)))
-def test_imports_run_one_way(path: Path) -> None:
+def test_module_imports_only_what_its_part_may(path: Path) -> None:
     part = part_of(path)
-    if part == "lab":  # beside all others; the command line is above it
+    if part == "lab":  # may import every part except the command line, which imports it
         assert not {name for name in imports(path) if name.split(".")[:2] == ["kelpfront", "cli"]}
     if part in ("cli", "lab", "__init__", "__main__"):
         return
-    allowed = MAY.get(part, set()) | (ALL if part not in ("scheduling", "wire", "simhost") else set())
+    allowed = ALLOWED_IMPORTS.get(part, set()) | (
+        IMPORTABLE_BY_ALL if part not in ("scheduling", "wire", "simhost") else set()
+    )
     for name in imports(path):
         if not name.startswith("kelpfront."):
             continue
-        depth = 3 if name.startswith("kelpfront.scheduling.") else 2  # its interface is open to all, no more
-        top = ".".join(name.split(".")[:depth])
-        assert top in allowed or top.split(".")[1] == part, f"{path.name} imports {name}"
+        # `scheduling` is checked module by module, because every part may import only its interface.
+        depth = 3 if name.startswith("kelpfront.scheduling.") else 2
+        module = ".".join(name.split(".")[:depth])
+        assert module in allowed or module.split(".")[1] == part, f"{path.name} imports {name}"
 
 
-def test_no_file_imports_itself_by_way_of_others() -> None:
-    """Guards against two files that need each other, also where one import is for types alone."""
+def test_modules_have_no_circular_imports() -> None:
+    """Guards against import cycles, including those through imports for type checking only."""
     dotted = {".".join(path.relative_to(ROOT.parent).with_suffix("").parts): path for path in modules()}
     files = {name.removesuffix(".__init__"): path for name, path in dotted.items()}
     graph: dict[str, set[str]] = {}
     for name, path in files.items():
-        needed = imports(path)
+        imported = imports(path)
         for node in ast.walk(ast.parse(path.read_text())):
-            if isinstance(node, ast.ImportFrom) and node.module:  # of a package: the file that is meant
-                needed.discard(node.module)
-                whole = (f"{node.module}.{alias.name}" for alias in node.names)
-                needed |= {one if one in files else node.module for one in whole}
-        graph[name] = (needed & set(files)) - {name}
-    graphlib.TopologicalSorter(graph).prepare()  # CycleError names the circle
+            if (
+                isinstance(node, ast.ImportFrom) and node.module
+            ):  # resolves the submodule imported from a package
+                imported.discard(node.module)
+                candidates = (f"{node.module}.{alias.name}" for alias in node.names)
+                imported |= {one if one in files else node.module for one in candidates}
+        graph[name] = (imported & set(files)) - {name}
+    graphlib.TopologicalSorter(graph).prepare()  # CycleError names the cycle
 
 
-def test_each_pure_file_that_is_named_is_there() -> None:
-    """Guards against a file that is renamed and no longer looked at."""
+def test_each_listed_pure_file_exists() -> None:
+    """Guards against a renamed file that is silently no longer checked."""
     for part, names in PURE_FILES.items():
         assert not names - {path.stem for path in (ROOT / part).rglob("*.py")}
 
 
 @pytest.mark.parametrize("path", modules(), ids=lambda path: str(path.relative_to(ROOT)))
-def test_what_decides_does_no_io_and_reads_no_clock(path: Path) -> None:
+def test_pure_module_does_no_io_and_reads_no_clock(path: Path) -> None:
     part = part_of(path)
-    pure = part in PURE or path.stem in PURE_FILES.get(part, ())
-    files = path.name == "read.py" and part == "inventory"
-    if pure and not files:
-        assert not {name.split(".")[0] for name in imports(path)} & IMPURE
+    pure = part in PURE_PARTS or path.stem in PURE_FILES.get(part, ())
+    is_inventory_reader = path.name == "read.py" and part == "inventory"
+    if pure and not is_inventory_reader:
+        assert not {name.split(".")[0] for name in imports(path)} & IO_AND_CLOCK_MODULES
 
 
-def test_the_bench_adapter_needs_the_standard_library_only() -> None:
+def test_simulator_adapter_needs_only_the_standard_library() -> None:
     code = (
         "import sys, kelpfront.simhost\n"
         "known = set(sys.stdlib_module_names) | {'kelpfront', '__main__'}\n"
@@ -248,11 +254,11 @@
     assert result.stdout.strip() in ("[]", "['sitecustomize']")
 
 
-def test_a_placer_in_service_loads_no_other_front_store_or_tool() -> None:
+def test_platform_placer_loads_only_the_packages_it_needs() -> None:
     code = (
         "import sys, kelpfront.platform.__main__\n"
         "print(*sorted({m.split('.')[1] for m in sys.modules if m.startswith('kelpfront.')}))"
     )
     result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    wanted = {"platform", "scheduling", "wire", "http", "clock", "backoff", "logs", "timers"}
-    assert set(result.stdout.split()) == wanted
+    expected = {"platform", "scheduling", "wire", "http", "clock", "backoff", "logs", "timers"}
+    assert set(result.stdout.split()) == expected
--- a/tests/project/test_on_call.py
+++ b/tests/project/test_on_call.py
@@ -1,4 +1,4 @@
-"""docs/on-call.md lists every log line of the programs, and no line that no program writes."""
+"""Checks that docs/on-call.md lists exactly the log events that the programs write."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 
 ROOT = Path(__file__).parents[2]
 PAGE = ROOT / "docs" / "on-call.md"
-METHODS = {"debug", "info", "warning", "error", "exception"}
-LOGS = {"log", "_log", "logger"}
-NOT_PROGRAMS = {"lab", "v1"}
+LOGGING_METHODS = {"debug", "info", "warning", "error", "exception"}
+LOGGER_NAMES = {"log", "_log", "logger"}
+EXCLUDED_PACKAGES = {"lab", "v1"}
 
 
 def program_files() -> list[Path]:
     package = ROOT / "kelpfront"
-    return [path for path in package.rglob("*.py") if path.relative_to(package).parts[0] not in NOT_PROGRAMS]
+    return [
+        path for path in package.rglob("*.py") if path.relative_to(package).parts[0] not in EXCLUDED_PACKAGES
+    ]
 
 
 def _texts(node: ast.expr) -> Iterator[str]:
-    """The texts that an expression can be: itself, or those of a choice."""
+    """Yield the string of a constant, or the strings of both branches of a conditional expression."""
     if isinstance(node, ast.Constant) and isinstance(node.value, str):
         yield node.value
     elif isinstance(node, ast.IfExp):
@@ -31,12 +33,12 @@
 
 
 def _events_of_call(call: ast.Call) -> Iterator[str]:
-    """`log.info("event", ...)`, `log.log(level, "event", ...)` and `LogLine(level, "event", ...)`."""
+    """Yield the event of a `log.info(event)`, `log.log(level, event)` or `LogLine(level, event)` call."""
     function = call.func
-    if isinstance(function, ast.Attribute) and function.attr in METHODS and call.args:
+    if isinstance(function, ast.Attribute) and function.attr in LOGGING_METHODS and call.args:
         owner = function.value
         name = owner.id if isinstance(owner, ast.Name) else getattr(owner, "attr", "")
-        if name in LOGS:
+        if name in LOGGER_NAMES:
             yield from _texts(call.args[0])
     elif (isinstance(function, ast.Attribute) and function.attr == "log" and len(call.args) > 1) or (
         isinstance(function, ast.Name) and function.id == "LogLine" and len(call.args) > 1
@@ -45,7 +47,7 @@
 
 
 def _events_of_class(definition: ast.ClassDef) -> Iterator[str]:
-    """`event: ClassVar[str] = "event"` of a typed record."""
+    """Yield the value of `event: ClassVar[str] = "event"` in the class of a typed log record."""
     for item in definition.body:
         if not isinstance(item, ast.AnnAssign) or item.value is None:
             continue
@@ -64,12 +66,12 @@
     return events
 
 
-# Events that a program takes from a table by the state of a task.
-BY_STATE = {"task refused", "task failed"}
+# Events that a program looks up by the state of a task; the search for literals cannot find them.
+EVENTS_BY_TASK_STATE = {"task refused", "task failed"}
 
 
 def listed_events() -> set[str]:
-    """First cells of the rows of tables whose heading says that they list log lines."""
+    """Return the events in the first column of the tables whose first heading is `event`."""
     events: set[str] = set()
     in_table = False
     for line in PAGE.read_text().splitlines():
@@ -82,16 +84,16 @@
     return events
 
 
-def test_the_search_finds_each_form_of_a_log_line() -> None:
+def test_search_finds_each_form_of_a_log_call() -> None:
     events = logged_events()
     assert {"serving", "limit reached", "level changed", "task placed", "machine ejected"} <= events
     assert len(events) > 60
 
 
-@pytest.mark.parametrize("event", sorted(logged_events() | BY_STATE))
-def test_each_log_line_is_on_the_page_for_on_call(event: str) -> None:
+@pytest.mark.parametrize("event", sorted(logged_events() | EVENTS_BY_TASK_STATE))
+def test_logged_event_is_on_the_on_call_page(event: str) -> None:
     assert event in listed_events()
 
 
-def test_no_row_of_the_page_is_about_a_line_that_is_not_written() -> None:
-    assert sorted(listed_events() - logged_events() - BY_STATE) == []
+def test_on_call_page_lists_no_event_that_is_never_logged() -> None:
+    assert sorted(listed_events() - logged_events() - EVENTS_BY_TASK_STATE) == []
--- a/tests/project/test_readme.py
+++ b/tests/project/test_readme.py
@@ -1,4 +1,4 @@
-"""The examples of the pages run."""
+"""Runs the Python examples of README.md and docs/library.md."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     return text
 
 
-def test_the_library_example_places_a_task(capsys: pytest.CaptureFixture[str]) -> None:
+def test_library_example_places_a_task(capsys: pytest.CaptureFixture[str]) -> None:
     exec(compile(example("docs/library.md"), "library.md", "exec"), {})
     assert re.fullmatch(r"offer task 42 to machine [123], wait \d+ ms\n", capsys.readouterr().out)
 
 
-async def test_the_client_example_places_its_tasks(capsys: pytest.CaptureFixture[str]) -> None:
+async def test_client_example_places_its_tasks(capsys: pytest.CaptureFixture[str]) -> None:
     async with cluster(2) as (_, service, _client):
         code = example("README.md").replace("http://127.0.0.1:8140", service.url)
         await asyncio.to_thread(exec, compile(code, "README.md", "exec"), {})
-    told = [line for line in capsys.readouterr().out.splitlines() if "Placed" in line]
-    assert [re.sub(r"n\d", "N", line) for line in told] == ["0 Placed N", "1 Placed N"]
+    placed_lines = [line for line in capsys.readouterr().out.splitlines() if "Placed" in line]
+    assert [re.sub(r"n\d", "N", line) for line in placed_lines] == ["0 Placed N", "1 Placed N"]
--- a/tests/proxy.py
+++ b/tests/proxy.py
@@ -1,4 +1,4 @@
-"""A TCP forwarder between a client and a server that cuts connections when told, or after some bytes."""
+"""A TCP proxy that cuts connections on request or after a number of bytes."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Proxy:
-    """Forwards to a port; `cut_after` is how many bytes each new connection brings back before it breaks."""
+    """Forwards to a port; each new connection is cut once it has returned `cut_after` bytes."""
 
     def __init__(self, port: int) -> None:
         self._to = port
         self.cut_after: int | None = None
-        self.swallow_answers = False  # what comes back is dropped
+        self.swallow_answers = False  # discards everything that the server sends
         self.connections = 0
         self._open: set[asyncio.StreamWriter] = set()
 
@@ -24,7 +24,7 @@
         self.url = f"http://127.0.0.1:{self.port}"
 
     def cut(self) -> None:
-        """Breaks all connections now."""
+        """Abort all connections."""
         for writer in self._open:
             writer.transport.abort()
 
@@ -36,11 +36,11 @@
         self.connections += 1
         self._open.add(writer)
         with contextlib.suppress(OSError):
-            back_reader, back_writer = await asyncio.open_connection("127.0.0.1", self._to)
-            back = asyncio.create_task(self._pump(back_reader, writer, self.cut_after))
-            await self._pump(reader, back_writer, None)
-            back_writer.transport.abort()
-            back.cancel()
+            server_reader, server_writer = await asyncio.open_connection("127.0.0.1", self._to)
+            response_pump = asyncio.create_task(self._pump(server_reader, writer, self.cut_after))
+            await self._pump(reader, server_writer, None)
+            server_writer.transport.abort()
+            response_pump.cancel()
         writer.transport.abort()
         self._open.discard(writer)
 
--- a/tests/waiting.py
+++ b/tests/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for what must come, with a bound that is generous on a slow machine."""
+"""Waits for conditions, with a time limit that is generous enough for a slow machine."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 async def until(condition: Callable[[], object], within_s: float = 30.0) -> None:
-    """Returns when the condition holds; fails the test if it does not within the time."""
+    """Return when the condition holds; raise TimeoutError if it does not hold within the time limit."""
     async with asyncio.timeout(within_s):
-        while not condition():  # noqa: ASYNC110 - conditions here are of other processes and other tasks
+        while not condition():  # noqa: ASYNC110 - other processes and tasks fulfil the condition
             await asyncio.sleep(0.005)
