--- a/kelpfront/config/__init__.py
+++ b/kelpfront/config/__init__.py
@@ -1,7 +1,7 @@
-"""The settings of placers and node agents: INI files that are read, checked before use, and explained.
+"""The settings of placers and node agents: reads and checks INI files, and prints commented examples.
 
-A file is read completely or not at all, and all that is wrong with it is reported at once. What the settings
-do is left to the packages that they are built for.
+An invalid file is rejected as a whole, and all its problems are reported at once. The packages that use the
+settings define their effect.
 """
 
 from kelpfront.config.build import build_cluster, build_levels
--- a/kelpfront/config/agent.py
+++ b/kelpfront/config/agent.py
@@ -1,7 +1,7 @@
-"""The settings of a node agent: what its machine is, how it takes and runs tasks, and how they are read.
+"""The settings of a node agent: its machine, how it accepts and runs tasks, and the functions that read them.
 
-Fields have the names of the keys in the file. What the sections share with those of a placer, and reading a
-file, is left to `section` and `reader`.
+Fields have the names of the keys in the file. `section` has what the settings of placers and agents share,
+`reader` parses the file.
 """
 
 from __future__ import annotations
@@ -21,112 +21,129 @@
 
 
 class AgentSection(Section):
-    """This agent and its machine."""
+    """The agent and its machine."""
 
-    name: Text = Field(description="The machine's name, as in the placers' inventory.")
-    kind: Text = Field(description="Its kind, one of the placers' settings.")
-    rack: Text = Field(description="The rack that it is in.")
-    room: Text = Field(description="The room that it is in.")
-    listen: Address = Field("127.0.0.1:8150", description="Where placers and operators reach it.")
+    name: Text = Field(description="Name of the machine, as in the placers' inventory.")
+    kind: Text = Field(
+        description="Kind of the machine: one of the [kind NAME] sections of the placers' settings."
+    )
+    rack: Text = Field(description="Rack that the machine is in.")
+    room: Text = Field(description="Room that the machine is in.")
+    listen: Address = Field(
+        "127.0.0.1:8150", description="Address that the agent listens on for placers and operators."
+    )
     grpc: Address | None = Field(
-        None, description="Where placers reach it by gRPC besides (needs kelpfront[grpc]); nowhere if absent."
+        None,
+        description="Address of the additional gRPC API for placers (needs kelpfront[grpc]); off if absent.",
+    )
+    state: Text = Field(
+        "agent-state", description="Folder of the agent's state and tasks, relative to this file."
     )
-    state: Text = Field("agent-state", description="The folder of its state and its tasks, from here.")
     state_size: Annotated[int, Size("64 KiB", "1024 GiB")] = Field(
-        parse_size("256 MiB"), description="The most that the record of its tasks may take on disk."
+        parse_size("256 MiB"), description="Maximum size on disk of the database of tasks."
     )
     copies: Text | None = Field(
         None,
-        description="A folder shared with the machines of its room, for keyed classes; without it they are "
-        "refused, but for those whose group is the machine.",
+        description="Folder shared with the other machines of the room, for idempotency keys. Without it, "
+        "tasks of keyed classes are refused, except where the group is the machine.",
     )
     heartbeat: Annotated[float, Duration("50ms", "10s")] = Field(
-        parse_duration("500 ms"), description="Between heartbeats to placers."
+        parse_duration("500 ms"), description="Time between two heartbeats to placers."
     )
 
 
 class HostSection(Section):
-    """What tasks may have of the host. The placers' settings must say the same of it."""
+    """The resources of the host that tasks may use. The placers' settings must have the same values."""
 
     cores: Annotated[float, Number(0.01, 1e5)] | None = Field(
-        None, description="Cores for tasks; those of the host if absent."
+        None, description="Cores for tasks; all cores of the host if absent."
     )
     memory: Annotated[float, Number(1e-3, 1e9)] | None = Field(
-        None, description="Memory for tasks, in memory_unit; the host's if absent."
+        None, description="Memory for tasks, in memory_unit; all memory of the host if absent."
     )
     memory_unit: Annotated[int, Size("1 B", "1024 GiB")] = Field(
-        parse_size("1 GiB"), description="One unit of memory, as jobs ask for it."
+        parse_size("1 GiB"), description="Size of one unit of the memory that jobs request."
     )
     accepts_cores: Annotated[float, Number(0.1, 100)] = Field(
-        2.0, description="Tasks are accepted up to so many times the cores."
+        2.0, description="Overcommit: tasks are accepted up to this multiple of the cores."
     )
     accepts_memory: Annotated[float, Number(0.1, 100)] = Field(
-        1.5, description="Tasks are accepted up to so many times the memory."
+        1.5, description="Overcommit: tasks are accepted up to this multiple of the memory."
+    )
+    counts_others: Flag = Field(
+        default=True, description="Whether resources used by other programs count as used."
     )
-    counts_others: Flag = Field(default=True, description="What other programs use counts as in use.")
     warm_from: Literal["host", "agent"] = Field(
-        "host", description="It is cold from the host's boot, or from each start of the agent."
+        "host", description="When slow start begins: at the boot of the host, or at each start of the agent."
     )
     cold_from: Annotated[float, Number(0.01, 1)] = Field(
-        0.24, description="Share of its full pace of starts that it has when it comes up."
+        0.24, description="Share of the full rate of task starts at the beginning of slow start."
     )
     cold_for: Annotated[float, Duration("0s", "1h")] = Field(
-        parse_duration("17 s"), description="It is warm after this."
+        parse_duration("17 s"), description="Duration of slow start."
     )
 
 
 class StartsSection(Section):
-    """How offers are taken."""
+    """How offers are accepted."""
 
-    line: Annotated[int, Integer(1, 10_000)] = Field(16, description="Offers that may wait to be weighed.")
-    parallel: Annotated[int, Integer(1, 1_000)] = Field(6, description="Starts at a time when warm.")
+    line: Annotated[int, Integer(1, 10_000)] = Field(
+        16, description="Maximum number of offers that wait to be evaluated."
+    )
+    parallel: Annotated[int, Integer(1, 1_000)] = Field(
+        6, description="Maximum number of concurrent task starts after slow start."
+    )
     rate: Annotated[float, Number(0.01, 10_000)] | None = Field(
-        None, description="Starts a second when warm; as many as it can if absent."
+        None, description="Maximum number of task starts a second after slow start; unlimited if absent."
     )
     weigh: Annotated[float, Duration("0s", "1s")] = Field(
-        0.0, description="Time between two offers that are weighed; they are weighed one at a time."
+        0.0, description="Time that the evaluation of one offer takes; offers are evaluated one at a time."
     )
     answer: Literal["running", "accepted"] = Field(
-        "running", description="When it says yes: when the task runs, or once it is accepted."
+        "running", description="When a positive answer is sent: once the task runs, or once it is accepted."
     )
     pushes_out: Flag = Field(
-        default=False, description="Tasks of lower priority are pushed out to make room."
+        default=False, description="Whether tasks of a higher priority preempt tasks of a lower one."
     )
 
 
 class TasksSection(Section):
-    """How tasks are kept."""
+    """Limits on the tasks and their output, and the sampling of what they use."""
 
     most: Annotated[int, Integer(1, 100_000)] = Field(
-        1_000, description="Tasks at a time, however little they ask for: each is some processes."
+        1_000,
+        description="Maximum number of concurrent tasks, whatever they request: each has several processes.",
     )
     log_size: Annotated[int, Size("4 KiB", "1 GiB")] = Field(
-        parse_size("1 MiB"), description="One file of a task's output."
+        parse_size("1 MiB"), description="Maximum size of one file of a task's output."
+    )
+    log_files: Annotated[int, Integer(0, 100)] = Field(
+        2, description="Number of older, full files of output that are kept for each task."
     )
-    log_files: Annotated[int, Integer(0, 100)] = Field(2, description="Full files of output kept before it.")
     kept: Annotated[int, Integer(0, 100_000)] = Field(
-        1_000, description="Ended tasks whose folders, with their output, are kept."
+        1_000, description="Number of ended tasks whose folders, with their output, are kept."
     )
     orphans: Annotated[float, Duration("1s", "8760h")] = Field(
-        parse_duration("24 h"), description="Tasks of a placer that is away for so long are stopped."
+        parse_duration("24 h"),
+        description="The tasks of a placer that has been disconnected for this long are stopped.",
     )
     use_period: Annotated[float, Duration("50ms", "1h")] = Field(
         parse_duration("1 s"),
-        description="Between looks at what tasks use; longer where looking is dear.",
+        description="Time between two samples of what tasks use; longer where sampling is expensive.",
     )
     use_smoothing: Annotated[float, Duration("0s", "1h")] = Field(
-        parse_duration("3 s"), description="Time constant over which use is smoothed."
+        parse_duration("3 s"), description="Time constant of the smoothing of samples."
     )
 
 
 class DrainSection(Section):
-    """What becomes of tasks when the machine drains."""
+    """What happens to tasks while the machine drains."""
 
     evicts: Literal["none", "paced", "at_once"] = Field(
-        "paced", description="They stay, are sent away one by one, or all at once."
+        "paced", description="Tasks are kept, evicted one by one, or all evicted at once."
     )
     pace: Annotated[float, Duration("1ms", "1h")] = Field(
-        parse_duration("1 s"), description="Between two that are sent away."
+        parse_duration("1 s"), description="Time between two evictions where they are paced."
     )
 
 
@@ -152,17 +169,17 @@
     }
 )
 
-# Keys that the example sets, by their section: those that have no default.
+# Values of the keys that have no default, by section, for the example.
 _EXAMPLE_VALUES = {"agent": {"name": "n17", "kind": "small", "rack": "rack-a1", "room": "hall-a"}}
 
 
 def read_agent_config(path: Path, overrides: Iterable[str] = ()) -> AgentConfig:
-    """Return the settings of an agent's file; overrides, as `SECTION.KEY=VALUE`, replace what it has.
+    """Return the settings of an agent's file; overrides, as `SECTION.KEY=VALUE`, replace values of the file.
 
-    Relative paths in the file are taken from its folder.
+    Relative paths are resolved against the folder of the file.
 
     Raises:
-        ConfigError: the settings cannot be used; it names all mistakes.
+        ConfigError: the settings are invalid; the error lists all problems.
     """
     config = parse_agent_config(read_text(path), str(path), overrides)
     folder = path.resolve().parent
@@ -174,23 +191,23 @@
 
 
 def parse_agent_config(text: str, source: str, overrides: Iterable[str] = ()) -> AgentConfig:
-    """Return the settings of a text with its paths as they are; `source` names the text in problems.
+    """Return the settings of a text without resolving its paths; `source` names the text in problems.
 
     Raises:
-        ConfigError: the settings cannot be used; it names all mistakes.
+        ConfigError: the settings are invalid; the error lists all problems.
     """
     reader = SettingsReader(text, source, overrides)
     sections = reader.parse_sections(AGENT_LAYOUT)
     if "agent" not in sections.plain:
         required_keys = [name for name, info in AgentSection.model_fields.items() if info.is_required()]
-        message = f"no [agent] section; it needs at least {', '.join(required_keys)}"
+        message = f"no [agent] section; its required keys are {', '.join(required_keys)}"
         reader.report(KeyName("", ""), message)
     reader.raise_if_any()
     return AgentConfig(**sections.as_fields())
 
 
 def agent_example() -> str:
-    """Return a whole settings file of an agent, with every key, its default, its bounds and its meaning."""
+    """Return a complete settings file of an agent: every key with its default, its bounds and its meaning."""
     sections = [
         ExampleSection(name, model, _EXAMPLE_VALUES.get(name, {}))
         for name, model in AGENT_LAYOUT.plain.items()
--- a/kelpfront/config/build.py
+++ b/kelpfront/config/build.py
@@ -1,7 +1,7 @@
-"""Translates a placer's settings into those that the scheduler and the controller of levels take.
+"""Translates a placer's settings into the settings of the scheduler and of the levels of reduced service.
 
-Names of the file become names of the field here. What is impossible together is refused by the types that
-are built.
+The keys of the file are mapped to the names that the code uses. The types that are built reject values that
+contradict each other.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 _MS_PER_S = 1000.0
 
-# `None` stands for a key that is absent.
+# Failure domains by the value of the key; None if the key is absent.
 _FAILURE_DOMAINS = {
     None: FailureDomain.ALL,
     "none": FailureDomain.NONE,
@@ -32,10 +32,10 @@
 
 
 def build_cluster(config: Config) -> Cluster:
-    """Return the cluster as the controller and its scheduler see it.
+    """Return the settings of the controller and its scheduler.
 
     Raises:
-        ValueError: settings are impossible together.
+        ValueError: the settings contradict each other.
     """
     kinds = tuple(config.kinds)
     return Cluster(_scheduler_settings(config, kinds), kinds, config.cluster.lost_after)
@@ -68,7 +68,7 @@
         cores_overcommit=cluster.accepts_cores,
         memory_overcommit=cluster.accepts_memory,
         accepted_when_running=cluster.answer == "running",
-        endpoint_list_on_request=False,  # machines push what they have to tell
+        endpoint_list_on_request=False,  # machines push their reports without a request
         endpoint_list_reports_free=True,
         reports_measured_usage=cluster.reports_use,
         machines_preempt=cluster.pushes_out,
--- a/kelpfront/config/description.py
+++ b/kelpfront/config/description.py
@@ -1,6 +1,6 @@
-"""Describes the sections of a settings file: what a key takes, and the commented example.
+"""Describes settings files: the values that a key allows, and the commented example.
 
-Both are made from the models of the sections, so that they cannot differ from what is read.
+Both are generated from the models of the sections, so they always match what the reader accepts.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExampleSection:
-    """A section of an example: its heading without brackets, and the texts of keys that are set in it."""
+    """A section of an example: its heading without brackets, its model, and the values that it sets."""
 
     heading: str
     model: type[Section]
@@ -27,7 +27,7 @@
 
 
 def describe_allowed(info: FieldInfo) -> str:
-    """Return what a key takes, in words; empty where there is nothing to say of it."""
+    """Return a description of the values that a key allows; empty if its type has none."""
     value_type = _find_value_type(info.metadata)
     if value_type is not None:
         return value_type.allowed
@@ -35,11 +35,11 @@
 
 
 def commented_example(program: str, sections: Iterable[ExampleSection]) -> str:
-    """Return a settings file with every key, its default, its bounds and its meaning.
+    """Return a settings file: every key with its default, its bounds and its meaning.
 
-    Values that the sections set are written as such; all other keys are commented out.
+    Keys with a value in `sections` are set; all others are commented out.
     """
-    header = f"# Settings of {program}. Every key is shown; those with '#' before them have the default."
+    header = f"# Settings of {program}. Every key is listed; keys that are commented out show their default."
     blocks = [header]
     blocks.extend(_format_section(section) for section in sections)
     return "\n\n".join(blocks) + "\n"
--- a/kelpfront/config/ini.py
+++ b/kelpfront/config/ini.py
@@ -1,6 +1,6 @@
-"""Reads the INI format: the texts of keys by section, and the line on which each stands.
+"""Reads the INI format: the values of keys by section as text, and the line number of each.
 
-What the sections and keys mean, and whether their values are allowed, is left to `reader`.
+`reader` interprets and checks the sections and keys.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 
 from kelpfront.config.problems import ConfigError, ConfigProblem
 
-# The parser copies the keys of its default section into all others. Files have none: no heading is this name.
+# The parser copies the keys of its default section into all others. No heading has this name, so there is no
+# default section.
 _NO_DEFAULT_SECTION = "\0none"
 
 _SECTION_LINE = re.compile(r"\[(.+)\]")
@@ -30,13 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class IniFile:
-    """The contents of a file: texts by section and key, and the lines on which they stand."""
+    """The contents of a file: the values by section and key, and the line numbers of sections and keys."""
 
     sections: dict[str, dict[str, str]]
     lines: Mapping[KeyName, int]
 
     def line_of(self, name: KeyName) -> int:
-        """Return the line of a key, else that of its section, else 0."""
+        """Return the line of a key, or of its section if the key has none, or 0 if neither has one."""
         section = KeyName(name.section, "")
         return self.lines.get(name) or self.lines.get(section, 0)
 
@@ -61,7 +62,7 @@
     """Return the contents of a file's text; `source` names the file in problems.
 
     Raises:
-        ConfigError: the text is not INI, or has a section or a key twice.
+        ConfigError: the text is not valid INI, or a section or key is defined twice.
     """
     parser = configparser.ConfigParser(
         interpolation=None,
@@ -86,21 +87,21 @@
                 line=error.lineno or 0,
                 section=error.section,
                 key=error.option,
-                message="is there twice",
+                message="is defined twice",
             )
             return [problem]
         case configparser.DuplicateSectionError():
             problem = ConfigProblem(
-                file=source, line=error.lineno or 0, section=error.section, message="is there twice"
+                file=source, line=error.lineno or 0, section=error.section, message="is defined twice"
             )
             return [problem]
         case configparser.MissingSectionHeaderError():
-            message = "a [section] is expected before this line"
+            message = "expected a [section] before this line"
             return [ConfigProblem(file=source, line=error.lineno, message=message)]
         case configparser.ParsingError():
             return [
                 ConfigProblem(
-                    file=source, line=line, message=f"KEY = VALUE or [SECTION] is expected, not {text}"
+                    file=source, line=line, message=f"expected KEY = VALUE or [SECTION], got {text}"
                 )
                 for line, text in error.errors
             ]
@@ -108,7 +109,7 @@
 
 
 def _find_lines(text: str) -> dict[KeyName, int]:
-    """Return the first line of each section and key; the parser itself does not keep them."""
+    """Return the first line of each section and key, which the parser does not record."""
     lines: dict[KeyName, int] = {}
     section = ""
     for number, line in enumerate(text.splitlines(), 1):
@@ -116,6 +117,6 @@
             section = heading[1]
             lines.setdefault(KeyName(section, ""), number)
         elif assignment := _KEY_LINE.match(line):
-            key = assignment[1].lower()  # as the parser has it
+            key = assignment[1].lower()  # the parser converts keys to lower case too
             lines.setdefault(KeyName(section, key), number)
     return lines
--- a/kelpfront/config/model.py
+++ b/kelpfront/config/model.py
@@ -1,8 +1,8 @@
-"""The settings of a placer: every section and key, its unit, its bounds and what it means.
+"""The settings of a placer: every section and key with its unit, its bounds and its meaning.
 
-They say what the cluster is and what its owners want. Fields have the names of the keys in the file; `build`
-translates them into the scheduler's terms. No figure that a decision is tuned by is here: those are constants
-of the modules that decide, each with its reason.
+They describe the cluster and the requirements of the owners of jobs. Fields have the names of the keys in the
+file; `build` translates them into the scheduler's settings. Tuning parameters of the scheduler are not
+settings: they are constants of its modules, each with its reason.
 """
 
 from __future__ import annotations
@@ -17,91 +17,104 @@
 
 
 class PlacerSection(Section):
-    """This placer."""
+    """The placer."""
 
-    name: Text = Field("placer-0", description="What machines know it by; each placer has its own.")
-    number: Annotated[int, Integer(0, 9999)] = Field(0, description="Its number among the placers, from 0.")
-    room: Text | None = Field(None, description="The room that it is in, if any.")
-    listen: Address = Field("127.0.0.1:8140", description="Where the REST API is served.")
+    name: Text = Field(
+        "placer-0", description="Name by which machines identify the placer; unique in the cluster."
+    )
+    number: Annotated[int, Integer(0, 9999)] = Field(
+        0, description="Index of the placer among all placers, from 0."
+    )
+    room: Text | None = Field(None, description="Room that the placer is in, if any.")
+    listen: Address = Field("127.0.0.1:8140", description="Address of the REST API.")
     grpc: Address | None = Field(
-        None, description="Where the gRPC API is served (needs kelpfront[grpc]); nowhere if absent."
+        None, description="Address of the gRPC API (needs kelpfront[grpc]); off if absent."
+    )
+    inventory: Text = Field(
+        "inventory.csv", description="File of the machines, .csv or .yaml, relative to this file."
     )
-    inventory: Text = Field("inventory.csv", description="The machines: a .csv or .yaml file, from here.")
     seed: Annotated[int, Integer(0, 2**63 - 1)] | None = Field(
-        None, description="Of the decisions' chance; drawn at start if absent."
+        None, description="Seed of the random numbers that decisions use; chosen at start if absent."
     )
 
 
 class ClusterSection(Section):
-    """What all placers of the cluster share, to the letter."""
+    """Settings that must be identical for all placers of the cluster."""
 
-    placers: Annotated[int, Integer(1, 10_000)] = Field(1, description="How many placers there are.")
-    rooms: Names | None = Field(None, description="All rooms; an inventory may then name no other.")
+    placers: Annotated[int, Integer(1, 10_000)] = Field(1, description="Number of placers.")
+    rooms: Names | None = Field(None, description="All rooms; if present, the inventory may name no others.")
     mean_cores: Annotated[float, Number(1e-6, 1e6)] = Field(
-        1.0, description="Cores that a task asks for in the mean."
+        1.0, description="Mean number of cores that a task requests."
     )
     mean_memory: Annotated[float, Number(1e-6, 1e9)] = Field(
-        2.0, description="Memory that a task asks for in the mean."
+        2.0, description="Mean memory that a task requests."
     )
     accepts_cores: Annotated[float, Number(0.1, 100)] = Field(
-        2.0, description="A machine accepts tasks up to so many times its cores."
+        2.0, description="Overcommit: a machine accepts tasks up to this multiple of its cores."
     )
     accepts_memory: Annotated[float, Number(0.1, 100)] = Field(
-        1.5, description="A machine accepts tasks up to so many times its memory."
+        1.5, description="Overcommit: a machine accepts tasks up to this multiple of its memory."
     )
     answer: Literal["running", "accepted"] = Field(
-        "running", description="When a machine says yes: when the task runs, or once it is accepted."
+        "running",
+        description="When a machine answers positively: once the task runs, or once it is accepted.",
     )
     pushes_out: Flag = Field(
-        default=False, description="Machines push out tasks of lower priority to make room."
+        default=False,
+        description="Whether machines preempt tasks of a lower priority for tasks of a higher one.",
     )
     reports_use: Flag = Field(
-        default=True, description="Machines tell what is in use, not only what is asked for."
+        default=True, description="Whether machines report measured usage, not only requests."
     )
     max_attempts: Annotated[int, Integer(1, 4)] = Field(
-        4, description="Attempts at the most for one placing of a task."
+        4, description="Maximum number of attempts for one placement of a task."
     )
     connect_timeout: Annotated[float, Duration("10ms", "450ms")] = Field(
-        parse_duration("250 ms"), description="For a connection to a machine; also how far clocks may differ."
+        parse_duration("250 ms"),
+        description="Timeout of a connection to a machine; also the maximum clock skew.",
     )
     recheck: Annotated[float, Duration("0s", "60s")] = Field(
-        parse_duration("3 s"), description="How long the owner of a failed task looks whether it runs."
+        parse_duration("3 s"),
+        description="How long the owner of a failed task checks whether it runs after all.",
     )
     lost_after: Annotated[float, Duration("1s", "1h")] = Field(
-        parse_duration("15 s"), description="A machine out of touch for so long has lost its tasks."
+        parse_duration("15 s"),
+        description="The tasks of a machine that has been unreachable for this long count as lost.",
     )
     max_retry_after: Annotated[float, Duration("0s", "60s")] = Field(
-        parse_duration("3 s"), description="The longest pause that a refusal may ask for."
+        parse_duration("3 s"), description="Maximum delay before a retry that a refusal may request."
     )
     tick: Annotated[float, Duration("1ms", "100ms")] = Field(
         parse_duration("40 ms"),
-        description="How late a timer may be; answers are given two ticks before they are due.",
+        description="Maximum delay of a timer; answers are sent two ticks before they are due.",
     )
 
 
 class RulesSection(Section):
-    """Figures of the rules."""
+    """Grace periods, and the slow start of machines."""
 
     answer_grace: Annotated[float, Duration("0s", "1s")] = Field(
-        parse_duration("8 ms"), description="Time past the patience in which an answer still counts."
+        parse_duration("8 ms"),
+        description="Time after the end of the patience in which an answer still counts.",
     )
     drain_grace: Annotated[float, Duration("0s", "60s")] = Field(
-        parse_duration("500 ms"), description="Time in which offers to a draining machine must end."
+        parse_duration("500 ms"), description="Time in which open offers to a draining machine must end."
     )
     cold_from: Annotated[float, Number(0.01, 1)] = Field(
-        0.24, description="Share of its full pace of starts that a machine has when it comes up."
+        0.24, description="Share of its full rate of task starts that a machine has when it comes up."
     )
     cold_for: Annotated[float, Duration("0s", "1h")] = Field(
-        parse_duration("17 s"), description="It is warm no later than this."
+        parse_duration("17 s"), description="Maximum duration of slow start."
     )
     cold_multiple: Annotated[float, Number(1, 100)] = Field(
-        2.5, description="Offered more than so many times its present pace a cold machine falls over."
+        2.5,
+        description="Multiple of its current rate above which offers overload a machine in slow start ...",
     )
     cold_window: Annotated[float, Duration("10ms", "60s")] = Field(
-        parse_duration("2 s"), description="... for so long."
+        parse_duration("2 s"), description="... if they last for this window."
     )
     cold_offers: Annotated[float, Number(0, 100_000)] = Field(
-        57, description="Offers in one window, from all placers together, that a cold machine always bears."
+        57, description="Offers in one window, from all placers, that never overload a machine in slow start."
     )
 
 
@@ -110,7 +123,7 @@
 
     cores: Annotated[float, Number(1e-3, 1e5)] = Field(description="Cores of a machine of this kind.")
     memory: Annotated[float, Number(1e-3, 1e9)] = Field(
-        description="Its memory, in the unit in which tasks ask for it."
+        description="Memory of a machine of this kind, in the unit of the requests of tasks."
     )
 
 
@@ -118,40 +131,44 @@
     """A class of tasks: [class NAME]."""
 
     effect: Literal["safe", "keyed", "unsafe"] = Field(
-        description="What a second start does: no harm, none within group and window, or harm."
+        description="Whether a second start is safe: always, only within group and window, or never."
     )
     group: Literal["machine", "rack", "room", "all"] | None = Field(
-        None, description="Of a keyed class: the machines of which one copy of a key stands."
+        None, description="For a keyed class: the machines among which a key is started only once."
     )
     window: Annotated[float, Duration("10ms", "1h")] | None = Field(
-        None, description="Of a keyed class: how long a repeat is known as one."
+        None, description="For a keyed class: how long a repeated key is recognised."
+    )
+    aim: Annotated[float, Duration("1ms", "1h")] = Field(
+        description="Objective for the time from submission to start."
     )
-    aim: Annotated[float, Duration("1ms", "1h")] = Field(description="A start within this time is in time.")
     deadline: Annotated[float, Duration("10ms", "1h")] = Field(
-        description="How long owners wait, unless a job says otherwise."
+        description="How long owners wait for an answer, unless the job has a patience of its own."
     )
     worth: Annotated[float, Number(0, 1e6)] = Field(
-        1.0, description="Worth of a second of a task of mean size."
+        1.0, description="Worth of one second of service of a task of mean size."
     )
     start_worth: Annotated[float, Duration("0s", "1h")] = Field(
-        0.0, description="Seconds of service that a start in time is worth."
+        0.0, description="Worth of a start within the aim, as a duration of service."
     )
     late_worth: Annotated[float, Number(0, 1)] = Field(
-        0.2, description="Share of that which a late start is worth."
+        0.2, description="Worth of a later start, as a share of start_worth."
     )
     priority: Annotated[int, Integer(0, 100)] = Field(
-        0, description="Higher ones go first, and push out lower ones."
+        0, description="Tasks of a higher priority go first and may preempt those of a lower one."
     )
     needs_kind: Text | None = Field(None, description="The only kind of machine that can run it, if any.")
     apart: Literal["none", "machine", "rack", "room"] = Field(
-        "none", description="Where at most `together` tasks of a service may be, for one placer."
+        "none", description="Failure domain in which one placer runs at most `together` tasks of a service."
+    )
+    together: Annotated[int, Integer(1, 100_000)] = Field(
+        1, description="Maximum number of tasks of a service in one such domain."
     )
-    together: Annotated[int, Integer(1, 100_000)] = Field(1, description="How many may be in one such place.")
     calm: Annotated[float, Number(0.01, 10)] = Field(
-        1.0, description="Served in full while a machine's cores are busy up to this share."
+        1.0, description="Utilization of a machine's cores up to which the class gets full service."
     )
     fade: Annotated[float, Number(0, 10)] = Field(
-        0.2, description="Not served at all when they are busy by so much more."
+        0.2, description="Further utilization over which the service drops to zero."
     )
 
     @model_validator(mode="after")
@@ -160,73 +177,85 @@
         has_both = self.group is not None and self.window is not None
         has_any = self.group is not None or self.window is not None
         if uses_key and not has_both:
-            raise ValueError("group and window: are required where effect is keyed")
+            raise ValueError("group and window: are required if effect is keyed")
         if has_any and not uses_key:
-            raise ValueError("group and window: are allowed only where effect is keyed")
+            raise ValueError("group and window: are allowed only if effect is keyed")
         return self
 
 
 class PricesSection(Section):
-    """What things cost, in points of service; the decisions weigh them."""
+    """Costs of overhead, in the unit of worth; scheduling decisions take them into account."""
 
-    refused_offer: Annotated[float, Number(0, 1)] = Field(0.0, description="An offer that a machine refuses.")
+    refused_offer: Annotated[float, Number(0, 1)] = Field(
+        0.0, description="Cost of an offer that a machine refuses."
+    )
     machines_held: Annotated[float, Number(0, 1)] = Field(
-        0.0, description="Machines held beyond those needed."
+        0.0, description="Cost of machines held beyond those needed."
     )
-    move: Annotated[float, Number(0, 1)] = Field(0.0, description="A task moved.")
+    move: Annotated[float, Number(0, 1)] = Field(0.0, description="Cost of one migration of a task.")
     eviction_moves: Annotated[float, Number(0, 100)] = Field(
-        1.0, description="An eviction counts as so many moves."
+        1.0, description="Cost of an eviction, in migrations."
+    )
+    waste: Annotated[float, Number(0, 1)] = Field(0.0, description="Cost of wasted work.")
+    probe: Annotated[float, Number(0, 1)] = Field(0.0, description="Cost of one health check per task.")
+    list_line: Annotated[float, Number(0, 1)] = Field(
+        0.0, description="Cost of a hundred entries of the machine list per task."
     )
-    waste: Annotated[float, Number(0, 1)] = Field(0.0, description="Work wasted.")
-    probe: Annotated[float, Number(0, 1)] = Field(0.0, description="A probe a task.")
-    list_line: Annotated[float, Number(0, 1)] = Field(0.0, description="A hundred list lines a task.")
 
 
 class LimitsSection(Section):
-    """Bounds on what one placer holds and takes; each is a bound on its memory."""
+    """Limits on what one placer holds and accepts; each bounds its memory."""
 
-    open_tasks: Annotated[int, Integer(1, 10_000_000)] = Field(5_000, description="Tasks without an answer.")
-    jobs: Annotated[int, Integer(1, 10_000_000)] = Field(100_000, description="Jobs that are not finished.")
+    open_tasks: Annotated[int, Integer(1, 10_000_000)] = Field(
+        5_000, description="Maximum number of tasks without an answer."
+    )
+    jobs: Annotated[int, Integer(1, 10_000_000)] = Field(
+        100_000, description="Maximum number of unfinished jobs."
+    )
     finished_jobs: Annotated[int, Integer(0, 10_000_000)] = Field(
-        10_000, description="Finished jobs kept to be read."
+        10_000, description="Number of finished jobs that are kept for reading."
     )
     history: Annotated[int, Integer(100, 10_000_000)] = Field(
-        50_000, description="Changes kept for watches to resume from, in objects and tasks."
+        50_000, description="Changes that are kept so that watches can resume, counted in objects and tasks."
+    )
+    watches: Annotated[int, Integer(1, 1_000_000)] = Field(
+        10_000, description="Maximum number of open watches."
     )
-    watches: Annotated[int, Integer(1, 1_000_000)] = Field(10_000, description="Open watches.")
     watch_buffer: Annotated[int, Integer(10, 1_000_000)] = Field(
-        2_000, description="Events that a watch may be behind."
+        2_000, description="Maximum number of events that a watch may lag behind."
     )
     connections: Annotated[int, Integer(1, 1_000_000)] = Field(
-        10_000, description="Connections to the REST API."
+        10_000, description="Maximum number of connections to the REST API."
     )
     body: Annotated[int, Size("1 KiB", "1 GiB")] = Field(
-        parse_size("1 MiB"), description="The body of a request."
+        parse_size("1 MiB"), description="Maximum size of the body of a request."
     )
     head: Annotated[int, Size("1 KiB", "1 MiB")] = Field(
-        parse_size("32 KiB"), description="The head of a request."
+        parse_size("32 KiB"), description="Maximum size of the request line and headers of a request."
     )
     request_time: Annotated[float, Duration("100ms", "10min")] = Field(
-        parse_duration("10 s"), description="For a request to arrive; slower ones are dropped."
+        parse_duration("10 s"),
+        description="Timeout for a request to arrive completely; slower connections are closed.",
     )
     idle_time: Annotated[float, Duration("1s", "1h")] = Field(
-        parse_duration("90 s"), description="A connection without requests is closed after this."
+        parse_duration("90 s"), description="A connection without requests is closed after this time."
     )
 
 
 class LevelsSection(Section):
     """Levels of reduced service: docs/operators/levels.md."""
 
-    enabled: Flag = Field(default=True, description="Whether levels are entered at all.")
+    enabled: Flag = Field(default=True, description="Whether the placer may reduce its service.")
     changes_an_hour: Annotated[int, Integer(4, 1000)] = Field(
-        12, description="Changes of level in any hour, at the most."
+        12, description="Maximum number of changes of level in any hour."
     )
     essential_priority: Annotated[int, Integer(0, 100)] | None = Field(
         None,
-        description="Classes of this priority and above are given up last; the highest there is if absent.",
+        description="Classes of this priority and above lose service last; the highest priority if absent.",
     )
     memory: Annotated[int, Size("16 MiB", "1024 GiB")] | None = Field(
-        None, description="Memory that the placer may take: near it, less is taken on. No bound if absent."
+        None,
+        description="Memory that the placer may use; it accepts less near this limit. Unlimited if absent.",
     )
 
 
@@ -234,18 +263,21 @@
     """An owner of jobs, by namespace: [owner NAME]."""
 
     weight: Annotated[float, Number(0.01, 1000)] = Field(
-        1.0, description="Its share of turns and places beside other owners; 1 where there is no section."
+        1.0,
+        description="Weight of the owner in fair sharing with other owners; 1 for owners without a section.",
     )
 
 
 class TracingSection(Section):
-    """Traces of tasks, by OpenTelemetry."""
+    """Traces of tasks, in the format of OpenTelemetry."""
 
-    file: Text | None = Field(None, description="Where they are written, as JSON lines; nowhere if absent.")
-    share: Annotated[float, Number(0, 1)] = Field(1.0, description="Of the tasks, those that are traced.")
+    file: Text | None = Field(
+        None, description="File of the traces, as JSON lines; tracing is off if absent."
+    )
+    share: Annotated[float, Number(0, 1)] = Field(1.0, description="Share of the tasks that are traced.")
     most: Annotated[int, Size("64 KiB", "64 GiB")] = Field(
         parse_size("64 MiB"),
-        description="The file's size; at it the file is set aside as NAME.1, the one before goes.",
+        description="Maximum size of the file; it is then renamed to NAME.1, replacing the previous one.",
     )
 
 
--- a/kelpfront/config/placer_example.py
+++ b/kelpfront/config/placer_example.py
@@ -1,6 +1,6 @@
-"""The commented example of a placer's settings file, with classes of each kind of idempotency.
+"""The commented example of a placer's settings file, with one class for each kind of idempotency.
 
-Which keys there are and how they are described is left to `model` and `description`.
+The keys are defined in `model`; `description` formats them.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from kelpfront.config.description import ExampleSection, commented_example
 from kelpfront.config.model import PLACER_LAYOUT
 
-# Keys that the example sets, by the heading of their section.
+# Values of the keys that the example sets, by the heading of their section.
 _EXAMPLE_VALUES: dict[str, dict[str, str]] = {
     "kind small": {"cores": "24", "memory": "48"},
     "kind large": {"cores": "48", "memory": "96"},
@@ -40,7 +40,7 @@
 
 
 def placer_example() -> str:
-    """Return a whole settings file of a placer, with every key, its default, its bounds and its meaning."""
+    """Return a complete settings file of a placer: every key with its default, its bounds and its meaning."""
     sections = [ExampleSection(name, model) for name, model in PLACER_LAYOUT.plain.items()]
     for heading, values in _EXAMPLE_VALUES.items():
         prefix = heading.partition(" ")[0]
--- a/kelpfront/config/problems.py
+++ b/kelpfront/config/problems.py
@@ -1,6 +1,6 @@
-"""The mistakes of a settings file, and the error that reports all of them at once.
+"""The problems of a settings file, and the error that reports all of them at once.
 
-Finding mistakes is left to `ini` and `reader`.
+`ini` and `reader` find the problems.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ConfigProblem:
-    """One mistake: where it is, what is wrong, and what is allowed.
+    """One problem: its position, what is wrong, and what is allowed.
 
     Attributes:
-        file: the file, or where else the setting was given.
-        line: counted from 1; 0 where the problem is of no line.
-        section: empty where the problem is of no section.
-        key: empty where the problem is of no key.
-        allowed: empty where there is nothing to say of it.
+        file: the path of the file, or the command line for an override.
+        line: counted from 1; 0 if the problem concerns no particular line.
+        section: empty if the problem concerns no particular section.
+        key: empty if the problem concerns no particular key.
+        allowed: description of the allowed values; empty if there is none.
     """
 
     file: str
@@ -39,7 +39,7 @@
 
 
 class ConfigError(ValueError):
-    """Raised for settings that cannot be used; `problems` are all that was found wrong with them."""
+    """Raised for invalid settings; `problems` has every problem that was found."""
 
     def __init__(self, problems: Iterable[ConfigProblem]) -> None:
         self.problems = tuple(problems)
--- a/kelpfront/config/reader.py
+++ b/kelpfront/config/reader.py
@@ -1,7 +1,7 @@
-"""Reads settings files: applies overrides, checks every section, and reports all mistakes at once.
+"""Reads settings files: applies overrides, checks every section, and reports all problems at once.
 
-The INI format is left to `ini`, the check of a single value to its type. What no section can check alone,
-because it concerns several, is checked here for a placer and in `agent` for an agent.
+`ini` parses the INI format, and the type of a key checks its value. Checks that involve several sections are
+here for a placer and in `agent` for an agent.
 """
 
 from __future__ import annotations
@@ -20,39 +20,39 @@
 from kelpfront.config.problems import ConfigError, ConfigProblem
 from kelpfront.config.section import Section, SettingsLayout
 
-COMMAND_LINE = "command line"  # stands for the file in problems with overrides
+COMMAND_LINE = "command line"  # replaces the file name in problems of overrides
 
-_VALUE_ERROR_PREFIX = "Value error, "  # pydantic puts it before the message of a ValueError
+_VALUE_ERROR_PREFIX = "Value error, "  # prefix that pydantic adds to the message of a ValueError
 
 
 @dataclass(slots=True)
 class ParsedSections:
-    """The sections of a file as their models; one with a mistake is None.
+    """The sections of a file as instances of their models; an invalid section is None.
 
     Attributes:
-        plain: by name.
-        named: by the field of the settings that holds them, and by name.
+        plain: sections without a name of their own, by heading.
+        named: sections with a name, by the field of the settings that holds them and by that name.
     """
 
     plain: dict[str, Section | None] = field(default_factory=dict)
     named: dict[str, dict[str, Section | None]] = field(default_factory=dict)
 
     def as_fields(self) -> dict[str, Any]:
-        """Return the fields of the settings that these sections make."""
+        """Return the sections as keyword arguments of the settings' model."""
         return {**self.plain, **self.named}
 
 
 def read_config(path: Path, overrides: Iterable[str] = ()) -> Config:
-    """Return the settings of a placer's file; overrides, as `SECTION.KEY=VALUE`, replace what it has.
+    """Return the settings of a placer's file; overrides, as `SECTION.KEY=VALUE`, replace values of the file.
 
     Raises:
-        ConfigError: the settings cannot be used; it names all mistakes.
+        ConfigError: the settings are invalid; the error lists all problems.
     """
     return parse_config(read_text(path), str(path), overrides)
 
 
 def parse_config(text: str, source: str, overrides: Iterable[str] = ()) -> Config:
-    """Return the settings of a text, as `read_config` does of a file; `source` names it in problems."""
+    """Return the settings of a text, as `read_config` does for a file; `source` names it in problems."""
     reader = SettingsReader(text, source, overrides)
     sections = reader.parse_sections(PLACER_LAYOUT)
     _check_required_kinds(sections, reader)
@@ -67,7 +67,7 @@
         if not isinstance(section, ClassSection) or section.needs_kind is None:
             continue
         if section.needs_kind not in kinds:
-            message = f"{section.needs_kind!r} is no kind"
+            message = f"unknown kind {section.needs_kind!r}"
             reader.report(KeyName(f"class {name}", "needs_kind"), message, ", ".join(kinds))
 
 
@@ -75,17 +75,17 @@
     placer = sections.plain.get("placer", PlacerSection())
     cluster = sections.plain.get("cluster", ClusterSection())
     if not (isinstance(placer, PlacerSection) and isinstance(cluster, ClusterSection)):
-        return  # one of them has a mistake, which is reported
+        return  # one of them is invalid, which is already reported
     if placer.number >= cluster.placers:
-        message = f"{placer.number} of {cluster.placers} placers"
-        reader.report(KeyName("placer", "number"), message, "less than their number")
+        message = f"{placer.number} is too large for {cluster.placers} placers"
+        reader.report(KeyName("placer", "number"), message, "numbers less than [cluster] placers")
 
 
 class SettingsReader:
-    """Reads one settings file, with the overrides of the command line, and collects its mistakes.
+    """Reads one settings file, with the overrides of the command line, and collects its problems.
 
     Raises:
-        ConfigError: the text is not INI.
+        ConfigError: the text is not valid INI.
     """
 
     def __init__(self, text: str, source: str, overrides: Iterable[str] = ()) -> None:
@@ -97,7 +97,7 @@
             self._apply_override(override)
 
     def report(self, name: KeyName, message: str, allowed: str = "") -> None:
-        """Add a mistake at a key, at a section if the key is empty, or of the file if both are empty."""
+        """Add a problem of a key, of a section if the key is empty, or of the file if both are empty."""
         is_override = name in self._overridden
         problem = ConfigProblem(
             file=COMMAND_LINE if is_override else self._source,
@@ -110,12 +110,12 @@
         self._problems.append(problem)
 
     def raise_if_any(self) -> None:
-        """Raise ConfigError with the mistakes found so far, if there are any."""
+        """Raise ConfigError with the problems found so far, if there are any."""
         if self._problems:
             raise ConfigError(self._problems)
 
     def parse_sections(self, layout: SettingsLayout) -> ParsedSections:
-        """Return the sections as their models, and report what the layout does not allow."""
+        """Return the sections as instances of their models, and report what the layout does not allow."""
         sections = ParsedSections()
         for heading, values in self._file.sections.items():
             prefix, _, rest = heading.partition(" ")
@@ -147,26 +147,26 @@
         try:
             return model(**values)
         except ValidationError as error:
-            for mistake in error.errors(include_url=False, include_context=False, include_input=False):
-                self._report_mistake(heading, model, values, mistake)
+            for details in error.errors(include_url=False, include_context=False, include_input=False):
+                self._report_invalid_value(heading, model, values, details)
             return None
 
-    def _report_mistake(
-        self, heading: str, model: type[Section], values: Mapping[str, str], mistake: ErrorDetails
+    def _report_invalid_value(
+        self, heading: str, model: type[Section], values: Mapping[str, str], details: ErrorDetails
     ) -> None:
-        key = str(mistake["loc"][0]) if mistake["loc"] else ""
+        key = str(details["loc"][0]) if details["loc"] else ""
         name = KeyName(heading, key)
         info = model.model_fields.get(key)
         allowed = "" if info is None else describe_allowed(info)
-        match mistake["type"]:
+        match details["type"]:
             case "extra_forbidden":
                 self.report(name, "unknown key", ", ".join(model.model_fields))
             case "missing":
                 self.report(name, "is missing", allowed)
             case "literal_error":
-                self.report(name, f"{values[key]!r} is unknown", allowed)
+                self.report(name, f"unknown value {values[key]!r}", allowed)
             case _:
-                self.report(name, mistake["msg"].removeprefix(_VALUE_ERROR_PREFIX), allowed)
+                self.report(name, details["msg"].removeprefix(_VALUE_ERROR_PREFIX), allowed)
 
     def _report_unknown_section(self, heading: str, layout: SettingsLayout) -> None:
         known = [f"[{name}]" for name in layout.plain]
@@ -176,5 +176,5 @@
     def _report_missing_sections(self, sections: ParsedSections, layout: SettingsLayout) -> None:
         for prefix, named in layout.named.items():
             if named.required and named.field not in sections.named:
-                message = f"no [{prefix} NAME] section; at least one is needed"
+                message = f"no [{prefix} NAME] section; at least one is required"
                 self.report(KeyName("", ""), message)
--- a/kelpfront/config/section.py
+++ b/kelpfront/config/section.py
@@ -1,7 +1,7 @@
-"""What the settings of all programs share: the base of a section, the log's section, and layouts of files.
+"""What the settings of placers and agents share: the base of a section, the log section and file layouts.
 
-A layout says which sections a file may have. The sections of a placer and of an agent are left to `model`
-and `agent`, reading a file to `reader`.
+A layout lists the sections that a file may have. The sections of a placer are in `model`, those of an agent
+in `agent`; `reader` reads files.
 """
 
 from __future__ import annotations
@@ -26,19 +26,21 @@
 class LogSection(Section):
     """The log, on standard error."""
 
-    level: Literal["debug", "info", "warning", "error"] = Field("info", description="The least shown.")
+    level: Literal["debug", "info", "warning", "error"] = Field(
+        "info", description="Minimum level of the messages that are logged."
+    )
     format: Literal["auto", "json", "console"] = Field(
-        "auto", description="JSON lines, or for people; auto: for people on a terminal."
+        "auto", description="JSON lines, or text for people; auto: text on a terminal, else JSON lines."
     )
 
 
 @dataclass(frozen=True, slots=True)
 class NamedSection:
-    """Sections of one kind that a file may have many of, each with a name: `[class web]`.
+    """A kind of section that a file may contain many times, each with a name: `[class web]`.
 
     Attributes:
-        field: the field of the settings that holds them, by name.
-        model: what one of them holds.
+        field: name of the settings' field that holds these sections by their names.
+        model: the model of one such section.
         required: whether a file must have at least one.
     """
 
@@ -52,8 +54,8 @@
     """The sections that a settings file may have.
 
     Attributes:
-        plain: sections that stand once, by their name.
-        named: sections that stand once for each name, by the prefix of their heading (`class`).
+        plain: models of the sections that occur at most once, by heading.
+        named: kinds of sections that have a name, by the prefix of their heading (`class`).
     """
 
     plain: Mapping[str, type[Section]]
--- a/kelpfront/config/values.py
+++ b/kelpfront/config/values.py
@@ -1,7 +1,7 @@
-"""Types of the values that a settings file holds: how each is read from text, checked and written back.
+"""Types of the values in a settings file: how each is parsed from text, checked and formatted.
 
-They are metadata of the fields of the sections, so that pydantic reads values with them and the commented
-example describes them. Which key has which type and which bounds is left to the sections.
+The types are metadata of the fields of the sections: pydantic parses values with them, and the commented
+example describes them. The sections choose the type and the bounds of each key.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
 
 
 class ValueType(ABC, Generic[ValueT]):
-    """How the value of a key is read from text, described and written back."""
+    """Parses, describes and formats the value of a key."""
 
     @property
     @abstractmethod
     def allowed(self) -> str:
-        """What the key takes, in words for the person who writes the file."""
+        """Description of the allowed values, for the author of the file."""
 
     @abstractmethod
     def parse(self, text: str) -> ValueT:
-        """Return the value of a text without surrounding space.
+        """Return the value of a text that has no surrounding whitespace.
 
         Raises:
-            ValueError: the text is no value of this type, or is out of its bounds.
+            ValueError: the text is not a value of this type, or is out of range.
         """
 
     def format(self, value: ValueT) -> str:
-        """Return the text that `parse` reads as this value."""
+        """Return a text from which `parse` returns this value."""
         return str(value)
 
     def __get_pydantic_core_schema__(
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True)
 class Duration(ValueType[float]):
-    """A duration, written with its unit and kept in milliseconds; both bounds belong to the range."""
+    """A duration, written with its unit and stored in milliseconds; both bounds are inclusive."""
 
     minimum: str
     maximum: str
 
     @property
     def allowed(self) -> str:
-        """The bounds as they are written."""
+        """The range, with the bounds as they are written in a file."""
         return f"a duration from {self.minimum} to {self.maximum}"
 
     def parse(self, text: str) -> float:
@@ -77,14 +77,14 @@
 
 @dataclass(frozen=True)
 class Size(ValueType[int]):
-    """An amount of memory, written with its unit and kept in bytes; both bounds belong to the range."""
+    """An amount of memory, written with its unit and stored in bytes; both bounds are inclusive."""
 
     minimum: str
     maximum: str
 
     @property
     def allowed(self) -> str:
-        """The bounds as they are written."""
+        """The range, with the bounds as they are written in a file."""
         return f"a size from {self.minimum} to {self.maximum}"
 
     def parse(self, text: str) -> int:
@@ -100,18 +100,18 @@
 
 @dataclass(frozen=True)
 class Number(ValueType[float]):
-    """A number without a unit; both bounds belong to the range."""
+    """A number without a unit; both bounds are inclusive."""
 
     minimum: float
     maximum: float
 
     @property
     def allowed(self) -> str:
-        """The bounds."""
+        """The range."""
         return f"a number from {self.minimum:g} to {self.maximum:g}"
 
     def parse(self, text: str) -> float:
-        """Return the number that a text holds."""
+        """Return the number that a text represents."""
         try:
             number = float(text)
         except ValueError as error:
@@ -120,24 +120,24 @@
         return number
 
     def format(self, value: float) -> str:
-        """Return the number without needless digits."""
+        """Return the number without trailing zeros."""
         return f"{value:g}"
 
 
 @dataclass(frozen=True)
 class Integer(ValueType[int]):
-    """A number without a unit and without a fraction; both bounds belong to the range."""
+    """A whole number without a unit; both bounds are inclusive."""
 
     minimum: int
     maximum: int
 
     @property
     def allowed(self) -> str:
-        """The bounds."""
+        """The range."""
         return f"a whole number from {self.minimum} to {self.maximum}"
 
     def parse(self, text: str) -> int:
-        """Return the number that a text holds."""
+        """Return the number that a text represents."""
         try:
             number = int(text)
         except ValueError as error:
@@ -153,7 +153,7 @@
 
 
 class _BooleanType(ValueType[bool]):
-    """A choice between two, as people write it."""
+    """A boolean: yes or no, true or false, on or off."""
 
     @property
     def allowed(self) -> str:
@@ -171,7 +171,7 @@
 
 
 class _TextType(ValueType[str]):
-    """Any text that is not empty."""
+    """A text that is not empty."""
 
     @property
     def allowed(self) -> str:
@@ -179,22 +179,22 @@
 
     def parse(self, text: str) -> str:
         if not text:
-            raise ValueError("is empty")
+            raise ValueError("must not be empty")
         return text
 
 
 class _NamesType(ValueType[tuple[str, ...]]):
-    """Names that differ from each other."""
+    """A list of distinct names."""
 
     @property
     def allowed(self) -> str:
-        return "names, with commas between"
+        return "distinct names, separated by commas"
 
     def parse(self, text: str) -> tuple[str, ...]:
         names = tuple(name.strip() for name in text.split(","))
         has_repeated_name = len(set(names)) < len(names)
         if has_repeated_name or not all(names):
-            raise ValueError(f"{text!r} has an empty or a repeated name")
+            raise ValueError(f"{text!r} contains an empty or a repeated name")
         return names
 
     def format(self, value: tuple[str, ...]) -> str:
@@ -202,11 +202,11 @@
 
 
 class _AddressType(ValueType[str]):
-    """Where a server listens."""
+    """The address on which a server listens."""
 
     @property
     def allowed(self) -> str:
-        return "HOST:PORT; port 0 takes a free one"
+        return "HOST:PORT; port 0 selects a free port"
 
     def parse(self, text: str) -> str:
         host, colon, port = text.rpartition(":")
--- a/tests/config/minimal_config.py
+++ b/tests/config/minimal_config.py
@@ -1,4 +1,4 @@
-"""The shortest settings of a placer that can be used, for tests that put something wrong into them."""
+"""The shortest valid settings of a placer, to which tests add invalid ones."""
 
 MINIMAL_CONFIG = """
 [kind small]
--- a/tests/config/test_agent_config.py
+++ b/tests/config/test_agent_config.py
@@ -1,4 +1,4 @@
-"""Settings of a node agent: what must be there, and from where its paths are taken."""
+"""Settings of a node agent: required keys, and how relative paths are resolved."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 """
 
 
-def test_example_reads_as_the_minimal_settings() -> None:
+def test_example_equals_the_minimal_settings() -> None:
     assert parse_agent_config(agent_example(), "example") == parse_agent_config(MINIMAL_CONFIG, "minimal")
 
 
-def test_file_without_an_agent_section_is_told_what_it_needs() -> None:
+def test_error_for_a_missing_agent_section_lists_its_required_keys() -> None:
     with pytest.raises(ConfigError) as error:
         parse_agent_config("[log]\nlevel = debug\n", "a.ini")
 
     (problem,) = error.value.problems
-    assert str(problem) == "a.ini: no [agent] section; it needs at least name, kind, rack, room"
+    assert str(problem) == "a.ini: no [agent] section; its required keys are name, kind, rack, room"
 
 
-def test_relative_paths_are_taken_from_the_folder_of_the_file(tmp_path: Path) -> None:
+def test_relative_paths_are_resolved_against_the_folder_of_the_file(tmp_path: Path) -> None:
     path = tmp_path / "agent.ini"
     path.write_text(MINIMAL_CONFIG + "copies = shared\nstate = own\n")
 
@@ -40,7 +40,7 @@
     assert agent.copies == str(tmp_path / "shared")
 
 
-def test_agent_without_a_shared_folder_keeps_none(tmp_path: Path) -> None:
+def test_shared_folder_is_none_if_the_file_has_none(tmp_path: Path) -> None:
     path = tmp_path / "agent.ini"
     path.write_text(MINIMAL_CONFIG)
 
--- a/tests/config/test_config_build.py
+++ b/tests/config/test_config_build.py
@@ -1,4 +1,4 @@
-"""Settings of a file reach the scheduler under the names of the field."""
+"""The settings of a file are translated into the settings of the scheduler."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     return build_cluster(parse_config(placer_example() + "\n", "k.ini", overrides)).settings
 
 
-def test_placer_and_cluster_settings_reach_the_scheduler() -> None:
+def test_placer_and_cluster_settings_are_passed_to_the_scheduler() -> None:
     settings = example_settings("cluster.placers=24", "placer.number=7")
 
     assert settings.replica_index == 7
@@ -19,7 +19,7 @@
     assert settings.timer_resolution_ms == 40.0
 
 
-def test_effect_of_a_class_becomes_its_idempotency() -> None:
+def test_effect_of_a_class_is_translated_to_its_idempotency() -> None:
     web, ingest, blend = example_settings().classes
 
     assert web.idempotency is Idempotency.IDEMPOTENT
@@ -27,7 +27,7 @@
     assert blend.idempotency is Idempotency.NON_IDEMPOTENT
 
 
-def test_locations_and_times_of_a_class_reach_the_scheduler() -> None:
+def test_failure_domains_and_times_of_a_class_are_passed_to_the_scheduler() -> None:
     web, ingest, _ = example_settings().classes
 
     assert ingest.idempotency_scope == FailureDomain.ZONE
--- a/tests/config/test_config_example.py
+++ b/tests/config/test_config_example.py
@@ -1,4 +1,4 @@
-"""The commented example of a placer's settings can be used as it is, and with its defaults written out."""
+"""The commented example of a placer's settings is valid, and its commented-out values are the defaults."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from kelpfront.config.reader import parse_config
 
 
-def write_out_defaults(example: str) -> str:
-    """Return the example with the keys that are commented out, as their explanations are not."""
+def uncomment_defaults(example: str) -> str:
+    """Return the example with its defaults uncommented; explanations, which contain a "(", stay comments."""
     lines = []
     for line in example.splitlines():
         is_default = line.startswith("# ") and " = " in line and "(" not in line
@@ -26,7 +26,7 @@
         assert all(f"{key} =" in text for key in model.model_fields), heading
 
 
-def test_example_with_its_defaults_written_out_reads_the_same() -> None:
+def test_example_with_its_defaults_uncommented_reads_the_same() -> None:
     text = placer_example()
 
-    assert parse_config(write_out_defaults(text), "all defaults written out") == parse_config(text, "example")
+    assert parse_config(uncomment_defaults(text), "defaults uncommented") == parse_config(text, "example")
--- a/tests/config/test_config_reader.py
+++ b/tests/config/test_config_reader.py
@@ -1,4 +1,4 @@
-"""Reading settings: everything wrong with a file is reported at once, with position and what is allowed."""
+"""Reading settings: all problems of a file are reported at once, with position and allowed values."""
 
 from __future__ import annotations
 
@@ -31,28 +31,28 @@
         ("[cluster]\nplacers = 1.5", "'1.5' is not a whole number; allowed: a whole number from 1 to 10000"),
         ("[cluster]\nmax_attempts = 5", "'5' is out of range; allowed: a whole number from 1 to 4"),
         ("[cluster]\npushes_out = maybe", "neither yes nor no; allowed: yes or no"),
-        ("[cluster]\nrooms = a, , b", "has an empty or a repeated name"),
-        ("[cluster]\nanswer = soon", "'soon' is unknown; allowed: running, accepted"),
+        ("[cluster]\nrooms = a, , b", "contains an empty or a repeated name"),
+        ("[cluster]\nanswer = soon", "unknown value 'soon'; allowed: running, accepted"),
         ("[limits]\nbody = 5", "a whole number and a unit"),
         ("[placer]\nlisten = 127.0.0.1", "is not HOST:PORT"),
-        ("[placer]\nnumber = 3", "[placer] number: 3 of 1 placers"),
+        ("[placer]\nnumber = 3", "[placer] number: 3 is too large for 1 placers"),
         ("[kind big]\ncores = 8", "[kind big] memory: is missing; allowed: a number from"),
         ("[class a]\neffect = keyed\naim = 1s\ndeadline = 1s", "group and window: are required"),
-        ("[class a]\neffect = safe\nwindow = 1s\naim = 1s\ndeadline = 1s", "allowed only where"),
-        ("[class a]\neffect = safe\nneeds_kind = huge\naim = 1s\ndeadline = 1s", "'huge' is no kind"),
+        ("[class a]\neffect = safe\nwindow = 1s\naim = 1s\ndeadline = 1s", "allowed only if"),
+        ("[class a]\neffect = safe\nneeds_kind = huge\naim = 1s\ndeadline = 1s", "unknown kind 'huge'"),
         ("[rules]\ncold_from = nan", "'nan' is out of range"),
-        ("[kind small]\ncores = 1\nmemory = 1", "k.ini:9: [kind small]: is there twice"),
-        ("deadline = 6 s", "k.ini:9: [class web] deadline: is there twice"),
-        ("what is this", "k.ini:9: KEY = VALUE or [SECTION] is expected"),
+        ("[kind small]\ncores = 1\nmemory = 1", "k.ini:9: [kind small]: is defined twice"),
+        ("deadline = 6 s", "k.ini:9: [class web] deadline: is defined twice"),
+        ("what is this", "k.ini:9: expected KEY = VALUE or [SECTION]"),
     ],
 )
-def test_problem_names_its_position_and_what_is_allowed(added_text: str, expected: str) -> None:
+def test_problem_states_its_position_and_the_allowed_values(added_text: str, expected: str) -> None:
     problems = problems_of(MINIMAL_CONFIG + added_text + "\n")
 
     assert any(expected in problem for problem in problems), problems
 
 
-def test_all_problems_are_reported_at_once_and_those_of_overrides_as_of_the_command_line() -> None:
+def test_all_problems_of_the_file_and_of_overrides_are_reported_at_once() -> None:
     text = MINIMAL_CONFIG + "[rules]\ndrain_grace = 5\ncold_from = 7\n[other]\n"
 
     problems = problems_of(text, "rules.cold_for=forever", "nonsense", "placer.colour=red")
@@ -68,7 +68,7 @@
     assert config.cluster.placers == 3
 
 
-def test_problem_of_an_override_has_no_line_of_the_file() -> None:
+def test_problem_of_an_override_has_no_line_number() -> None:
     problems = problems_of(MINIMAL_CONFIG, "class web.deadline=5")
 
     assert problems == [
@@ -81,13 +81,13 @@
     problems = [problem.split(": ", 1)[1] for problem in problems_of("")]
 
     assert problems == [
-        "no [kind NAME] section; at least one is needed",
-        "no [class NAME] section; at least one is needed",
+        "no [kind NAME] section; at least one is required",
+        "no [class NAME] section; at least one is required",
     ]
 
 
-def test_file_must_begin_with_a_section() -> None:
-    assert "a [section] is expected" in problems_of("x = 1\n")[0]
+def test_key_before_the_first_section_is_reported() -> None:
+    assert "expected a [section]" in problems_of("x = 1\n")[0]
 
 
 def test_missing_file_is_reported(tmp_path: Path) -> None:
@@ -103,7 +103,7 @@
         read_config(path)
 
 
-def test_file_of_windows_with_byte_order_mark_is_read(tmp_path: Path) -> None:
+def test_file_with_byte_order_mark_and_windows_line_ends_is_read(tmp_path: Path) -> None:
     path = tmp_path / "bom.ini"
     path.write_bytes(b"\xef\xbb\xbf" + MINIMAL_CONFIG.replace("\n", "\r\n").encode())
 
