--- a/kelpfront/cli/__init__.py
+++ b/kelpfront/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The command line: commands, their options, output and exit codes.
+"""The command line: commands, their options, their output and their exit codes.
 
-What the commands do is left to the packages below.
+The other packages implement what the commands do.
 """
 
 from kelpfront.cli.main import main
--- a/kelpfront/cli/agent.py
+++ b/kelpfront/cli/agent.py
@@ -1,4 +1,4 @@
-"""`kelpfront agent`: the node agent, and commands to the one on this host."""
+"""`kelpfront agent`: runs the node agent, and controls the agent that runs on this host."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 import click
 import msgspec
 
-from kelpfront.cli.common import UNREACHABLE, console, fail, plain_table, set_option
+from kelpfront.cli.common import EXIT_UNREACHABLE, console, fail, plain_table, set_option
 from kelpfront.config import ConfigError
 from kelpfront.config.agent import AgentConfig, agent_example, read_agent_config
 from kelpfront.http.client import HttpConnection, HttpError
 from kelpfront.units import format_duration, format_size
 
-CALL_S = 10.0
+CALL_TIMEOUT_S = 10.0
 
 agent_config_option = click.option(
     "-c",
@@ -35,10 +35,10 @@
 
 @click.group()
 def agent() -> None:
-    """Run a node agent, which starts tasks as processes of this host; ask or drain the one that runs."""
+    """Run a node agent, which starts tasks as processes on this host, or query or drain a running agent."""
 
 
-def load(path: Path, overrides: tuple[str, ...]) -> AgentConfig:
+def load_agent_config(path: Path, overrides: tuple[str, ...]) -> AgentConfig:
     try:
         return read_agent_config(path, overrides)
     except ConfigError as error:
@@ -49,22 +49,22 @@
 @agent_config_option
 @set_option
 def serve(config_path: Path, overrides: tuple[str, ...]) -> None:
-    """Run the agent until SIGTERM or Ctrl-C. Its tasks run on, and the next agent knows them.
+    """Run the agent until SIGTERM or Ctrl-C. Its tasks continue to run, and the next agent adopts them.
 
-    The line with its URL goes to standard output, the log to standard error.
+    Prints a line with its URL to standard output and logs to standard error.
     """
     from kelpfront.agent.errors import AgentError
     from kelpfront.agent.service import AgentService
     from kelpfront.logs import configure_logs
 
-    its = load(config_path, overrides)
-    configure_logs(its.log.level, its.log.format, machine=its.agent.name)
+    config = load_agent_config(config_path, overrides)
+    configure_logs(config.log.level, config.log.format, machine=config.agent.name)
 
     async def run() -> None:
         stop = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            asyncio.get_running_loop().add_signal_handler(number, stop.set)
-        service = AgentService(its)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
+        service = AgentService(config)
         await service.start()
         click.echo(json.dumps({"url": service.url, "readyMs": round(service.ready_ms, 1)}))
         sys.stdout.flush()
@@ -81,14 +81,14 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @set_option
 def check(file: Path, overrides: tuple[str, ...]) -> None:
-    """Check an agent's settings file: every mistake with its place and what is allowed."""
-    its = load(file, overrides)
-    click.echo(f"{file}: machine {its.agent.name}, {its.agent.room}/{its.agent.rack}: in order")
+    """Check an agent's settings file: print every problem with its position and the allowed values."""
+    config = load_agent_config(file, overrides)
+    click.echo(f"{file}: machine {config.agent.name}, {config.agent.room}/{config.agent.rack}: valid")
 
 
 @agent.command()
 def example() -> None:
-    """Print an agent's settings file with every key, its default, what is allowed and what it means."""
+    """Print an example of an agent's settings file: every key with default, bounds and meaning."""
     click.echo(agent_example(), nl=False)
 
 
@@ -97,24 +97,27 @@
 @set_option
 @json_option
 def status(config_path: Path, overrides: tuple[str, ...], as_json: bool) -> None:
-    """Show what the agent on this host holds, and what it found when it started."""
-    shown = _call(load(config_path, overrides), "GET", "/v1/agent")
+    """Show the state of the agent on this host, and what it found when it started."""
+    details = _call(load_agent_config(config_path, overrides), "GET", "/v1/agent")
     if as_json:
-        click.echo(json.dumps(shown, indent=2))
+        click.echo(json.dumps(details, indent=2))
         return
-    load_ = shown["load"]
+    node_load = details["load"]
     lines = {
-        "machine": f"{shown['name']} ({shown['kind']}, {shown['room']}/{shown['rack']})",
-        "state": f"{shown['state']}, pace of starts {shown['warm']:.0%}",
-        "pid, boot": f"{shown['pid']}, {shown['boot']}",
-        "tasks": ", ".join(f"{count} {phase}" for phase, count in shown["tasks"].items()) or "none",
-        "not asked for": f"{load_['free_cores']:g} cores, {load_['free_memory']:g} memory",
-        "not in use": f"{load_['unused_cores']:g} cores, {load_['unused_memory']:g} memory",
-        "placers": ", ".join(shown["placers"]) or "none connected",
-        "found at start": ", ".join(f"{n} {fate}" for fate, n in shown["found"].items()) or "nothing",
-        "ready after": f"{shown['readyMs']:g} ms",
-        "use sampled": f"every {shown['sampling']['periodMs']:g} ms, {shown['sampling']['lastMs']:g} ms each",
-        "orphans": f"{shown['orphaned']} stopped; after {format_duration(shown['orphansAfterMs'] or 0)} away",
+        "machine": f"{details['name']} ({details['kind']}, {details['room']}/{details['rack']})",
+        "state": f"{details['state']}, start rate {details['warm']:.0%}",
+        "pid, boot": f"{details['pid']}, {details['boot']}",
+        "tasks": ", ".join(f"{count} {phase}" for phase, count in details["tasks"].items()) or "none",
+        "not requested": f"{node_load['free_cores']:g} cores, {node_load['free_memory']:g} memory",
+        "unused": f"{node_load['unused_cores']:g} cores, {node_load['unused_memory']:g} memory",
+        "placers": ", ".join(details["placers"]) or "none connected",
+        "found at start": ", ".join(f"{count} {outcome}" for outcome, count in details["found"].items())
+        or "nothing",
+        "ready after": f"{details['readyMs']:g} ms",
+        "usage sampled": f"every {details['sampling']['periodMs']:g} ms, "
+        f"{details['sampling']['lastMs']:g} ms each",
+        "orphans": f"{details['orphaned']} stopped; "
+        f"after {format_duration(details['orphansAfterMs'] or 0)} without placer",
     }
     for name, text in lines.items():
         click.echo(f"{name:<15} {text}")
@@ -125,8 +128,8 @@
 @set_option
 @json_option
 def ps(config_path: Path, overrides: tuple[str, ...], as_json: bool) -> None:
-    """List the tasks that the agent on this host holds, with what they use."""
-    tasks = _call(load(config_path, overrides), "GET", "/v1/tasks")
+    """List the tasks of the agent on this host, with the resources that they use."""
+    tasks = _call(load_agent_config(config_path, overrides), "GET", "/v1/tasks")
     if as_json:
         click.echo(json.dumps(tasks, indent=2))
         return
@@ -151,32 +154,32 @@
 @agent_config_option
 @set_option
 def drain(config_path: Path, overrides: tuple[str, ...]) -> None:
-    """Have the agent on this host take nothing new and send its tasks away, until `undrain`."""
-    _drain(load(config_path, overrides), True)
+    """Make the agent on this host refuse new tasks and evict its own, until `undrain`."""
+    _set_draining(load_agent_config(config_path, overrides), True)
 
 
 @agent.command()
 @agent_config_option
 @set_option
 def undrain(config_path: Path, overrides: tuple[str, ...]) -> None:
-    """Take a drain of the agent on this host back."""
-    _drain(load(config_path, overrides), False)
+    """End the drain of the agent on this host."""
+    _set_draining(load_agent_config(config_path, overrides), False)
 
 
-def _drain(its: AgentConfig, on: bool) -> None:
-    answer = _call(its, "POST", "/v1/drain", msgspec.json.encode({"on": on}))
+def _set_draining(config: AgentConfig, on: bool) -> None:
+    answer = _call(config, "POST", "/v1/drain", msgspec.json.encode({"on": on}))
     click.echo("draining" if answer["draining"] else "ready")
 
 
-def _call(its: AgentConfig, method: str, path: str, body: bytes = b"") -> Any:
-    place = Path(its.agent.state) / "agent.json"
+def _call(config: AgentConfig, method: str, path: str, body: bytes = b"") -> Any:
+    address_file = Path(config.agent.state) / "agent.json"
     try:
-        address = urlsplit(json.loads(place.read_text())["url"])
+        address = urlsplit(json.loads(address_file.read_text())["url"])
     except (OSError, ValueError, KeyError):
-        fail(f"{place}: no agent has run with this state folder", UNREACHABLE)
+        fail(f"{address_file}: no agent has been started with this state folder", EXIT_UNREACHABLE)
 
     async def call() -> Any:
-        async with asyncio.timeout(CALL_S):
+        async with asyncio.timeout(CALL_TIMEOUT_S):
             connection = await HttpConnection.open(address.hostname or "", address.port or 0)
             try:
                 reply = await connection.request(method, path, body)
@@ -190,4 +193,4 @@
     try:
         return asyncio.run(call())
     except (HttpError, TimeoutError, msgspec.DecodeError) as error:
-        fail(f"the agent could not be reached: {error or 'no answer'}", UNREACHABLE)
+        fail(f"the agent could not be reached: {error or 'no response'}", EXIT_UNREACHABLE)
--- a/kelpfront/cli/jobs.py
+++ b/kelpfront/cli/jobs.py
@@ -1,6 +1,6 @@
-"""Commands about the objects of a placer: jobs are submitted, read, watched and deleted, machines drained.
+"""Commands for the objects of a placer: submit, read, watch and delete jobs, and drain machines.
 
-How objects look in a table is left to `tables`, levels of service to `levels`.
+`tables` formats objects as tables; the commands for levels of service are in `levels`.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 
 from kelpfront.api.meta import JOBS, LEVELS, MACHINES, Object, Resource
 from kelpfront.cli.common import (
+    async_command,
     console,
     fail,
     fields_option,
@@ -24,7 +25,6 @@
     namespace_option,
     output_option,
     print_objects,
-    run,
     server_option,
 )
 from kelpfront.cli.tables import attempts_table, object_row, objects_table, tasks_table
@@ -37,11 +37,11 @@
 resource_argument = click.argument("resource", type=click.Choice(list(RESOURCES)))
 all_option = click.option("-A", "--all-namespaces", is_flag=True, help="Jobs of all namespaces.")
 
-# Exit codes of `submit --wait`; all are listed in the help of `kelpfront`.
-TASK_REFUSED = 3
-TASK_FAILED = 4
+# Exit codes of `submit --wait`; the help of `kelpfront` lists all of them.
+EXIT_TASK_REFUSED = 3
+EXIT_TASK_FAILED = 4
 
-ANSWER_GRACE_S = 10.0  # past the patience of a job, for the answer to come over
+ANSWER_GRACE_S = 10.0  # time after the patience of a job in which its answer may still arrive
 MS_PER_S = 1000.0
 
 
@@ -49,25 +49,30 @@
 @server_option
 @namespace_option
 @click.option(
-    "-f", "--file", type=click.Path(path_type=Path), help="A job as JSON or YAML; options go over it."
+    "-f",
+    "--file",
+    type=click.Path(path_type=Path),
+    help="File of a job, as JSON or YAML; options override it.",
+)
+@click.option("--name", help="Name of the job; generated if absent.")
+@click.option("--class", "class_", help="Class of the job's tasks.")
+@click.option("--service", help="Service that the tasks belong to.")
+@click.option("--cores", type=float, help="Cores that each task requests.")
+@click.option("--memory", type=float, help="Memory that each task requests.")
+@click.option("--count", type=int, help="Number of tasks.")
+@click.option("--patience", help="Maximum time to wait for each answer, such as 5s.")
+@click.option("--key", help="Idempotency key, for a keyed class.")
+@click.option(
+    "--token", help="Token that identifies the request: a repeat returns the first job. Generated if absent."
 )
-@click.option("--name", help="The job's name; made up if absent.")
-@click.option("--class", "class_", help="The class of its tasks.")
-@click.option("--service", help="The service that they belong to.")
-@click.option("--cores", type=float, help="Cores that each task asks for.")
-@click.option("--memory", type=float, help="Memory that each task asks for.")
-@click.option("--count", type=int, help="How many tasks.")
-@click.option("--patience", help="How long to wait for each answer, such as 5s.")
-@click.option("--key", help="Of a keyed class: what names the work.")
-@click.option("--token", help="Doing the same again with a token finds the first job; made up if absent.")
 @click.option("--label", "labels", multiple=True, metavar="KEY=VALUE")
-@click.option("--env", "env", multiple=True, metavar="NAME=VALUE", help="Of the tasks' environment.")
-@click.option("--workdir", help="Where the tasks run; a folder of their own if absent.")
-@click.option("--stop-grace", help="From SIGTERM to SIGKILL when stopped, such as 10s.")
+@click.option("--env", "env", multiple=True, metavar="NAME=VALUE", help="Environment variable of the tasks.")
+@click.option("--workdir", help="Working directory of the tasks; a new folder for each if absent.")
+@click.option("--stop-grace", help="Time between SIGTERM and SIGKILL when a task is stopped, such as 10s.")
 @click.argument("command", nargs=-1, metavar="[-- COMMAND...]")
-@click.option("--wait", is_flag=True, help="Follow the job until each task has its answer.")
+@click.option("--wait", is_flag=True, help="Wait until each task has its answer.")
 @output_option
-@run
+@async_command
 async def submit(
     server: str,
     namespace: str,
@@ -89,7 +94,7 @@
     wait: bool,
     output: str,
 ) -> None:
-    """Submit a job. What its tasks run on machines with an agent comes after `--`."""
+    """Submit a job. The command that its tasks run on machines with an agent follows `--`."""
     body = {} if file is None else _read_job(file)
     metadata = body.setdefault("metadata", {})
     spec = body.setdefault("spec", {})
@@ -126,9 +131,9 @@
     status = job["status"]
     answers = [task.get("answer") for task in status["tasks"]]
     if "Failed" in answers:
-        raise SystemExit(TASK_FAILED)
+        raise SystemExit(EXIT_TASK_FAILED)
     if status["counts"].get("refused"):
-        raise SystemExit(TASK_REFUSED)
+        raise SystemExit(EXIT_TASK_REFUSED)
 
 
 def _parse_pairs(texts: tuple[str, ...], option: str) -> dict[str, str]:
@@ -144,11 +149,11 @@
 @click.command()
 @server_option
 @namespace_option
-@click.option("--attempt", type=int, help="Of this attempt; of the last that was sent if absent.")
-@click.option("--tail-bytes", type=int, help="Only the last bytes.")
+@click.option("--attempt", type=int, help="Number of the attempt; the last that was sent if absent.")
+@click.option("--tail-bytes", type=int, help="Print only this many bytes from the end.")
 @click.argument("job")
 @click.argument("task", type=int, default=0)
-@run
+@async_command
 async def logs(
     server: str, namespace: str, attempt: int | None, tail_bytes: int | None, job: str, task: int
 ) -> None:
@@ -166,12 +171,12 @@
     except yaml.YAMLError as error:
         fail(f"{path}: is neither JSON nor YAML: {error}")
     if not isinstance(body, dict) or not isinstance(body.get("spec", {}), dict):
-        fail(f"{path}: a job is a mapping with a spec")
+        fail(f"{path}: a job is a mapping with a mapping `spec`")
     return body
 
 
 async def _follow(client: Client, job: Object, *, quiet: bool) -> Object:
-    """Return the job once all its tasks are answered; unless quiet, print their changes meanwhile."""
+    """Wait until all tasks of a job are answered and return the job; unless quiet, print their changes."""
     metadata = job["metadata"]
     patience_s = parse_duration(job["spec"]["patience"]) / MS_PER_S
     selector = f"metadata.name={metadata['name']}"
@@ -187,12 +192,12 @@
                 if job["status"]["answered"] == len(job["status"]["tasks"]):
                     return job
     except TimeoutError:
-        fail(f"job {metadata['name']}: no answer within its patience and {ANSWER_GRACE_S:g} s")
-    raise AssertionError  # a watch goes on until it is left
+        fail(f"job {metadata['name']}: no answer within its patience plus {ANSWER_GRACE_S:g} s")
+    raise AssertionError  # a watch does not end by itself
 
 
 def _print_changes(job: Object, printed: dict[int, str]) -> None:
-    """Print the tasks that are not as `printed` has them by index, and note them there."""
+    """Print the tasks that changed since `printed`, which holds the last text by index, and update it."""
     name = job["metadata"]["name"]
     for task in job["status"]["tasks"]:
         parts = [task["state"], task.get("machine"), task.get("reason")]
@@ -211,7 +216,7 @@
 @output_option
 @resource_argument
 @click.argument("name", required=False)
-@run
+@async_command
 async def get(
     server: str,
     namespace: str,
@@ -240,9 +245,9 @@
 @namespace_option
 @click.argument("resource", type=click.Choice(["job"]))
 @click.argument("name")
-@run
+@async_command
 async def describe(server: str, namespace: str, resource: str, name: str) -> None:
-    """Show a job with every attempt of its tasks: which machines were asked and what they said."""
+    """Show a job with every attempt of its tasks: the machine and the outcome."""
     async with Client(server) as client:
         job = await client.read(RESOURCES[resource], namespace, name)
     out = console()
@@ -260,10 +265,10 @@
 @labels_option
 @fields_option
 @output_option
-@click.option("--seconds", type=float, help="End after so long.")
+@click.option("--seconds", type=float, help="Exit after this many seconds.")
 @resource_argument
 @click.argument("name", required=False)
-@run
+@async_command
 async def watch(
     server: str,
     namespace: str,
@@ -275,7 +280,7 @@
     resource: str,
     name: str | None,
 ) -> None:
-    """Show jobs, machines or levels of service, and every change of them until Ctrl-C. Cuts are resumed."""
+    """Show jobs, machines or levels of service and their changes until Ctrl-C. Resumes after a disconnect."""
     kind = RESOURCES[resource]
     scope = namespace if kind.namespaced and not all_namespaces else None
     if name is not None:
@@ -306,9 +311,9 @@
 @namespace_option
 @click.argument("resource", type=click.Choice(["job", "jobs"]), expose_value=False)
 @click.argument("names", nargs=-1, required=True)
-@run
+@async_command
 async def delete(server: str, namespace: str, names: tuple[str, ...]) -> None:
-    """Remove jobs; tasks that run are stopped."""
+    """Delete jobs; their running tasks are stopped."""
     async with Client(server) as client:
         for name in names:
             await client.delete_job(namespace, name)
@@ -318,20 +323,20 @@
 @click.command()
 @server_option
 @click.argument("machine")
-@run
+@async_command
 async def drain(server: str, machine: str) -> None:
-    """Let a machine take no new work from this placer; each placer is told by itself."""
+    """Stop this placer from offering new work to a machine; other placers are not affected."""
     async with Client(server) as client:
-        drained = await client.set_unschedulable(machine, unschedulable=True)
-    click.echo(f"machine/{machine} {drained.status.state if drained.status else ''}")
+        updated = await client.set_unschedulable(machine, unschedulable=True)
+    click.echo(f"machine/{machine} {updated.status.state if updated.status else ''}")
 
 
 @click.command()
 @server_option
 @click.argument("machine")
-@run
+@async_command
 async def undrain(server: str, machine: str) -> None:
-    """Let a machine take work again."""
+    """Let this placer offer work to a machine again."""
     async with Client(server) as client:
-        drained = await client.set_unschedulable(machine, unschedulable=False)
-    click.echo(f"machine/{machine} {drained.status.state if drained.status else ''}")
+        updated = await client.set_unschedulable(machine, unschedulable=False)
+    click.echo(f"machine/{machine} {updated.status.state if updated.status else ''}")
--- a/kelpfront/cli/lab.py
+++ b/kelpfront/cli/lab.py
@@ -1,4 +1,4 @@
-"""Commands of the laboratory."""
+"""`kelpfront lab`: the commands of the laboratory, with those that run whole clusters or play scenarios."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @click.group()
 def lab() -> None:
-    """Experiments on the whole program, with processes on loopback."""
+    """Run experiments on the whole program, with processes on loopback or in virtual time."""
 
 
 POLICIES = ("rules", "random", "least-loaded", "no-guardrails", "perfect")
@@ -37,62 +37,66 @@
 
 
 @lab.command("agent-restarts")
-@click.option("--seed", default=1, show_default=True, help="Of all chance.")
-@click.option("--restarts", default=50, show_default=True, help="Kills of an agent, over all agents.")
-@click.option("--rate", default=40.0, show_default=True, help="Tasks a second.")
-@click.option("--seconds", default=60.0, show_default=True, help="How long work comes in.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random numbers.")
+@click.option("--restarts", default=50, show_default=True, help="Number of kills, over all agents.")
+@click.option("--rate", default=40.0, show_default=True, help="Tasks per second.")
+@click.option("--seconds", default=60.0, show_default=True, help="How long tasks are submitted, in seconds.")
 @click.option("--agents", default=2, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-@click.option("--keep", type=click.Path(path_type=Path), help="Leave what was written in this folder.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Keep the files of the run in this folder.")
 def agent_restarts(
     seed: int, restarts: int, rate: float, seconds: float, agents: int, as_json: bool, keep: Path | None
 ) -> None:
-    """Kill node agents again and again under load, and count from what the tasks themselves wrote.
+    """Kill node agents repeatedly under load, and check the starts and exits that the tasks recorded.
 
-    Exit code 1 if a task was lost or started twice, or an exit was not told.
+    Exit code 1 if a task was lost or started twice, or an exit was not reported.
     """
     from kelpfront.lab.restarts import Restarts, RestartsShape
     from kelpfront.logs import configure_logs
 
     configure_logs("warning", "auto")
     shape = RestartsShape(seed, restarts, rate, seconds, agents)
-    interactive = sys.stderr.isatty() or not as_json
+    shows_progress = sys.stderr.isatty() or not as_json
 
-    def say(text: str) -> None:
-        if interactive:
+    def print_progress(text: str) -> None:
+        if shows_progress:
             click.echo(text, err=True)
 
     with contextlib.ExitStack() as stack:
         if keep is None:
             keep = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="kelpfront-agents-")))
-        figures = asyncio.run(Restarts(shape, keep, say).run())
+        figures = asyncio.run(Restarts(shape, keep, print_progress).run())
     click.echo(json.dumps(figures, indent=None if as_json else 2))
     if any(figures[name] for name in ("lost", "duplicated", "unreported_exits", "violations")):
         raise SystemExit(1)
 
 
 @lab.command("fronts")
-@click.option("--tasks", default=2000, show_default=True, help="Tasks of the mix, by each way.")
-@click.option("--both", default=200, show_default=True, help="Unsafe jobs by both protocols at once.")
+@click.option("--tasks", default=2000, show_default=True, help="Tasks of the mix, for each client library.")
+@click.option(
+    "--both", default=200, show_default=True, help="Unsafe jobs submitted by both protocols at once."
+)
 @click.option("--machines", default=12, show_default=True)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--level", default="", help="Pin the placers to a level of reduced service, one job at a time.")
+@click.option(
+    "--level", default="", help="Pin the placers to this level of reduced service and send one job at a time."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def fronts(tasks: int, both: int, machines: int, seed: int, level: str, as_json: bool) -> None:
-    """Drive the same work through each client library and compare how it ends, task by task.
+    """Submit the same work through each client library and compare the outcome of each task.
 
-    Exit code 1 if an end differs, something started twice or an answer is missing.
+    Exit code 1 if an outcome differs, a task started twice or an answer is missing.
     """
     from kelpfront.lab.fronts import Fronts, FrontsShape
     from kelpfront.logs import configure_logs
 
     configure_logs("error", "auto")
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         if sys.stderr.isatty() or not as_json:
             click.echo(text, err=True)
 
-    figures = asyncio.run(Fronts(FrontsShape(seed, tasks, machines, both, level), say).run())
+    figures = asyncio.run(Fronts(FrontsShape(seed, tasks, machines, both, level), print_progress).run())
     click.echo(json.dumps(figures, indent=None if as_json else 2))
     if any(figures[name] for name in ("differences", "double_starts", "violations")):
         raise SystemExit(1)
@@ -100,15 +104,21 @@
 
 @lab.command("reconnect")
 @click.option("--clients", default=1000, show_default=True)
-@click.option("--spread", default=5.0, show_default=True, help="Seconds over which they are to come back.")
-@click.option("--down", default=1.0, show_default=True, help="Seconds until the placer is started again.")
+@click.option(
+    "--spread",
+    default=5.0,
+    show_default=True,
+    help="Seconds over which clients have to spread their reconnections.",
+)
+@click.option("--down", default=1.0, show_default=True, help="Seconds until the placer is restarted.")
 @click.option("--seed", default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def reconnect(clients: int, spread: float, down: float, seed: int, as_json: bool) -> None:
-    """Kill and restart a placer with many clients connected, half by each protocol, and see them come back.
+    """Kill and restart a placer with many connected clients, half per protocol, and check how they reconnect.
 
-    Exit code 1 if a try was made after its deadline, a client did not come back in the stated time, some
-    100 ms held more than three times its even share, or retries were more than their budget.
+    Exit code 1 if a retry came after its deadline, a client did not reconnect within twice --spread of the
+    restart, some 100 ms had more than three times their even share of reconnections, or retries exceeded
+    their budget.
     """
     from kelpfront.client.retry import RETRY_BURST, RETRY_SHARE
     from kelpfront.lab.process import raise_file_limit
@@ -118,29 +128,33 @@
     configure_logs("error", "auto")
     raise_file_limit()
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         if sys.stderr.isatty() or not as_json:
             click.echo(text, err=True)
 
     with tempfile.TemporaryDirectory(prefix="kelpfront-herd-") as folder:
         shape = HerdShape(seed, clients, spread, down)
-        figures = asyncio.run(Reconnect(shape, Path(folder), say).run())
+        figures = asyncio.run(Reconnect(shape, Path(folder), print_progress).run())
     click.echo(json.dumps(figures, indent=None if as_json else 2))
     over_budget = figures["retries"] > RETRY_SHARE * figures["first_tries"] + RETRY_BURST * clients
-    wrong = figures["retries_after_deadline"] or figures["within_interval"] < clients
-    if wrong or over_budget or figures["worst_100ms"] > 3:
+    has_late_clients = figures["retries_after_deadline"] or figures["within_interval"] < clients
+    if has_late_clients or over_budget or figures["worst_100ms"] > 3:
         raise SystemExit(1)
 
 
 @lab.command("levels")
 @click.option(
-    "--script", "scripts", multiple=True, help="A script's name, or demand-N; all scripts if absent."
+    "--script", "scripts", multiple=True, help="Name of a script, or demand-N; all scripts if absent."
 )
 @click.option("--scheme", "schemes", multiple=True, type=click.Choice(["levels", "off", "bound", "aimd"]))
-@click.option("--goodput", is_flag=True, help="Demand of 1, 2, 4 and 10 times what the fleet takes.")
+@click.option(
+    "--goodput", is_flag=True, help="Run with 1, 2, 4 and 10 times the demand that the fleet can handle."
+)
 @click.option("--seed", default=1, show_default=True)
-@click.option("--processes", default=os.cpu_count() or 1, show_default="one a core", help="Runs at a time.")
-@click.option("--plot", "plot_to", type=click.Path(path_type=Path), help="Draw worth and levels as PNG.")
+@click.option("--processes", default=os.cpu_count() or 1, show_default="one a core", help="Concurrent runs.")
+@click.option(
+    "--plot", "plot_to", type=click.Path(path_type=Path), help="Plot worth and levels to a PNG file."
+)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def levels(
     scripts: tuple[str, ...],
@@ -151,9 +165,9 @@
     plot_to: Path | None,
     as_json: bool,
 ) -> None:
-    """Judge levels of reduced service in virtual time, beside none and two textbook schemes.
+    """Compare levels of reduced service in virtual time with no levels and two textbook schemes.
 
-    Exit code 1 if a rule was broken, or levels changed more often than the script's limit.
+    Exit code 1 if a rule was broken, or levels changed more often than the script allows.
     """
     from kelpfront.lab.levels import SCHEMES, plot, run_all
     from kelpfront.lab.levelscripts import SCRIPTS
@@ -162,14 +176,14 @@
     names += [f"demand-{times}" for times in (1, 2, 4, 10)] if goodput else []
     for name in names:
         if name not in SCRIPTS and not re.fullmatch(r"demand-[0-9.]+", name):
-            fail(f"--script: {name!r} is not one of {', '.join(SCRIPTS)}, demand-N")
-    chosen = tuple(scheme for scheme in SCHEMES if not schemes or scheme in schemes)
+            fail(f"--script: {name!r} is not one of {', '.join(SCRIPTS)} or demand-N")
+    selected_schemes = tuple(scheme for scheme in SCHEMES if not schemes or scheme in schemes)
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         if sys.stderr.isatty() or not as_json:
             click.echo(text, err=True)
 
-    results = run_all(names, chosen, seed, say, processes)
+    results = run_all(names, selected_schemes, seed, print_progress, processes)
     if plot_to is not None:
         plot(results, plot_to)
     for result in results:
@@ -177,51 +191,51 @@
     if as_json:
         click.echo(json.dumps({"results": results}))
     else:
-        _levels_table(results)
-    if any(one["violations"] or one["changes"] > one["changes_most"] for one in results):
+        _print_levels_table(results)
+    if any(result["violations"] or result["changes"] > result["changes_most"] for result in results):
         raise SystemExit(1)
 
 
-def _levels_table(results: list[dict[str, Any]]) -> None:
-    columns = "SCRIPT SCHEME WORTH PLACED DEAR-IN-AIM DEAR-PLACED REFUSED-SOON CHANGES ENTER-S LEAVE-S BROKEN"
+def _print_levels_table(results: list[dict[str, Any]]) -> None:
+    columns = "SCRIPT SCHEME WORTH PLACED TOP-IN-AIM TOP-PLACED REFUSED-SOON CHANGES ENTER-S LEAVE-S BROKEN"
     table = plain_table(*columns.split())
-    for one in results:
+    for result in results:
         table.add_row(
-            one["script"],
-            one["scheme"],
-            str(one["worth"]),
-            f"{one['placed']}/{one['asked']}",
-            f"{one['dear_in_aim']:.1%}",
-            f"{one['dear_placed']:.1%}",
-            f"{one['refused_soon']:.0%}",
-            f"{one['changes']}/{one['changes_most']:g}",
-            " ".join(map(str, one["enter_s"])),
-            " ".join(map(str, one["leave_s"])),
-            str(one["violations"]),
+            result["script"],
+            result["scheme"],
+            str(result["worth"]),
+            f"{result['placed']}/{result['asked']}",
+            f"{result['dear_in_aim']:.1%}",
+            f"{result['dear_placed']:.1%}",
+            f"{result['refused_soon']:.0%}",
+            f"{result['changes']}/{result['changes_most']:g}",
+            " ".join(map(str, result["enter_s"])),
+            " ".join(map(str, result["leave_s"])),
+            str(result["violations"]),
         )
     console().print(table)
 
 
-# ---- Virtual time -----------------------------------------------------------------------------------------
+# ---- Days played in virtual time --------------------------------------------------------------------------
 
 
 def _read_day(name: str, changes: tuple[str, ...] = ()) -> Day:
-    """A day of the laboratory's own by name, or of a file; with FIELD=VALUE put over its fields."""
+    """Return a built-in day by its name, or the day of a file, with its fields overridden by FIELD=VALUE."""
     from kelpfront.lab.timeline.script import ScriptError, read_day
 
     try:
         text = day_text(name)
-        return read_day(_changed(text, changes), str(name))
+        return read_day(_override_fields(text, changes), str(name))
     except OSError as error:
-        fail(f"{name}: {error.strerror}; a file, or one of {', '.join(_own_days())}")
+        fail(f"{name}: {error.strerror}; expected a file or one of {', '.join(_builtin_days())}")
     except UnicodeDecodeError as error:
         fail(f"{name}: is not UTF-8: {error.reason}")
     except ScriptError as error:
         fail(str(error))
 
 
-def _changed(text: str, changes: tuple[str, ...]) -> str:
-    """A day's YAML with FIELD=VALUE put over its fields; what is no YAML is left for its reader to tell."""
+def _override_fields(text: str, changes: tuple[str, ...]) -> str:
+    """Return the YAML of a day with its fields overridden by FIELD=VALUE; without any, the same text."""
     import yaml
 
     if not changes:
@@ -229,8 +243,8 @@
     try:
         data = yaml.safe_load(text)
         for change in changes:
-            field, mark, value = change.partition("=")
-            if not mark or not isinstance(data, dict):
+            field, equals, value = change.partition("=")
+            if not equals or not isinstance(data, dict):
                 fail(f"--day: {change!r} is not FIELD=VALUE")
             data[field] = yaml.safe_load(value)
     except yaml.YAMLError as error:
@@ -238,18 +252,20 @@
     return yaml.safe_dump(data, sort_keys=False)
 
 
-def _own_days() -> list[str]:
+def _builtin_days() -> list[str]:
     return sorted(path.stem for path in (Path(__file__).parent.parent / "lab" / "days").glob("*.yaml"))
 
 
 @lab.command("emulate")
 @click.argument("day")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--log", is_flag=True, help="Show what the program logs, with virtual seconds.")
+@click.option("--log", is_flag=True, help="Print the log of the program, with virtual seconds.")
 @click.option("--policy", type=click.Choice(POLICIES), default="rules", show_default=True)
 @set_option
-@click.option("--sockets", is_flag=True, help="In real time, on sockets of this host; decided by the rules.")
-@click.option("--day", "changes", multiple=True, metavar="FIELD=VALUE", help="Put over a field of the day.")
+@click.option(
+    "--sockets", is_flag=True, help="Play in real time, on sockets of this host, with the policy `rules`."
+)
+@click.option("--day", "changes", multiple=True, metavar="FIELD=VALUE", help="Override a field of the day.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def emulate_day(
     day: str,
@@ -263,7 +279,7 @@
 ) -> None:
     """Play a day in virtual time: real placers, machines and clients on a network in memory.
 
-    DAY is a file, or one of the laboratory's own: bad, calm, clocks, kinds, partition, rolling, room,
+    DAY is a file, or one of the built-in days: bad, calm, clocks, kinds, partition, rolling, room,
     silent, stalled. The same day and seed give the same digest on every machine. Exit code 1 if a rule was
     broken.
     """
@@ -271,10 +287,10 @@
     from kelpfront.lab.policies import controller_for
     from kelpfront.lab.timeline.emulation import play
 
-    def show(line: dict[str, Any]) -> None:
+    def print_log_line(line: dict[str, Any]) -> None:
         click.echo(json.dumps(line), err=True)
 
-    its = _read_day(day, changes)
+    loaded_day = _read_day(day, changes)
     if sockets:
         from kelpfront.lab.timeline.script import ScriptError
         from kelpfront.lab.timeline.sockets import play_on_sockets
@@ -282,24 +298,27 @@
 
         configure_logs("error", "auto")
         try:
-            figures = play_on_sockets(its, seed)
+            figures = play_on_sockets(loaded_day, seed)
         except ScriptError as error:
             fail(str(error))
         click.echo(json.dumps(figures, indent=None if as_json else 2))
         if figures["violations"]:
             raise SystemExit(1)
         return
-    began = time.perf_counter()
+    started_s = time.perf_counter()
     try:
-        played = play(its, seed, show if log else None, controller_for(policy), overrides)
+        played = play(loaded_day, seed, print_log_line if log else None, controller_for(policy), overrides)
     except ConfigError as error:
         fail(f"--set: {error}")
     figures = played.figures
-    took, virtual = time.perf_counter() - began, its.seconds + its.settle_s
+    elapsed_s, virtual_s = time.perf_counter() - started_s, loaded_day.seconds + loaded_day.settle_s
     for text in played.blocked:
-        click.echo(f"a callback blocked the loop for {text}", err=True)
-    peak = getrusage(RUSAGE_SELF).ru_maxrss / 1024
-    click.echo(f"{virtual:g} virtual s in {took:.1f} s ({virtual / took:.2f} a s), {peak:.0f} MiB", err=True)
+        click.echo(f"a callback blocked the event loop for {text}", err=True)
+    peak_mib = getrusage(RUSAGE_SELF).ru_maxrss / 1024
+    click.echo(
+        f"{virtual_s:g} virtual s in {elapsed_s:.1f} s ({virtual_s / elapsed_s:.2f}/s), {peak_mib:.0f} MiB",
+        err=True,
+    )
     click.echo(json.dumps(figures, indent=None if as_json else 2))
     if figures["violations"] or figures["reached_outside"]:
         raise SystemExit(1)
@@ -307,19 +326,19 @@
 
 @lab.group("script")
 def script() -> None:
-    """Days for `lab emulate`: YAML files."""
+    """Check days for `lab emulate`, which are YAML files, or print their schema."""
 
 
 @script.command("check")
 @click.argument("files", nargs=-1, required=True)
 def check_script(files: tuple[str, ...]) -> None:
-    """Check days without playing them; every problem is named with its place."""
+    """Check days without playing them; print problems with their position."""
     for name in files:
         day = _read_day(name)
-        its = day.script
+        fields = day.script
         click.echo(
-            f"{name}: {its.seconds:g} s, {its.machines} machines, {its.placers} placers, "
-            f"{len(its.faults)} faults, {len(its.kills)} kills, {len(its.partitions)} partitions"
+            f"{name}: {fields.seconds:g} s, {fields.machines} machines, {fields.placers} placers, "
+            f"{len(fields.faults)} faults, {len(fields.kills)} kills, {len(fields.partitions)} partitions"
         )
 
 
@@ -334,14 +353,14 @@
 @lab.command("bound")
 @click.argument("day")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--slot", default=500.0, show_default=True, help="Milliseconds of one step of time.")
-@click.option("--exact", is_flag=True, help="Single machines and whole tasks; for short days only.")
+@click.option("--slot", default=500.0, show_default=True, help="Length of one time step in milliseconds.")
+@click.option("--exact", is_flag=True, help="Model single machines and whole tasks; for short days only.")
 @click.option("--policy", type=click.Choice(POLICIES), default="rules", show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def bound(day: str, seed: int, slot: float, exact: bool, policy: str, as_json: bool) -> None:
-    """Play DAY and say how far its worth is from the best that an optimiser finds with hindsight.
+    """Play DAY and compare its worth with the optimum that an optimiser finds with hindsight.
 
-    The bound errs to the high side: no placer can reach it, since it knows what will come and go.
+    The bound is an overestimate: no placer can reach it, since the optimiser knows all future events.
     """
     from kelpfront.lab.bound import BoundError, best, machines_of, work_of
     from kelpfront.lab.policies import controller_for
@@ -350,23 +369,25 @@
     if not 10.0 <= slot <= 60_000.0:
         fail(f"--slot: {slot:g} is not between 10 and 60000")
     played = play(_read_day(day), seed, controller_class=controller_for(policy))
-    work = work_of(played.lines, played.config, 1.0, 1.0)
+    requested_work = work_of(played.lines, played.config, 1.0, 1.0)
     try:
-        found = best(work, machines_of(played.lines, played.config), slot, "exact" if exact else "pool")
+        optimum = best(
+            requested_work, machines_of(played.lines, played.config), slot, "exact" if exact else "pool"
+        )
     except BoundError as error:
         fail(str(error))
-    reached = played.figures["measures"]["worth"]
+    achieved_worth = played.figures["measures"]["worth"]
     figures = {
         "day": played.figures["day"],
         "policy": policy,
         "seed": seed,
-        "worth": round(reached),
-        "bound": round(found.worth),
-        "share": round(reached / found.worth, 4) if found.worth else 1.0,
+        "worth": round(achieved_worth),
+        "bound": round(optimum.worth),
+        "share": round(achieved_worth / optimum.worth, 4) if optimum.worth else 1.0,
         "placed": played.figures["answers"].get("Placed", 0),
-        "bound_placed": round(found.placed, 1),
-        "asked": len(work),
-        "variables": found.variables,
+        "bound_placed": round(optimum.placed, 1),
+        "asked": len(requested_work),
+        "variables": optimum.variables,
     }
     click.echo(json.dumps(figures, indent=None if as_json else 2))
 
@@ -375,39 +396,41 @@
 @click.argument(
     "files", nargs=-1, required=True, type=click.Path(path_type=Path, exists=True, dir_okay=False)
 )
-@click.option("--slowest", default=3, show_default=True, help="Of those that were placed.")
-@click.option("--failed", default=3, show_default=True, help="Of those that were refused, failed or lost.")
-@click.option("--task", default="", help="Only this one, by its uid.")
+@click.option("--slowest", default=3, show_default=True, help="Number of the slowest placed tasks to show.")
+@click.option(
+    "--failed", default=3, show_default=True, help="Number of refused, failed or lost tasks to show."
+)
+@click.option("--task", default="", help="Show only the task with this uid.")
 def traces(files: tuple[Path, ...], slowest: int, failed: int, task: str) -> None:
-    """Show traces of tasks that a placer wrote ([tracing] file) as waterfalls: where their time went.
+    """Show traces of tasks that a placer wrote ([tracing] file) as waterfalls of how their time was spent.
 
-    Bars are to the scale of the time to the answer; times are milliseconds from the submission.
+    Bars are scaled to the time to the answer; times are milliseconds from the submission.
     """
     from kelpfront.lab.traces import TracesError, chosen, read_traces, waterfall
 
     try:
-        found = read_traces(files)
+        all_traces = read_traces(files)
     except TracesError as error:
         fail(str(error))
-    shown = chosen(found, slowest, failed, task)
-    if not shown:
+    selected = chosen(all_traces, slowest, failed, task)
+    if not selected:
         fail("no trace of that task" if task else "no traces in these files")
-    for one in shown:
-        table = plain_table("WHAT", "MS", "")
-        for row in waterfall(one):
+    for trace in selected:
+        table = plain_table("SPAN", "MS", "")
+        for row in waterfall(trace):
             table.add_row(*row)
         console().print(table)
         click.echo()
 
 
 @lab.command("search")
-@click.option("--runs", default=100, show_default=True, help="Random days, one a seed.")
-@click.option("--seed", default=1, show_default=True, help="The first.")
-@click.option("--wrong", default="", help="Search with a placer that is wrong on purpose, by its name.")
-@click.option("--planted", is_flag=True, help="Say after how many runs each wrong placer is found.")
+@click.option("--runs", default=100, show_default=True, help="Number of random days, each with its own seed.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the first day.")
+@click.option("--wrong", default="", help="Name of a deliberately faulty placer to search with.")
+@click.option("--planted", is_flag=True, help="Report after how many runs each faulty placer is detected.")
 @click.option("--processes", default=os.cpu_count() or 1, show_default="one a core")
-@click.option("--most", default=5, show_default=True, help="Stop at so many days that break a rule.")
-@click.option("--keep", type=click.Path(path_type=Path), help="Write these days, made small, to a folder.")
+@click.option("--most", default=5, show_default=True, help="Stop after this many days that break a rule.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Write these days, minimised, to a folder.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 def search_days(
     runs: int,
@@ -419,35 +442,43 @@
     keep: Path | None,
     as_json: bool,
 ) -> None:
-    """Play random days in virtual time and judge each by the rules; what fails is made small.
+    """Play random days in virtual time, check each against the rules and minimise those that break one.
 
-    Exit code 1 if a day broke a rule; with --planted, if a wrong placer was not found.
+    Exit code 1 if a day broke a rule; with --planted, if a faulty placer was not detected.
     """
     from kelpfront.lab.timeline.search import find_all_planted, search
-    from kelpfront.lab.timeline.search import keep as keep_day
+    from kelpfront.lab.timeline.search import keep as write_day
     from kelpfront.lab.wrongplacers import WRONG
 
     if wrong and wrong not in WRONG:
         fail(f"--wrong: {wrong!r} is not one of {', '.join(WRONG)}")
 
-    def say(text: str) -> None:
+    def print_progress(text: str) -> None:
         if sys.stderr.isatty() or not as_json:
             click.echo(text, err=True)
 
     if planted:
-        every = find_all_planted(seed, runs, processes, say)
-        click.echo(json.dumps([{"name": p.name, "runs": p.runs, "rule": p.rule} for p in every]))
-        if any(p.runs is None for p in every):
+        detections = find_all_planted(seed, runs, processes, print_progress)
+        click.echo(
+            json.dumps([{"name": found.name, "runs": found.runs, "rule": found.rule} for found in detections])
+        )
+        if any(found.runs is None for found in detections):
             raise SystemExit(1)
         return
-    done, found = search(seed, runs, wrong, processes, most, say)
-    for one in found:
+    run_count, violating_days = search(seed, runs, wrong, processes, most, print_progress)
+    for violating_day in violating_days:
         if keep is not None:
-            click.echo(f"kept as {keep_day(one, keep)}", err=True)
+            click.echo(f"kept as {write_day(violating_day, keep)}", err=True)
     days = [
-        {"seed": one.seed, "rule": one.rule, "example": one.example, "shrunk_in": one.runs, "day": one.data}
-        for one in found
+        {
+            "seed": found.seed,
+            "rule": found.rule,
+            "example": found.example,
+            "shrunk_in": found.runs,
+            "day": found.data,
+        }
+        for found in violating_days
     ]
-    click.echo(json.dumps({"runs": done, "found": days}, indent=None if as_json else 2))
-    if found:
+    click.echo(json.dumps({"runs": run_count, "found": days}, indent=None if as_json else 2))
+    if violating_days:
         raise SystemExit(1)
--- a/kelpfront/cli/levels.py
+++ b/kelpfront/cli/levels.py
@@ -1,6 +1,6 @@
-"""Commands about levels of reduced service, and a placer's status at a glance.
+"""Commands for levels of reduced service, and a summary of a placer's status.
 
-When a placer changes its level is left to `kelpfront.degradation`.
+`kelpfront.degradation` decides when a placer changes its level.
 """
 
 from __future__ import annotations
@@ -12,7 +12,14 @@
 import click
 
 from kelpfront.api.meta import JOBS, LEVELS, MACHINES, Object
-from kelpfront.cli.common import console, output_option, plain_table, print_objects, run, server_option
+from kelpfront.cli.common import (
+    async_command,
+    console,
+    output_option,
+    plain_table,
+    print_objects,
+    server_option,
+)
 from kelpfront.client import Client
 from kelpfront.degradation import Level
 from kelpfront.units import format_duration, parse_duration
@@ -20,11 +27,11 @@
 LEVEL_NAMES = [level.api_name for level in Level]
 
 
-async def _level(client: Client) -> Object:
-    """The one level that a placer serves: its own."""
+async def _read_level(client: Client) -> Object:
+    """Return the only level object that a placer serves: its own."""
     objects, _ = await client.list_objects(LEVELS, None, "", "")
     if not objects:
-        raise click.ClickException("the placer does not tell a level yet")
+        raise click.ClickException("the placer does not report its level yet")
     return objects[0]
 
 
@@ -36,22 +43,22 @@
         style = "red"
     out.print(f"[bold]{level['metadata']['name']}[/]  [{style}]{status['level']}[/]  since {status['since']}")
     out.print(f"  {status['meaning']}")
-    out.print(f"  because: {status['why']}")
+    out.print(f"  reason: {status['why']}")
 
 
 @click.group()
 def levels() -> None:
-    """Levels of reduced service: why a placer is at its level, and holding one for a time."""
+    """Explain the level of reduced service of a placer, or pin a level for a time."""
 
 
 @levels.command()
 @server_option
 @output_option
-@run
+@async_command
 async def explain(server: str, output: str) -> None:
-    """Say what is given up now, why, and what would have to change to leave the level."""
+    """Explain which service is reduced now, why, and what has to change to leave the level."""
     async with Client(server) as client:
-        level = await _level(client)
+        level = await _read_level(client)
     if output != "table":
         print_objects(output, [level], lambda: plain_table(), one=True)
         return
@@ -59,9 +66,9 @@
     status = level["status"]
     out = console()
     for title, key in (
-        ("given up", "givenUp"),
-        ("to leave it", "leavesWhen"),
-        ("over a bound now", "calls"),
+        ("reduced", "givenUp"),
+        ("left when", "leavesWhen"),
+        ("limits exceeded now", "calls"),
     ):
         if lines := status.get(key):
             out.print(f"  {title}:")
@@ -80,46 +87,46 @@
 @levels.command()
 @server_option
 @click.argument("level", type=click.Choice(LEVEL_NAMES))
-@click.option("--for", "for_", default="10m", show_default=True, help="How long, such as 30m.")
-@run
+@click.option("--for", "for_", default="10m", show_default=True, help="Duration, such as 30m.")
+@async_command
 async def pin(server: str, level: str, for_: str) -> None:
-    """Hold a level for a time, whatever the placer sees. Each placer is told by itself."""
+    """Pin this placer to a level for a time, whatever its load; other placers are not affected."""
     try:
-        for_ms = parse_duration(for_)
+        duration_ms = parse_duration(for_)
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="--for") from None
-    await _pin(server, {"level": level, "for": format_duration(for_ms)})
+    await _set_pin(server, {"level": level, "for": format_duration(duration_ms)})
 
 
 @levels.command()
 @server_option
-@run
+@async_command
 async def unpin(server: str) -> None:
-    """Take a pin back: the placer goes by what it sees again."""
-    await _pin(server, None)
+    """Remove a pin, so that the placer chooses its level by its load again."""
+    await _set_pin(server, None)
 
 
-async def _pin(server: str, wanted: Object | None) -> None:
+async def _set_pin(server: str, pin_spec: Object | None) -> None:
     async with Client(server) as client:
-        name = (await _level(client))["metadata"]["name"]
-        its = await client.patch(LEVELS, None, name, {"spec": {"pin": wanted}})
-    until = its["status"].get("pinnedUntil")
-    click.echo(f"level/{name} {its['status']['level']}" + (f", pinned until {until}" if until else ""))
+        name = (await _read_level(client))["metadata"]["name"]
+        updated = await client.patch(LEVELS, None, name, {"spec": {"pin": pin_spec}})
+    until = updated["status"].get("pinnedUntil")
+    click.echo(f"level/{name} {updated['status']['level']}" + (f", pinned until {until}" if until else ""))
 
 
 @click.command()
 @server_option
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
-@run
+@async_command
 async def status(server: str, as_json: bool) -> None:
-    """Show a placer at a glance: its level of service, its machines and its jobs."""
+    """Show a summary of a placer: its level of service, its machines and its jobs."""
     async with Client(server) as client:
-        level = await _level(client)
+        level = await _read_level(client)
         machines, _ = await client.list_objects(MACHINES, None, "", "")
         jobs, _ = await client.list_objects(JOBS, None, "", "")
     states: Counter[str] = Counter(machine["status"]["state"] for machine in machines)
     phases: Counter[str] = Counter(job["status"]["phase"] for job in jobs)
-    waiting = sum(cls["waiting"] for cls in level["status"]["classes"])
+    waiting = sum(task_class["waiting"] for task_class in level["status"]["classes"])
     summary: dict[str, Any] = {
         "placer": level["metadata"]["name"],
         "level": level["status"]["level"],
@@ -140,8 +147,8 @@
     for title, counts in (
         ("machines", states),
         ("jobs", phases),
-        ("turned away", summary["turnedAway"]),
+        ("rejected", summary["turnedAway"]),
     ):
         text = ", ".join(f"{count} {name}" for name, count in sorted(counts.items())) or "none"
         click.echo(f"  {title:<12} {text}")
-    click.echo(f"  {'tasks':<12} {waiting} wait for their answer")
+    click.echo(f"  {'tasks':<12} {waiting} waiting for an answer")
--- a/kelpfront/cli/main.py
+++ b/kelpfront/cli/main.py
@@ -1,6 +1,6 @@
-"""`kelpfront`: the group of all commands, and where each of them is.
+"""`kelpfront`: the group of all commands, and the module that each is imported from.
 
-The commands themselves are left to the other modules of this package.
+The other modules of this package define the commands.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 
 import click
 
-# `MODULE:ATTRIBUTE` of each command, in the order of the help. They are imported when called, so that
-# `kelpfront get` need not load the service.
+# `MODULE:ATTRIBUTE` of each command, in the order of the help. A command is imported only when it is called,
+# so that `kelpfront get` does not load the service.
 COMMANDS = {
     "serve": "kelpfront.cli.serve:serve",
     "machines": "kelpfront.cli.serve:machines",
@@ -38,9 +38,9 @@
 EXIT_CODES = """
 \b
 Exit codes:
-  0  done; for `submit --wait`: every task was placed
-  1  not done: an error of the server, a fault in a file, a rule broken
-  2  wrong use of the command line
+  0  success; for `submit --wait`: every task was placed
+  1  failure: an error of the placer, an invalid file, a broken rule
+  2  invalid arguments
   3  `submit --wait`: a task was refused, none failed
   4  `submit --wait`: a task failed
   5  the placer could not be reached
@@ -55,7 +55,7 @@
         return list(COMMANDS)
 
     def get_command(self, _ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import a command; None if there is none of this name."""
+        """Import and return a command; None if no command has this name."""
         location = COMMANDS.get(cmd_name)
         if location is None:
             return None
--- a/kelpfront/cli/platform.py
+++ b/kelpfront/cli/platform.py
@@ -1,6 +1,6 @@
-"""`kelpfront platform`: a placer in service on a platform.
+"""`kelpfront platform`: runs a placer on a platform.
 
-The program itself is `python -m kelpfront.platform`.
+The program is `python -m kelpfront.platform`.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
     type=click.Path(dir_okay=False, path_type=Path),
     envvar="LB_CONFIG",
     required=True,
-    help="The platform's configuration file (JSON); LB_CONFIG names it too.",
+    help="The platform's configuration file (JSON); also read from LB_CONFIG.",
 )
 def platform(path: Path) -> None:
-    """Serve owners as the platform prescribes, until SIGTERM; SIGHUP reads the configuration anew."""
+    """Serve owners over the protocol of the platform until SIGTERM; SIGHUP reloads the configuration."""
     from kelpfront.platform.__main__ import serve
 
     sys.exit(serve(path))
--- a/kelpfront/cli/rehearse.py
+++ b/kelpfront/cli/rehearse.py
@@ -1,6 +1,6 @@
-"""`kelpfront bad-day` and `kelpfront demo`: the whole program on loopback, once.
+"""`kelpfront bad-day` and `kelpfront demo`: run a whole cluster on loopback.
 
-Playing and judging is left to `kelpfront.lab`.
+`kelpfront.lab` runs the clusters and checks the rules.
 """
 
 from __future__ import annotations
@@ -12,29 +12,34 @@
 
 from kelpfront.cli.common import console, fail, print_figures, progress_printer, require_lab_packages
 
-MAX_PRINTED_VIOLATIONS = 20  # more would hide the figures above them
+MAX_PRINTED_VIOLATIONS = 20  # more would scroll the figures off the screen
 
 
 @click.command("bad-day")
-@click.option("--seed", default=1, show_default=True, help="Of the script and of all chance.")
+@click.option("--seed", default=1, show_default=True, help="Seed of the script and of all random numbers.")
 @click.option("--placers", default=4, show_default=True)
 @click.option("--machines", default=24, show_default=True)
-@click.option("--rate", default=40.0, show_default=True, help="Tasks a second.")
-@click.option("--seconds", default=40.0, show_default=True, help="How long work comes in.")
-@click.option("--agents", default=0, show_default=True, help="Machines that are node agents, not stand-ins.")
+@click.option("--rate", default=40.0, show_default=True, help="Tasks per second.")
+@click.option("--seconds", default=40.0, show_default=True, help="How long tasks are submitted, in seconds.")
+@click.option(
+    "--agents",
+    default=0,
+    show_default=True,
+    help="Number of machines that run a node agent in place of a stand-in.",
+)
 @click.option(
     "--protocol",
     type=click.Choice(["http", "grpc"]),
     default="http",
     show_default=True,
-    help="What stand-ins speak to placers.",
+    help="Protocol between stand-ins and placers.",
 )
-@click.option("--quiet-day", is_flag=True, help="Nothing goes wrong: for measuring.")
-@click.option("--wrong", default="", help="Plant a placer that is wrong on purpose, by its name.")
-@click.option("--model", "model_text", default="{}", help="How the stand-ins behave, as JSON.")
+@click.option("--quiet-day", is_flag=True, help="Inject no faults, for measurements.")
+@click.option("--wrong", default="", help="Name of a deliberately faulty placer to run.")
+@click.option("--model", "model_text", default="{}", help="Behaviour of the stand-ins, as JSON.")
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 @click.option(
-    "--keep", type=click.Path(path_type=Path), help="Leave the recording and the logs in this folder."
+    "--keep", type=click.Path(path_type=Path), help="Keep the recording and the logs in this folder."
 )
 def bad_day(
     seed: int,
@@ -50,11 +55,11 @@
     as_json: bool,
     keep: Path | None,
 ) -> None:
-    """Play a scripted bad day on loopback and judge it by the five rules.
+    """Play a scripted day of faults on loopback and check it against the five rules.
 
-    Placers, stand-in machines and owners run as processes of their own. What goes over the sockets on the
-    machines' and owners' side is recorded, and judged from that alone. Exit code 1 if a rule was broken or a
-    task was left without its answer.
+    Placers, stand-in machines and owners run as separate processes. The check uses only a recording of the
+    messages on the machines' and owners' sockets. Exit code 1 if a rule was broken or a task was left without
+    an answer.
     """
     import msgspec
 
@@ -95,9 +100,9 @@
 
 
 @click.command()
-@click.option("--keep", is_flag=True, help="Leave it up, and print its URL, until Ctrl-C.")
+@click.option("--keep", is_flag=True, help="Keep the cluster running until Ctrl-C, and print its URL.")
 def demo(keep: bool) -> None:
-    """Run a small cluster on loopback: a job is placed and followed."""
+    """Run a small cluster on loopback, submit a job and follow it."""
     from kelpfront.api.meta import JOBS, MACHINES
     from kelpfront.cli.tables import objects_table
     from kelpfront.client import Client
--- a/kelpfront/cli/serve.py
+++ b/kelpfront/cli/serve.py
@@ -1,6 +1,6 @@
-"""`kelpfront serve` and `kelpfront machines`: a placer, or stand-in machines for rehearsal, until a signal.
+"""`kelpfront serve` and `kelpfront machines`: run a placer, or stand-in machines for tests, until a signal.
 
-The programs themselves are left to `kelpfront.service` and `kelpfront.lab.standins`.
+`kelpfront.service` implements the placer, `kelpfront.lab.standins` the stand-in machines.
 """
 
 from __future__ import annotations
@@ -26,18 +26,22 @@
     from kelpfront.lab.standins import Fault, Fleet
     from kelpfront.service.placer import PlacerService
 
-RECORDING_FLUSH_S = 0.5  # how much of a recording may be lost with the process
+RECORDING_FLUSH_S = 0.5  # time between two flushes: what a crash may lose of a recording
 
 
 @click.command()
 @config_option
 @set_option
-@click.option("--inventory", type=click.Path(path_type=Path), help="In place of the settings' inventory.")
+@click.option(
+    "--inventory",
+    type=click.Path(path_type=Path),
+    help="Inventory file to use in place of the one in the settings.",
+)
 def serve(config_path: Path, overrides: tuple[str, ...], inventory: Path | None) -> None:
     """Run a placer until SIGTERM or Ctrl-C.
 
-    It then takes no more jobs, answers those that it has, and ends with 0. The line with its URL goes to
-    standard output, the log to standard error.
+    The placer then accepts no more jobs, answers those that it has, and exits with 0. Prints a line with
+    its URL to standard output and logs to standard error.
     """
     from kelpfront.logs import configure_logs
     from kelpfront.service.inventory_reload import load_inventory
@@ -45,9 +49,9 @@
 
     settings = load_config(config_path, overrides)
     if settings.placer.grpc is not None and importlib.util.find_spec("grpc") is None:
-        fail("[placer] grpc: the gRPC API needs more packages: pip install 'kelpfront[grpc]'")
+        fail("[placer] grpc: the gRPC API needs additional packages: pip install 'kelpfront[grpc]'")
     if settings.tracing.file is not None and importlib.util.find_spec("opentelemetry") is None:
-        fail("[tracing] file: tracing needs more packages: pip install 'kelpfront[tracing]'")
+        fail("[tracing] file: tracing needs additional packages: pip install 'kelpfront[tracing]'")
     settings = _with_inventory(settings, inventory or config_path.parent / settings.placer.inventory)
     configure_logs(settings.log.level, settings.log.format, placer=settings.placer.name)
     try:
@@ -72,36 +76,46 @@
 
 def addresses(service: PlacerService) -> dict[str, str]:
     """Return the URLs and targets at which a placer is reached, as `serve` prints them."""
-    found = {"url": service.url}
+    urls = {"url": service.url}
     if service.grpc_target:
-        found["grpc"] = service.grpc_target
-    return found
+        urls["grpc"] = service.grpc_target
+    return urls
 
 
 @click.command()
 @config_option
 @set_option
-@click.option("--inventory", type=click.Path(path_type=Path), help="In place of the settings' inventory.")
-@click.option("--room", "rooms", multiple=True, help="Only machines of this room; may be given again.")
+@click.option(
+    "--inventory",
+    type=click.Path(path_type=Path),
+    help="Inventory file to use in place of the one in the settings.",
+)
+@click.option("--room", "rooms", multiple=True, help="Run only the machines of this room; may be repeated.")
 @click.option(
     "--write-inventory",
     type=click.Path(path_type=Path),
-    help="Serve on free ports of 127.0.0.1 and write an inventory with them.",
+    help="Listen on free ports of 127.0.0.1 and write an inventory with them.",
+)
+@click.option("--model", "model_text", default="{}", help="Behaviour of the stand-ins, as JSON.")
+@click.option(
+    "--faults", "faults_path", type=click.Path(path_type=Path), help="File of faults by time, as JSON."
+)
+@click.option(
+    "--record", type=click.Path(path_type=Path), help="File for a recording of the messages on the sockets."
 )
-@click.option("--model", "model_text", default="{}", help="How the stand-ins behave, as JSON.")
-@click.option("--faults", "faults_path", type=click.Path(path_type=Path), help="Faults by time, as JSON.")
-@click.option("--record", type=click.Path(path_type=Path), help="Write what goes over the sockets here.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--cold", is_flag=True, help="They have just come up.")
+@click.option("--cold", is_flag=True, help="Start the machines in slow start.")
 @click.option(
-    "--copies", type=click.Path(path_type=Path), help="A folder shared with node agents of their rooms."
+    "--copies",
+    type=click.Path(path_type=Path),
+    help="Folder of idempotency keys, shared with the node agents of the same rooms.",
 )
 @click.option(
     "--protocol",
     type=click.Choice(["http", "grpc"]),
     default="http",
     show_default=True,
-    help="Spoken to placers.",
+    help="Protocol between machines and placers.",
 )
 def machines(
     config_path: Path,
@@ -117,7 +131,7 @@
     copies: Path | None,
     protocol: Literal["http", "grpc"],
 ) -> None:
-    """Run stand-in machines, for rehearsal: the real protocol, simulated tasks, scripted faults."""
+    """Run stand-in machines for tests: the real protocol, simulated tasks, scripted faults."""
     from kelpfront.agent.idempotency_records import FileIdempotencyRecords
     from kelpfront.clock import CommonClock
     from kelpfront.inventory import Inventory
@@ -144,15 +158,17 @@
     async def run() -> None:
         stop = _stop_on_signals()
         recorder = Recorder("machines", record)
-        board = None if copies is None else FileIdempotencyRecords(copies)
-        fleet = Fleet(settings, hosts, model, seed, CommonClock().now, recorder, board, protocol)
+        idempotency_records = None if copies is None else FileIdempotencyRecords(copies)
+        fleet = Fleet(
+            settings, hosts, model, seed, CommonClock().now, recorder, idempotency_records, protocol
+        )
         ports = None
         if write_inventory is None:
             ports = {host.name: int(host.address.rpartition(":")[2]) for host in hosts}
-        addressed = await fleet.start(ports, cold)
+        listening_hosts = await fleet.start(ports, cold)
         if write_inventory is not None:
-            write_csv(write_inventory, Inventory("", {host.name: host for host in addressed}))
-        click.echo(json.dumps({"machines": len(addressed)}))
+            write_csv(write_inventory, Inventory("", {host.name: host for host in listening_hosts}))
+        click.echo(json.dumps({"machines": len(listening_hosts)}))
         sys.stdout.flush()
         await _play_faults(fleet, faults, recorder, stop)
 
@@ -165,16 +181,16 @@
 def _stop_on_signals() -> asyncio.Event:
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     return stop
 
 
 async def _play_faults(
     fleet: Fleet, faults: Sequence[Fault], recorder: Recorder, stop: asyncio.Event
 ) -> None:
-    """Play the faults and write the recording out as it grows, until the program is told to stop."""
-    # The faults' clock starts with a line on standard input, or at once where there is none to come.
+    """Play the faults and flush the recording periodically, until the program receives a signal."""
+    # The times of faults count from a line on standard input, or from now if that is a terminal or closed.
     if faults and not sys.stdin.isatty():
         await asyncio.to_thread(sys.stdin.readline)
     fleet.play(faults)
--- a/kelpfront/cli/tables.py
+++ b/kelpfront/cli/tables.py
@@ -1,6 +1,6 @@
-"""Tables of jobs, their tasks and attempts, machines and levels of service, for people.
+"""Formats jobs, their tasks and attempts, machines and levels of service as tables.
 
-Asking a placer for the objects is left to the commands.
+The commands request the objects from a placer.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from kelpfront.api.meta import JOBS, LEVELS, Object, Resource
 from kelpfront.cli.common import plain_table
 
-_TIME_OF_DAY = slice(11, 23)  # of a time stamp: 15:04:05.123
+_TIME_OF_DAY = slice(11, 23)  # part of a timestamp, such as 15:04:05.123
 
 
 def objects_table(resource: Resource, objects: list[Object], *, wide: bool) -> Table:
-    """Return a table of objects, with their namespaces if it is wide."""
+    """Return a table of objects; a wide table has a column for the namespace of jobs."""
     if resource is JOBS:
         columns = ["NAME", "CLASS", "SERVICE", "PHASE", "TASKS", "PLACED", "REFUSED", "FAILED", "CREATED"]
         table = plain_table(*(["NAMESPACE"] if wide else []), *columns)
@@ -30,7 +30,7 @@
 
 
 def object_row(resource: Resource, obj: Object, *, wide: bool) -> list[str]:
-    """Return the row of an object in the table of its resource."""
+    """Return the cells of an object in the table of its resource."""
     if resource is JOBS:
         return _job_row(obj, wide=wide)
     if resource is LEVELS:
@@ -64,7 +64,7 @@
                 str(attempt["attempt"]),
                 attempt["machine"],
                 attempt["sentAt"][_TIME_OF_DAY],
-                attempt.get("end", "" if has_answer else "out"),
+                attempt.get("end", "" if has_answer else "open"),
                 attempt.get("reason", ""),
                 attempt.get("message", ""),
             )
--- a/kelpfront/cli/wrongserve.py
+++ b/kelpfront/cli/wrongserve.py
@@ -1,6 +1,6 @@
-"""`python -m kelpfront.cli.wrongserve NAME serve ...`: the program with a placer that is faulty on purpose.
+"""`python -m kelpfront.cli.wrongserve NAME serve ...`: runs the program with a deliberately faulty placer.
 
-The faults are those of `kelpfront.lab.wrongplacers`, by the names of their classes.
+NAME is the name of a class in `kelpfront.lab.wrongplacers`.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 def serve() -> None:
-    """Put the faulty controller in place and run the command line with the other arguments."""
+    """Replace the controller with a faulty one and run the command line with the remaining arguments."""
     name = sys.argv.pop(1)
     service: Any = functools.partial(placer.PlacerService, controller_class=WRONG[name])
-    setattr(placer, "PlacerService", service)  # noqa: B010 - where the command line takes it from
+    setattr(placer, "PlacerService", service)  # noqa: B010 - the command imports it from there
     main()
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a user runs it: each command in a process of its own."""
+"""The command line as a user runs it: each command in its own process."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 async def test_job_is_submitted_shown_and_deleted() -> None:
     async with cluster(2) as (_, service, _client):
         url = service.url
-        done = await run_command_async(
+        result = await run_command_async(
             "submit", *WEB, "--name", "a", "--count", "2", "--label", "team=x", "--wait", url=url
         )
-        assert done.exit_code == 0, done.stderr
-        assert "a/0" in done.stdout
-        assert "Placed" in done.stdout
-        assert "a/1: Running" in done.stderr
+        assert result.exit_code == 0, result.stderr
+        assert "a/0" in result.stdout
+        assert "Placed" in result.stdout
+        assert "a/1: Running" in result.stderr
         table = await run_command_async("get", "jobs", url=url)
         assert table.stdout.split()[:3] == ["NAME", "CLASS", "SERVICE"]
         assert "web" in table.stdout
@@ -51,9 +51,9 @@
         assert (gone.exit_code, gone.stderr) == (1, 'NotFound: jobs.kelpfront.dev "a" not found\n')
 
 
-async def test_exit_code_of_submit_says_how_the_job_was_answered() -> None:
-    # Heartbeats so rare that a silent machine still counts as there.
-    async with cluster(1, model=FleetModel(heartbeat_ms=20_000.0)) as (its, service, _client):
+async def test_exit_code_of_submit_depends_on_the_answers() -> None:
+    # Heartbeats are so rare that a silent machine still counts as ready.
+    async with cluster(1, model=FleetModel(heartbeat_ms=20_000.0)) as (machines, service, _client):
         too_large = (
             "--class",
             "web",
@@ -67,7 +67,7 @@
             "300ms",
         )
         assert (await run_command_async("submit", *too_large, "--wait", url=service.url)).exit_code == 3
-        its.fleet.machines["n0"].silence(on=True)
+        machines.fleet.machines["n0"].silence(on=True)
         unsafe = (
             "--class",
             "blend",
@@ -95,10 +95,10 @@
         "spec: {class: ingest, service: series, cores: 1, memory: 2, key: batch-7}\n"
     )
     async with cluster(2) as (_, service, client):
-        done = await run_command_async(
+        result = await run_command_async(
             "submit", "-f", str(path), "--count", "2", "-o", "json", url=service.url
         )
-        assert json.loads(done.stdout)["spec"]["count"] == 2
+        assert json.loads(result.stdout)["spec"]["count"] == 2
         assert (await client.get_job("climate", "from-file")).spec.key == "batch-7"
         path.write_text("[1, 2]")
         assert (
@@ -111,7 +111,7 @@
         )
 
 
-async def test_drained_machine_is_seen_by_a_watch() -> None:
+async def test_watch_shows_that_a_machine_is_drained() -> None:
     async with cluster(2) as (_, service, _client):
         url = service.url
         watching = asyncio.create_task(
@@ -131,7 +131,7 @@
 def test_settings_and_inventory_are_checked(tmp_path: Path) -> None:
     (tmp_path / "k.ini").write_text(SETTINGS)
     good = run_command("config", "check", str(tmp_path / "k.ini"))
-    assert (good.exit_code, good.stdout) == (0, f"{tmp_path}/k.ini: 3 classes, 1 kinds: in order\n")
+    assert (good.exit_code, good.stdout) == (0, f"{tmp_path}/k.ini: 3 classes, 1 kinds: valid\n")
     bad = run_command("config", "check", str(tmp_path / "k.ini"), "--set", "rules.drain_grace=5")
     assert bad.exit_code == 1
     assert "command line: [rules] drain_grace" in bad.stderr
@@ -144,7 +144,7 @@
     (tmp_path / "hosts.csv").write_text("host,kind,rack,room,colour\nn1,small,r1,east,red\n")
     check = run_command("inventory", "check", str(tmp_path / "hosts.csv"), "-c", str(tmp_path / "k.ini"))
     assert check.exit_code == 0
-    assert "1 machines, 1 racks, 1 rooms: in order" in check.stdout
+    assert "1 machines, 1 racks, 1 rooms: valid" in check.stdout
     assert "column 'colour' is not used" in check.stderr
 
 
@@ -175,11 +175,11 @@
 
 @pytest.mark.timeout(180)
 def test_short_bad_day_breaks_no_rule() -> None:
-    """Placers, machines and owners as processes, everything of the script in a few seconds."""
+    """Placers, machines and owners run as processes; the whole script takes a few seconds."""
     day = ("--seconds", "8", "--machines", "9", "--placers", "3", "--rate", "12", "--seed", "5")
-    done = run_command("bad-day", *day, "--json")
-    assert done.exit_code == 0, done.stdout + done.stderr
-    figures = json.loads(done.stdout)
+    result = run_command("bad-day", *day, "--json")
+    assert result.exit_code == 0, result.stdout + result.stderr
+    figures = json.loads(result.stdout)
     assert figures["without_final"] == 0
     assert set(figures["violations"].values()) == {0}
     assert figures["tasks"] > 50
@@ -191,14 +191,16 @@
 
 
 def test_demo_places_its_job() -> None:
-    done = run_command("demo")
-    assert done.exit_code == 0, done.stderr
-    assert done.stdout.count("Running n0") == 3
+    result = run_command("demo")
+    assert result.exit_code == 0, result.stderr
+    assert result.stdout.count("Running n0") == 3
 
 
-def test_faulty_controller_is_put_where_the_command_takes_it_from(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without it the verification would be trusted for a fault that no placer had."""
-    monkeypatch.setattr(placer, "PlacerService", placer.PlacerService)  # put back afterwards
+def test_wrongserve_replaces_the_controller_that_the_serve_command_uses(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """If the replacement had no effect, tests of the checker would run without the fault that they expect."""
+    monkeypatch.setattr(placer, "PlacerService", placer.PlacerService)  # restored after the test
     monkeypatch.setattr(sys, "argv", ["wrongserve", "NeverStops", "serve"])
     monkeypatch.setattr(wrongserve, "main", lambda: None)
     wrongserve.serve()
--- a/tests/command_line.py
+++ b/tests/command_line.py
@@ -1,6 +1,6 @@
-"""Runs the command line as a user does, in a process of its own, for the tests of several packages.
+"""Runs the command line as a user does, in its own process, for the tests of several packages.
 
-What a command prints and how it ends is left to the tests to judge.
+The tests check the output and the exit code.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 import sys
 from dataclasses import dataclass
 
-COMMAND_TIMEOUT_S = 60.0  # a whole bad day of a few seconds, with its processes, must fit in
+COMMAND_TIMEOUT_S = 60.0  # a bad day of a few seconds, including the start of its processes, has to fit in
 
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """How a command ended, and what it printed."""
+    """The exit code and the output of a command."""
 
     exit_code: int
     stdout: str
@@ -23,7 +23,7 @@
 
 
 def run_command(*args: str, url: str = "") -> CommandResult:
-    """Run `kelpfront` with arguments, against the placer at `url` if one is given."""
+    """Run `kelpfront` with arguments, and with the placer at `url` as its server if one is given."""
     server_option = ["--server", url] if url else []
     command = [sys.executable, "-m", "kelpfront", *args, *server_option]
     process = subprocess.run(command, capture_output=True, text=True, timeout=COMMAND_TIMEOUT_S, check=False)
@@ -31,5 +31,5 @@
 
 
 async def run_command_async(*args: str, url: str = "") -> CommandResult:
-    """Run a command as `run_command` does, while the test's own event loop goes on."""
+    """Run a command as `run_command` does, without blocking the event loop of the test."""
     return await asyncio.to_thread(run_command, *args, url=url)
--- a/tools/protos.py
+++ b/tools/protos.py
@@ -1,6 +1,6 @@
-"""Generates kelpfront/v1 from proto/, or with --check says whether it is up to date.
+"""Generates kelpfront/v1 from proto/; with --check, tests whether it is up to date.
 
-What the messages mean is left to the files in proto/.
+The files in proto/ define the messages.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 def generate(output_folder: Path) -> None:
-    """Write the code of all messages and services below a folder.
+    """Generate the code of all messages and services in a folder.
 
     Raises:
-        SystemExit: the compiler failed; it has printed why.
+        SystemExit: the compiler failed; it has printed its errors.
     """
     well_known_types = Path(grpc_tools.__file__).parent / "_proto"
     sources = sorted(PROTO_FOLDER.rglob("*.proto"))
@@ -46,7 +46,7 @@
 
 
 def is_up_to_date() -> bool:
-    """Return whether the code is what the compiler makes of proto/ now."""
+    """Return whether the code equals what the compiler generates from proto/."""
     with tempfile.TemporaryDirectory() as folder:
         generate(Path(folder))
         generated = read_generated(Path(folder) / "kelpfront" / "v1")
@@ -60,7 +60,7 @@
         return 0
     if is_up_to_date():
         return 0
-    print("kelpfront/v1 is not what proto/ makes: run `make proto`", file=sys.stderr)
+    print("kelpfront/v1 is out of date with proto/: run `make proto`", file=sys.stderr)
     return 1
 
 
