--- a/kelpfront/failure_detector/config.py
+++ b/kelpfront/failure_detector/config.py
@@ -11,7 +11,14 @@
 from pathlib import Path
 from typing import Any
 
-from kelpfront.platform.config import Address, Config, ConfigError, config_of, datagram_address, read_json
+from kelpfront.platform.config import (
+    Address,
+    Config,
+    ConfigError,
+    parse_config,
+    parse_datagram_address,
+    read_json,
+)
 
 MIN_CHECK_INTERVAL_MS = 100.0
 MAX_CHECK_INTERVAL_MS = 1_000.0  # placers check machines themselves when observations are some seconds old
@@ -41,13 +48,13 @@
 
 def parse_detector_config(raw: Any) -> FailureDetectorConfig:
     """Validate a decoded file. Raises ConfigError if it is invalid."""
-    platform = config_of(raw)
+    platform = parse_config(raw)
     table = raw.get("watch")
     if not isinstance(table, dict):
         raise ConfigError(f"watch: expected a JSON object, got {table!r}")
     zones = _zones(table, platform.zones)
     check_interval_ms = _check_interval_ms(table)
-    listen = datagram_address(table.get("listen"), "watch: listen")
+    listen = parse_datagram_address(table.get("listen"), "watch: listen")
     return FailureDetectorConfig(platform, listen, zones, check_interval_ms)
 
 
--- a/kelpfront/lab/controlcost.py
+++ b/kelpfront/lab/controlcost.py
@@ -15,7 +15,7 @@
 
 from kelpfront.lab.fleet.settings import config_json, members
 from kelpfront.lab.platform import line, offer
-from kelpfront.platform.config import config_of
+from kelpfront.platform.config import parse_config
 from kelpfront.platform.core import PlacerCore
 from kelpfront.platform.endpoint_events import parse_events
 from kelpfront.platform.intents import SendHealthCheck, SendToClient
@@ -36,7 +36,7 @@
         listed = members(machines)
         known = {"index": 1, "updates": [_event(1, listed, True)]}
         raw = config_json(0, 16, "127.0.0.1:0", "127.0.0.1:1", known)
-        self.config = config_of(raw)
+        self.config = parse_config(raw)
         self.core = PlacerCore(self.config, Scheduler(self.config.settings, 1))
         self.now, self.spent, self.index = 1e12, 0.0, 1
         self.out_bytes = self.in_bytes = self.tests = 0
--- a/kelpfront/lab/corecost.py
+++ b/kelpfront/lab/corecost.py
@@ -23,7 +23,7 @@
 from kelpfront.lab import platform as standins
 from kelpfront.lab.fleet import settings
 from kelpfront.platform import messages
-from kelpfront.platform.config import config_of
+from kelpfront.platform.config import parse_config
 from kelpfront.platform.core import PlacerCore
 from kelpfront.platform.endpoint_events import parse_events
 from kelpfront.platform.intents import Offer, SendHealthCheck
@@ -53,7 +53,7 @@
 
     def __init__(self, machines: int, tasks: int) -> None:
         raw = settings.config_json(0, PLACERS, "127.0.0.1:1", "127.0.0.1:1", {"index": 0, "updates": []})
-        self._config = config_of(raw)
+        self._config = parse_config(raw)
         self.core = PlacerCore(self._config, Scheduler(self._config.settings, self._config.seed))
         self.members, self.now = settings.members(machines), 1e12
         self.tests = self.accepted = 0
--- a/kelpfront/lab/liveness.py
+++ b/kelpfront/lab/liveness.py
@@ -27,7 +27,7 @@
 from kelpfront.failure_detection.view import HELLO_INTERVAL_MS, LivenessView
 from kelpfront.lab.fleet.settings import ZONES, config_json, whole_list
 from kelpfront.lab.platform import line, offer
-from kelpfront.platform.config import config_of
+from kelpfront.platform.config import parse_config
 from kelpfront.platform.core import PlacerCore
 from kelpfront.platform.endpoint_events import parse_events
 from kelpfront.platform.intents import SendHealthCheck, SendToClient
@@ -111,7 +111,7 @@
         world = self.world
         known = {"index": 1, "updates": [whole_list(1, len(world.workers))]}
         raw = config_json(self.number, world.placers_most, "127.0.0.1:0", "127.0.0.1:1", known)
-        self.config = config_of(raw)
+        self.config = parse_config(raw)
         self.core = PlacerCore(self.config, Scheduler(self.config.settings, self.number))
         self._wake_at = 0.0
         self._where: dict[str, str] = {}
@@ -262,7 +262,7 @@
         self._number = 0
         self.workers: dict[str, Worker] = {}
         listed = whole_list(1, workers)
-        config = config_of(config_json(0, placers, "127.0.0.1:0", "127.0.0.1:1", {}))
+        config = parse_config(config_json(0, placers, "127.0.0.1:0", "127.0.0.1:1", {}))
         for entry in parse_events({"index": 1, "updates": [listed]}, config)[1][0].entries:
             self.workers[entry.name] = Worker(entry.endpoint.id, entry.name, entry.endpoint.zone)
         self.by_id = {worker.id: worker for worker in self.workers.values()}
--- a/kelpfront/platform/config.py
+++ b/kelpfront/platform/config.py
@@ -90,7 +90,7 @@
     Raises:
         ConfigError: the file is unreadable or invalid; the message names the file and the key.
     """
-    return read_json(path, config_of)
+    return read_json(path, parse_config)
 
 
 def read_json(path: Path, parse: Callable[[Any], T]) -> T:
@@ -111,7 +111,7 @@
         raise ConfigError(f"{path}: {error}") from error
 
 
-def config_of(raw: Any) -> Config:
+def parse_config(raw: Any) -> Config:
     """Parse and validate the configuration in a JSON value.
 
     Raises:
@@ -128,8 +128,8 @@
     idle_ms = _parse_idle_ms(info)
     return Config(
         name=str(raw.get("name", "")),
-        listen=address_of(raw.get("listen"), "listen"),
-        coordinator=address_of(raw.get("coordinator"), "coordinator"),
+        listen=parse_address(raw.get("listen"), "listen"),
+        coordinator=parse_address(raw.get("coordinator"), "coordinator"),
         seed=seed,
         sockets=sockets,
         memory_mb=memory_mb,
@@ -188,19 +188,19 @@
     value = table.get("watchers", [])
     if not isinstance(value, list) or len(value) > MAX_FAILURE_DETECTORS:
         raise ConfigError(f"{where}: a list of at most {MAX_FAILURE_DETECTORS} is wanted, not {value!r}")
-    addresses = tuple(datagram_address(item, where) for item in value)
+    addresses = tuple(parse_datagram_address(item, where) for item in value)
     if len(set(addresses)) < len(addresses):
         raise ConfigError(f"{where}: each is wanted once, not {value!r}")
     return addresses
 
 
-def datagram_address(value: Any, where: str) -> Address:
+def parse_datagram_address(value: Any, where: str) -> Address:
     """Parse IPv4:PORT. A host name is rejected, since received datagrams are matched by IP address.
 
     Raises:
         ConfigError: the value is invalid; the message begins with `where`.
     """
-    address = address_of(value, where)
+    address = parse_address(value, where)
     try:
         IPv4Address(address.host)
     except ValueError as error:
@@ -210,7 +210,7 @@
     return address
 
 
-def address_of(value: Any, where: str) -> Address:
+def parse_address(value: Any, where: str) -> Address:
     """Parse HOST:PORT.
 
     Raises:
--- a/kelpfront/platform/endpoint_events.py
+++ b/kelpfront/platform/endpoint_events.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from kelpfront.platform.config import Address, Config, ConfigError, address_of
+from kelpfront.platform.config import Address, Config, ConfigError, parse_address
 from kelpfront.platform.messages import machine_id
 from kelpfront.scheduling.events import Endpoint, MachineState
 
@@ -102,7 +102,7 @@
 
 def _parse_address(value: Any, name: str, state: MachineState) -> Address:
     try:
-        return address_of(value, f"{name}: host_port")
+        return parse_address(value, f"{name}: host_port")
     except ConfigError as error:
         if state is not MachineState.REMOVED:
             raise InvalidEventError(str(error)) from error
--- a/tests/failure_detector/test_detector_processes.py
+++ b/tests/failure_detector/test_detector_processes.py
@@ -24,7 +24,7 @@
 from kelpfront.failure_detector.config import parse_detector_config
 from kelpfront.lab.fleet.settings import ZONES
 from kelpfront.lab.fleet.watched import Deployment
-from kelpfront.platform.config import ConfigError, config_of
+from kelpfront.platform.config import ConfigError, parse_config
 
 LOSS_DETECTED_AFTER_S = 9.0  # a machine that is unresponsive for this long has been declared lost
 DEADLINE_S = 60.0  # for what takes 8 s on a host that is not busy
@@ -80,7 +80,7 @@
 )
 def test_an_invalid_list_of_detectors_is_rejected_with_its_key(watchers: Any, message: str) -> None:
     with pytest.raises(ConfigError, match=f"^liveness: watchers: {message}"):
-        config_of(raw_config(liveness={"watchers": watchers}))
+        parse_config(raw_config(liveness={"watchers": watchers}))
 
 
 @pytest.mark.parametrize(
@@ -119,9 +119,9 @@
         "import asyncio, json, sys\n"
         "from pathlib import Path\n"
         "from kelpfront.platform import __main__\n"
-        "from kelpfront.platform.config import config_of\n"
+        "from kelpfront.platform.config import parse_config\n"
         "from kelpfront.platform.service import Service\n"
-        "Service(Path(''), config_of(json.loads(sys.argv[1])))\n"
+        "Service(Path(''), parse_config(json.loads(sys.argv[1])))\n"
         "print(sorted(m for m in sys.modules if 'failure_detection' in m or 'watch' in m.split('.')[-1]))"
     )
     raw = raw_config() | ({"liveness": {"watchers": ["127.0.0.1:7"]}} if has_detectors else {})
--- a/tests/lab/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -25,7 +25,7 @@
 from kelpfront.lab.fleet.proxy import FaultProxy
 from kelpfront.lab.fleet.settings import config_json, whole_list
 from kelpfront.lab.platform import event, member
-from kelpfront.platform.config import address_of
+from kelpfront.platform.config import parse_address
 from kelpfront.platform.discovery_client import DiscoveryClient
 from kelpfront.platform.poll_pacing import HEDGE_DELAY_MS, MAX_HEDGE_DELAY_MS, PollPacing
 from kelpfront.platform.timeouts import POLL_WAIT_MS
@@ -77,7 +77,7 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.index = 0
-        where = address_of(f"{address[0]}:{address[1]}", "coordinator")
+        where = parse_address(f"{address[0]}:{address[1]}", "coordinator")
         self.follower = DiscoveryClient(where, lambda: self.index, self.take, random.Random(1), 500.0)
 
     def take(self, raw: dict[str, int]) -> None:
--- a/tests/platform/test_platform_config_and_events.py
+++ b/tests/platform/test_platform_config_and_events.py
@@ -10,7 +10,7 @@
 from platforms import config
 
 from kelpfront.lab.platform import event, member
-from kelpfront.platform.config import ConfigError, config_of
+from kelpfront.platform.config import ConfigError, parse_config
 from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 from kelpfront.platform.messages import machine_id
 from kelpfront.scheduling.events import MachineState
@@ -30,7 +30,7 @@
 )
 def test_an_invalid_configuration_names_the_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
-        config_of(platforms.raw_config() | changes)
+        parse_config(platforms.raw_config() | changes)
 
 
 def test_events_are_parsed_and_invalid_ones_are_rejected_completely() -> None:
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -18,7 +18,7 @@
 
 from kelpfront.lab.platform import Json, Machine, event, member, offer
 from kelpfront.platform.__main__ import serve
-from kelpfront.platform.config import ConfigError, config_of
+from kelpfront.platform.config import ConfigError, parse_config
 from kelpfront.platform.core import PlacerCore
 from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 from kelpfront.platform.messages import decode
@@ -79,7 +79,7 @@
 def startup_error(raw: Json) -> str:
     """Return the error of a start with `raw`; without an error, assert that a request is answered."""
     try:
-        parsed = config_of(raw)
+        parsed = parse_config(raw)
         index, events = parse_events(parsed.known, parsed)
     except (ConfigError, InvalidEventError) as error:
         return str(error)
--- a/tests/platform/test_platform_start.py
+++ b/tests/platform/test_platform_start.py
@@ -22,7 +22,7 @@
 from kelpfront.lab.fleet.settings import config_json, whole_list
 from kelpfront.lab.platform import Machine, member, offer
 from kelpfront.platform import __main__, descriptor_budget
-from kelpfront.platform.config import Config, config_of
+from kelpfront.platform.config import Config, parse_config
 from kelpfront.platform.discovery_client import DiscoveryClient
 from kelpfront.platform.poll_pacing import (
     MAX_FIRST_ANSWER_WAIT_MS,
@@ -61,7 +61,7 @@
     raw = raw_config(member("m-1"))
     path = tmp_path / "config.json"
     path.write_text(json.dumps(raw))
-    service = Service(path, config_of(raw), began_at=asyncio.get_running_loop().time() - process_age_s)
+    service = Service(path, parse_config(raw), began_at=asyncio.get_running_loop().time() - process_age_s)
     running = asyncio.create_task(service.run())
     try:
         await until(lambda: service.port)
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -14,7 +14,7 @@
 from waiting import until
 
 from kelpfront.lab.platform import Coordinator, Json, Machine, Peer, event, member
-from kelpfront.platform.config import Config, config_of
+from kelpfront.platform.config import Config, parse_config
 from kelpfront.platform.service import Service
 
 
@@ -50,7 +50,7 @@
 
 
 def config(*members: Json, **changes: Any) -> Config:
-    return config_of(raw_config(*members, **changes))
+    return parse_config(raw_config(*members, **changes))
 
 
 class Placer:
@@ -58,7 +58,7 @@
 
     def __init__(self, path: Path, raw: Json) -> None:
         path.write_text(json.dumps(raw))
-        self.service = Service(path, config_of(raw))
+        self.service = Service(path, parse_config(raw))
         self.task: asyncio.Task[None] | None = None
         self.clients: list[Peer] = []
 
--- a/tests/surfaces/surface_platform.py
+++ b/tests/surfaces/surface_platform.py
@@ -24,7 +24,7 @@
     """A placer's core between an owner and its machine: all lines in the order in which they are said."""
 
     def __init__(self) -> None:
-        config = platform_config.config_of(json.loads(golden("platform-config-full.json")))
+        config = platform_config.parse_config(json.loads(golden("platform-config-full.json")))
         self._core = PlacerCore(config, Scheduler(config.settings, SEED))
         self._now, self.lines = NOW, list[str]()
         self._core.apply_endpoint_events(NOW, *platform_events.parse_events(config.known, config))
@@ -70,7 +70,7 @@
 
     def drain(self) -> None:
         """The list says that the machine is about to go, and names another."""
-        config = platform_config.config_of(json.loads(golden("platform-config-full.json")))
+        config = platform_config.parse_config(json.loads(golden("platform-config-full.json")))
         members = json.loads(golden("drain.json"))
         self.lines.append("the machine drains, another is listed")
         self._core.apply_endpoint_events(self._now, *platform_events.parse_events(members, config))
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -79,12 +79,12 @@
 
 def platform_config_full_read() -> bytes:
     """Every key of a placer's file, each with a value that is not its default."""
-    return as_json(platform_config.config_of(json.loads(golden("platform-config-full.json"))))
+    return as_json(platform_config.parse_config(json.loads(golden("platform-config-full.json"))))
 
 
 def platform_config_least_read() -> bytes:
     """Only the keys that must be there: the defaults of all others."""
-    return as_json(platform_config.config_of(json.loads(golden("platform-config-least.json"))))
+    return as_json(platform_config.parse_config(json.loads(golden("platform-config-least.json"))))
 
 
 def watch_config_full_read() -> bytes:
@@ -94,7 +94,7 @@
 def directory_read() -> bytes:
     """The coordinator's answer, as `known` in the configuration has it too."""
     raw = json.loads(golden("platform-config-full.json"))
-    return as_json(platform_events.parse_events(raw["known"], platform_config.config_of(raw)))
+    return as_json(platform_events.parse_events(raw["known"], platform_config.parse_config(raw)))
 
 
 def commands() -> bytes:
