--- a/kelpfront/platform/__main__.py
+++ b/kelpfront/platform/__main__.py
@@ -28,7 +28,9 @@
     """Run the placer that this process's environment configures; return the exit code."""
     name = os.environ.get("LB_CONFIG", "")
     if not name:
-        print("kelpfront.platform: LB_CONFIG: the path of the configuration file is wanted", file=sys.stderr)
+        print(
+            "kelpfront.platform: LB_CONFIG must be set to the path of the configuration file", file=sys.stderr
+        )
         return EXIT_UNUSABLE_CONFIGURATION
     return serve(Path(name))
 
--- a/kelpfront/platform/config.py
+++ b/kelpfront/platform/config.py
@@ -187,10 +187,10 @@
     where = "liveness: watchers"
     value = table.get("watchers", [])
     if not isinstance(value, list) or len(value) > MAX_FAILURE_DETECTORS:
-        raise ConfigError(f"{where}: a list of at most {MAX_FAILURE_DETECTORS} is wanted, not {value!r}")
+        raise ConfigError(f"{where}: expected a list of at most {MAX_FAILURE_DETECTORS}, got {value!r}")
     addresses = tuple(parse_datagram_address(item, where) for item in value)
     if len(set(addresses)) < len(addresses):
-        raise ConfigError(f"{where}: each is wanted once, not {value!r}")
+        raise ConfigError(f"{where}: duplicate address in {value!r}")
     return addresses
 
 
@@ -204,9 +204,9 @@
     try:
         IPv4Address(address.host)
     except ValueError as error:
-        raise ConfigError(f"{where}: an IPv4 address and a port are wanted, not {value!r}") from error
+        raise ConfigError(f"{where}: expected IPv4:PORT, got {value!r}") from error
     if not address.port:
-        raise ConfigError(f"{where}: a port above 0 is wanted, not {value!r}")
+        raise ConfigError(f"{where}: expected a port above 0, got {value!r}")
     return address
 
 
@@ -219,7 +219,7 @@
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     is_valid_port = port.isascii() and port.isdigit() and int(port) <= MAX_PORT
     if not host or not is_valid_port:
-        raise ConfigError(f"{where}: HOST:PORT is wanted, not {value!r}")
+        raise ConfigError(f"{where}: expected HOST:PORT, got {value!r}")
     return Address(host, int(port))
 
 
