--- a/kelpfront/platform/client_connection.py
+++ b/kelpfront/platform/client_connection.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import SupportsIndex
 
-from kelpfront.platform.idle_connections import NEVER, PartialLine
+from kelpfront.platform.idle_connections import NO_VALID_MESSAGE_YET, PartialLine
 from kelpfront.platform.intents import ClientPresence
 from kelpfront.platform.messages import MAX_LINE_BYTES, LineSplitter, contains_withdrawal
 
@@ -52,7 +52,7 @@
     """One open connection. Times are seconds of the event loop's clock.
 
     Attributes:
-        last_valid_at: when the client last sent a valid message; NEVER before the first one.
+        last_valid_at: when the client last sent a valid message; NO_VALID_MESSAGE_YET before the first one.
         partial_line: the line whose beginning has arrived, but not its end.
         splitter: splits the bytes read into lines.
         pending_lines: lines that have been read, but not processed.
@@ -61,7 +61,7 @@
     reader: PeekableReader
     writer: asyncio.StreamWriter
     opened_at: float
-    last_valid_at: float = NEVER
+    last_valid_at: float = NO_VALID_MESSAGE_YET
     partial_line: PartialLine | None = None
     splitter: LineSplitter = field(default_factory=LineSplitter)
     pending_lines: list[bytes] = field(default_factory=list)
--- a/kelpfront/platform/client_connections.py
+++ b/kelpfront/platform/client_connections.py
@@ -17,7 +17,7 @@
 from kelpfront.platform.client_connection import ClientConnection, PeekableReader
 from kelpfront.platform.config import Address
 from kelpfront.platform.core_access import CoreAccess
-from kelpfront.platform.descriptor_shares import ACCEPT_BURST
+from kelpfront.platform.descriptor_shares import MAX_ACCEPT_BURST
 from kelpfront.platform.idle_connections import ConnectionActivity, EvictionOrder, PartialLine
 from kelpfront.platform.intents import ClientPresence, ConnectionId, SendToClient
 from kelpfront.platform.limits import Limit
@@ -27,16 +27,16 @@
 
 log = structlog.get_logger("kelpfront.platform.client_connections")
 
-LISTEN_QUEUE = 1024
+LISTEN_BACKLOG = 1024
 """Backlog of the listening socket; a client that finds it full retries only after a second."""
 
-SWEEP_S = 0.25
+SWEEP_INTERVAL_S = 0.25
 """Interval between checks for silent connections, which are closed."""
 
 CLOSE_CHECK_INTERVAL_S = 0.005
 """Interval between checks, during shutdown, whether all connections are closed."""
 
-READ_BYTES = 4 * MAX_LINE_BYTES
+MAX_READ_BYTES = 4 * MAX_LINE_BYTES
 """Maximum size of one read."""
 
 LINES_PER_BATCH = 256
@@ -45,7 +45,7 @@
 MAX_UNSENT_BYTES = 256 << 10
 """Bytes that a client may leave unread before its connection is aborted."""
 
-LINGER_S = 1.0
+LINGER_TIMEOUT_S = 1.0
 """How long a connection that is being closed may take to send its buffered bytes."""
 
 
@@ -62,7 +62,7 @@
     access: CoreAccess
     max_connections: Callable[[], int]
     selector: TimedSelector | None = None
-    burst: int = ACCEPT_BURST
+    burst: int = MAX_ACCEPT_BURST
 
 
 class ClientServer:
@@ -113,7 +113,7 @@
             raise
         limits = ListenerLimits(self._burst, self._max_open_sockets, self._on_full)
         self._listener = Listener(sock, self._serve, PeekableReader, limits)
-        self._listener.start(LISTEN_QUEUE)
+        self._listener.start(LISTEN_BACKLOG)
         return int(sock.getsockname()[1])
 
     def _max_open_sockets(self) -> int:
@@ -157,7 +157,7 @@
         writer.close()
         if writer.transport.get_write_buffer_size():  # a client that does not read would keep it open forever
             self._lingering[writer] = None
-            asyncio.get_running_loop().call_later(LINGER_S, self._end_lingering, writer)
+            asyncio.get_running_loop().call_later(LINGER_TIMEOUT_S, self._end_lingering, writer)
 
     def _end_lingering(self, writer: asyncio.StreamWriter) -> None:
         self._lingering.pop(writer, None)
@@ -168,7 +168,7 @@
         loop = asyncio.get_running_loop()
         unread_time = UnreadTime(self._selector)
         while not connection.writer.is_closing():
-            data = await connection.reader.read(READ_BYTES)
+            data = await connection.reader.read(MAX_READ_BYTES)
             if not data:
                 return
             unread_time.on_read()
@@ -220,7 +220,7 @@
 
     def _evict_one(self) -> bool:
         now = asyncio.get_running_loop().time()
-        connection_id = self._eviction.next_evicted(now, self._core.sessions.is_in_use)
+        connection_id = self._eviction.next_to_evict(now, self._core.sessions.is_in_use)
         if connection_id is None:
             return False
         self._eviction.remove(connection_id)
@@ -266,13 +266,13 @@
                 connection.writer.close()
 
     async def close(self) -> None:
-        """Close all connections; wait at most LINGER_S until their buffered bytes are sent."""
+        """Close all connections; wait at most LINGER_TIMEOUT_S until their buffered bytes are sent."""
         if self._listener is not None:
             self._listener.close()
         for connection in self.connections.values():
             connection.writer.close()
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + LINGER_S
+        deadline = loop.time() + LINGER_TIMEOUT_S
         while self.connections and loop.time() < deadline:  # noqa: ASYNC110 - bounded, and runs once per process
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
         for connection in self.connections.values():  # their clients do not read
--- a/kelpfront/platform/connection_pool.py
+++ b/kelpfront/platform/connection_pool.py
@@ -24,7 +24,7 @@
 from kelpfront.platform.limits import Limit
 from kelpfront.platform.machine_connection import MachineConnection
 from kelpfront.platform.messages import MAX_LINE_BYTES, InvalidMessageError, LineSplitter, Message, decode
-from kelpfront.platform.timeouts import RECONNECT_MS, ReachabilityCheck
+from kelpfront.platform.timeouts import RECONNECT_INTERVAL_MS, ReachabilityCheck
 from kelpfront.scheduling.events import AttemptOutcome, MachineId
 
 log = structlog.get_logger("kelpfront.platform.connection_pool")
@@ -35,13 +35,13 @@
 MAX_IDLE_FRACTION = 0.5
 """A connection is closed after this fraction of the time after which the machine would close it."""
 
-READ_BYTES = 4 * MAX_LINE_BYTES
+MAX_READ_BYTES = 4 * MAX_LINE_BYTES
 """Maximum bytes per read."""
 
-SWEEP_S = 2.0
+SWEEP_INTERVAL_S = 2.0
 """Interval between checks for connections that have been idle for too long."""
 
-LINGER_S = 1.0
+LINGER_TIMEOUT_S = 1.0
 """Time allowed for sending the remaining bytes of a connection that is being closed."""
 
 MAX_UNSENT_LINES = 256
@@ -137,7 +137,7 @@
         if self._budget.is_within_limit():
             return True
         has_other = self._opening_count or any(connection.accepts(intent) for connection in self.connections)
-        return not has_other and self._budget.may_open_to_send()
+        return not has_other and self._budget.ensure_descriptor_to_send()
 
     def _start_connecting(self) -> None:
         self._reserve_opening()
@@ -203,7 +203,7 @@
         """Close a retired connection once nothing waits on it and its remaining bytes are sent."""
         if connection.is_retired and not connection.waiting and not connection.is_closing:
             connection.writer.close()
-            asyncio.get_running_loop().call_later(LINGER_S, self._close_connection, connection)
+            asyncio.get_running_loop().call_later(LINGER_TIMEOUT_S, self._close_connection, connection)
 
     # ---- Running tasks --------------------------------------------------------------------------------
 
@@ -243,7 +243,7 @@
                     if await self._is_process_dead(reachability):
                         self._on_process_dead()
                         return
-                await asyncio.sleep(RECONNECT_MS / 1000.0)
+                await asyncio.sleep(RECONNECT_INTERVAL_MS / 1000.0)
         finally:
             self._reconnect_task = None
 
@@ -270,7 +270,7 @@
 
     # ---- Descriptors ----------------------------------------------------------------------------------
 
-    def try_again(self) -> None:
+    def open_if_needed(self) -> None:
         """Open a connection to send what is queued or to receive reports on tasks, if it is still needed."""
         is_needed = self._queue or self._unsent_lines or self._core.has_running_tasks(self._machine)
         if not is_needed or self._closed or self.connections or self._opening_count:
@@ -278,7 +278,7 @@
         elif not self._queue:
             self._budget.stop_waiting(self)  # what it had to send was abandoned in the meantime
             self.keep_connected()
-        elif self._budget.may_open_to_send():
+        elif self._budget.ensure_descriptor_to_send():
             self._start_connecting()
 
     def close_idle(self, connection: MachineConnection) -> None:
@@ -356,7 +356,7 @@
     async def _read(self, connection: MachineConnection) -> None:
         splitter = LineSplitter()
         try:
-            while data := await connection.reader.read(READ_BYTES):
+            while data := await connection.reader.read(MAX_READ_BYTES):
                 for line in splitter.feed(data):
                     self._on_message(connection, decode(line))
                 self._send_queued_on_idle(connection)
--- a/kelpfront/platform/core.py
+++ b/kelpfront/platform/core.py
@@ -175,7 +175,7 @@
 
     def has_running_tasks(self, machine: MachineId) -> bool:
         """Return whether tasks run on the machine."""
-        return self._machine_tasks.any_on(machine)
+        return self._machine_tasks.has_tasks_on(machine)
 
     def _on_task_lost(self, now: float, request: PendingRequest) -> None:
         self._running_tasks.end_lost_task(now, request)
--- a/kelpfront/platform/descriptor_budget.py
+++ b/kelpfront/platform/descriptor_budget.py
@@ -21,7 +21,7 @@
 class DescriptorUser(Protocol):
     """A pool of connections to one machine, as the budget sees it."""
 
-    def try_again(self) -> None:
+    def open_if_needed(self) -> None:
         """Open a connection if it is still needed and a descriptor is available."""
 
     def close_idle(self, connection: MachineConnection) -> None:
@@ -58,7 +58,7 @@
         """Return whether a pool without a connection may open one to receive."""
         return self.is_within_limit() or self._may_exceed()
 
-    def may_open_to_send(self) -> bool:
+    def ensure_descriptor_to_send(self) -> bool:
         """Return whether a pool without a connection may open one above the limit; may close an idle one."""
         return self._may_exceed() or self._close_least_recently_used()
 
@@ -91,7 +91,7 @@
         self._serve_scheduled = False
         for waiting in (self._waiting_to_send, self._waiting_to_receive):
             for user in list(waiting)[:MAX_SERVED_PER_PASS]:
-                user.try_again()
+                user.open_if_needed()
                 if user in waiting:
                     break
 
--- a/kelpfront/platform/descriptor_shares.py
+++ b/kelpfront/platform/descriptor_shares.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-ACCEPT_BURST = 24
+MAX_ACCEPT_BURST = 24
 """Maximum size of a burst: connections that are accepted before the limits are checked."""
 
 RESERVED_FOR_FILES = 16
@@ -75,7 +75,7 @@
             sockets: descriptors that the process may have.
             open_at_start: descriptors that were open before the first connection.
         """
-        burst = max(MIN_BURST, min(ACCEPT_BURST, sockets // BURST_DIVISOR))
+        burst = max(MIN_BURST, min(MAX_ACCEPT_BURST, sockets // BURST_DIVISOR))
         files = max(RESERVED_FOR_FILES, open_at_start + OPENED_AFTER_START)
         total = max(MIN_CONNECTIONS, sockets - files - RESERVED_FOR_POLLS - 2 * burst)
         min_clients = min(MIN_CLIENT_CONNECTIONS, total // 2)
@@ -84,7 +84,7 @@
         clients = min(sockets * numerator // denominator, total - machines)
         return cls(clients, min_clients, machines, total - min_clients, total, burst)
 
-    def clients_beside(self, machines: int) -> int:
+    def max_clients_with(self, machines: int) -> int:
         """Return how many connections clients may hold while there are `machines` connections to machines."""
         return max(self.min_clients, min(self.clients, self.total - machines))
 
--- a/kelpfront/platform/idle_connections.py
+++ b/kelpfront/platform/idle_connections.py
@@ -31,7 +31,7 @@
 RECENTLY_ACTIVE_S = 0.5
 """A connection opened or active within this time may have an unread request or be about to send one."""
 
-NEVER = -1.0
+NO_VALID_MESSAGE_YET = -1.0
 """Used in place of a time for a connection without a valid message."""
 
 
@@ -92,7 +92,7 @@
         self._silent.pop(key, None)
         self._active.pop(key, None)
 
-    def next_evicted(self, now: float, is_in_use: Callable[[K], bool]) -> K | None:
+    def next_to_evict(self, now: float, is_in_use: Callable[[K], bool]) -> K | None:
         """Return the connection to evict; None if all are in use, or were opened or active just now.
 
         The first choice is the connection that has been silent longest. The second is the least recently
@@ -113,7 +113,7 @@
 
 
 class ConnectionActivity(msgspec.Struct, frozen=True):
-    """Activity of a client connection; `last_valid_at` is NEVER before its first valid message."""
+    """Activity of a connection; `last_valid_at` is NO_VALID_MESSAGE_YET before its first valid message."""
 
     opened_at: float
     last_valid_at: float
--- a/kelpfront/platform/machine_tasks.py
+++ b/kelpfront/platform/machine_tasks.py
@@ -19,12 +19,12 @@
         self._endpoints = endpoints
         self._outbox = outbox
 
-    def any_on(self, machine_id: MachineId) -> bool:
+    def has_tasks_on(self, machine_id: MachineId) -> bool:
         """Return whether tasks run on the machine."""
         machine = self._endpoints.machines.get(machine_id)
         return machine is not None and bool(machine.running)
 
-    def on(self, machine_id: MachineId) -> list[PendingRequest]:
+    def tasks_on(self, machine_id: MachineId) -> list[PendingRequest]:
         """Return the requests whose tasks run on the machine."""
         machine = self._endpoints.machines.get(machine_id)
         return [] if machine is None else list(machine.running.values())
--- a/kelpfront/platform/running_tasks.py
+++ b/kelpfront/platform/running_tasks.py
@@ -174,7 +174,7 @@
 
     def on_machine_process_dead(self, now: float, machine_id: MachineId) -> None:
         """End all tasks of a machine whose process is dead or presumed dead."""
-        requests = self._machine_tasks.on(machine_id)
+        requests = self._machine_tasks.tasks_on(machine_id)
         self._counters.tasks_lost += len(requests)
         for request in requests:
             self.end_lost_task(now, request)
@@ -188,7 +188,7 @@
 
         Lines sent on that connection may be lost.
         """
-        for request in self._machine_tasks.on(machine_id):
+        for request in self._machine_tasks.tasks_on(machine_id):
             if request.ended:
                 self._send_end(machine_id, request, Cause.UNSPECIFIED)
 
--- a/kelpfront/platform/service.py
+++ b/kelpfront/platform/service.py
@@ -34,7 +34,12 @@
 from kelpfront.platform.machine_pools import MachinePools
 from kelpfront.platform.poll_pacing import first_answer_wait_ms
 from kelpfront.platform.read_timing import TimedSelector
-from kelpfront.platform.timeouts import MAX_REBIND_MS, POLL_CONNECT_MS, REBIND_MS, ShutdownSchedule
+from kelpfront.platform.timeouts import (
+    POLL_CONNECT_MS,
+    REBIND_INTERVAL_MS,
+    REBIND_TIMEOUT_MS,
+    ShutdownSchedule,
+)
 from kelpfront.scheduling.scheduler import Scheduler
 
 if TYPE_CHECKING:
@@ -109,7 +114,7 @@
     def _server_context(self, selector: TimedSelector | None) -> ServerContext:
         return ServerContext(
             access=self._access,
-            max_connections=lambda: self._shares.clients_beside(self.budget.in_use),
+            max_connections=lambda: self._shares.max_clients_with(self.budget.in_use),
             selector=selector,
             burst=self._shares.burst,
         )
@@ -208,7 +213,7 @@
         if not await self.discovery.wait_for_first_answer(wait_ms):
             log.warning("no answer of the coordinator at start", waited_ms=round(wait_ms))
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + MAX_REBIND_MS / 1000.0
+        give_up_at = loop.time() + REBIND_TIMEOUT_MS / 1000.0
         while True:
             try:
                 self.port = await self.clients.start(self._config.listen)
@@ -217,14 +222,14 @@
                     raise
             else:
                 return
-            await asyncio.sleep(REBIND_MS / 1000.0)
+            await asyncio.sleep(REBIND_INTERVAL_MS / 1000.0)
 
     async def _drain(self) -> None:
         requests = self.core.requests
         log.info("told to end", unanswered=requests.unanswered_count, requests=len(requests))
         longest_ms = max(task_class.deadline_ms for task_class in self._config.settings.classes)
         schedule = ShutdownSchedule(self.clock.now(), longest_ms)
-        while not schedule.is_over(self.clock.now(), requests.unanswered_count, len(requests)):
+        while not schedule.may_exit(self.clock.now(), requests.unanswered_count, len(requests)):
             is_closing = schedule.rejects_requests(self.clock.now())
             self.core.client_messages.is_closing = is_closing
             await asyncio.sleep(ANSWERED_CHECK_INTERVAL_S)
@@ -283,12 +288,12 @@
         machines_swept_at = 0.0
         while True:
             began_at = loop.time()
-            await asyncio.sleep(client_connections.SWEEP_S)
-            late_s = loop.time() - began_at - client_connections.SWEEP_S
+            await asyncio.sleep(client_connections.SWEEP_INTERVAL_S)
+            late_s = loop.time() - began_at - client_connections.SWEEP_INTERVAL_S
             if late_s > MAX_LOOP_DELAY_S:
                 log.warning("event loop late", late_ms=round(late_s * 1000))
             self.clients.sweep()
-            if loop.time() - machines_swept_at > connection_pool.SWEEP_S:
+            if loop.time() - machines_swept_at > connection_pool.SWEEP_INTERVAL_S:
                 machines_swept_at = loop.time()
                 self.machines.sweep()
 
--- a/kelpfront/platform/timeouts.py
+++ b/kelpfront/platform/timeouts.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-RECONNECT_MS = 250.0
+RECONNECT_INTERVAL_MS = 250.0
 """Interval between attempts to reconnect to a machine on which tasks run."""
 
 DEAD_AFTER_REFUSALS = 2
@@ -38,10 +38,10 @@
 DRAIN_ACCEPT_MS = 700.0
 """How long it accepts requests after that signal: a later one could be lost in an unannounced kill."""
 
-REBIND_MS = 50.0
+REBIND_INTERVAL_MS = 50.0
 """Interval between attempts to bind the listening address."""
 
-MAX_REBIND_MS = 10_000.0
+REBIND_TIMEOUT_MS = 10_000.0
 """Limit of these attempts; the previous incarnation may still use the address and track its tasks."""
 
 
@@ -75,7 +75,7 @@
         """Return whether new requests are rejected: the placer might be killed before it answers them."""
         return now > self.begun_at + DRAIN_ACCEPT_MS
 
-    def is_over(self, now: float, unanswered_count: int, request_count: int) -> bool:
+    def may_exit(self, now: float, unanswered_count: int, request_count: int) -> bool:
         """Return whether all requests are answered and running tasks were tracked for their grace period.
 
         Remaining tasks continue on their machines, and clients hand them over to the next incarnation.
--- a/tests/platform/test_platform_descriptors.py
+++ b/tests/platform/test_platform_descriptors.py
@@ -203,13 +203,13 @@
     assert shares.total + 2 * shares.burst + reserved <= sockets or shares.total == 4
     assert shares.min_clients >= 2
     assert shares.machines >= 2
-    idle, used, machines = min(initial_clients, shares.clients_beside(0)), 0, 0
+    idle, used, machines = min(initial_clients, shares.max_clients_with(0)), 0, 0
     for step in [*["machine"] * min(initial_clients, 60), *steps]:
         match step:
             case "client":  # a new client, in use from then on
-                while idle and idle + used >= shares.clients_beside(machines):
+                while idle and idle + used >= shares.max_clients_with(machines):
                     idle -= 1
-                used += idle + used < shares.clients_beside(machines)
+                used += idle + used < shares.max_clients_with(machines)
             case "machine":
                 while idle and machines < shares.max_machines and idle + used + machines >= shares.total:
                     idle -= 1
@@ -221,7 +221,7 @@
             case "machine closed" if machines:
                 machines -= 1
         assert idle + used + machines <= shares.total
-    assert shares.clients_beside(machines) >= min(MIN_CLIENT_CONNECTIONS, shares.total // 2)
+    assert shares.max_clients_with(machines) >= min(MIN_CLIENT_CONNECTIONS, shares.total // 2)
 
 
 def test_machines_above_their_limit_or_with_too_many_clients_in_use_get_no_descriptor() -> None:
@@ -239,7 +239,7 @@
         def __init__(self, name: str) -> None:
             self.name = name
 
-        def try_again(self) -> None:
+        def open_if_needed(self) -> None:
             order.append(self.name)
             if self.name != "listens":
                 budget.stop_waiting(cast(ConnectionPool, self))
@@ -270,7 +270,7 @@
     sends.send(test)
     tried: list[ConnectionPool] = []
     for pool in (abandoned, sends):
-        pool.try_again = partial(_record_and_try, tried, pool, pool.try_again)  # type: ignore[method-assign]
+        pool.open_if_needed = partial(_record_and_try, tried, pool, pool.open_if_needed)  # type: ignore[method-assign]
     budget.serve_waiting()
     assert tried[:2] == [abandoned, sends]
     tried.clear()
--- a/tests/platform/test_platform_disconnected_clients.py
+++ b/tests/platform/test_platform_disconnected_clients.py
@@ -317,13 +317,13 @@
     transport.resume_reading()
 
 
-@pytest.mark.parametrize("read_size", [4_096, client_connections.READ_BYTES])
+@pytest.mark.parametrize("read_size", [4_096, client_connections.MAX_READ_BYTES])
 @WAYS_OF_LEAVING
 async def test_a_client_that_left_behind_many_lines_gets_no_attempt(
     scene: Scene, monkeypatch: pytest.MonkeyPatch, how: str, read_size: int
 ) -> None:
     """The withdrawal is among pending lines, or in data that was read from the kernel, not processed."""
-    monkeypatch.setattr(client_connections, "READ_BYTES", read_size)
+    monkeypatch.setattr(client_connections, "MAX_READ_BYTES", read_size)
     machine = Machine("m-1")
     placer = await scene.start(machine)
     await scene.warm(machine)
--- a/tests/platform/test_platform_idle_connections.py
+++ b/tests/platform/test_platform_idle_connections.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelpfront.platform import client_connections, idle_connections
-from kelpfront.platform.descriptor_shares import ACCEPT_BURST, MIN_CLIENT_CONNECTIONS, DescriptorShares
+from kelpfront.platform.descriptor_shares import MAX_ACCEPT_BURST, MIN_CLIENT_CONNECTIONS, DescriptorShares
 from kelpfront.platform.idle_connections import ConnectionActivity, EvictionOrder, PartialLine
 
 
@@ -17,21 +17,21 @@
     for name, at in (("waits", 1.5), ("idle", 2.5), ("idle longer", 3.5), ("idle", 4.0), ("just heard", 9.9)):
         eviction.on_active(name, at)
     order = []
-    while (evicted := eviction.next_evicted(10.0, lambda name: name == "waits")) is not None:
+    while (evicted := eviction.next_to_evict(10.0, lambda name: name == "waits")) is not None:
         order.append(evicted)
         eviction.remove(evicted)
     assert order == ["silent longer", "silent", "idle longer", "idle"]
     eviction.on_first_read("new")
-    assert eviction.next_evicted(10.0, lambda name: name == "waits") == "new"
+    assert eviction.next_to_evict(10.0, lambda name: name == "waits") == "new"
 
 
 def test_clients_and_machines_together_stay_within_the_descriptors() -> None:
     for sockets in (256, 784, 986):
         shares = DescriptorShares.of(sockets)
-        assert shares.clients_beside(0) == shares.clients
+        assert shares.max_clients_with(0) == shares.clients
         in_use = range(sockets - 64 - MIN_CLIENT_CONNECTIONS)
-        assert all(shares.clients_beside(n) + n + 2 * ACCEPT_BURST < sockets for n in in_use)
-        assert shares.clients_beside(2 * sockets) == MIN_CLIENT_CONNECTIONS
+        assert all(shares.max_clients_with(n) + n + 2 * MAX_ACCEPT_BURST < sockets for n in in_use)
+        assert shares.max_clients_with(2 * sockets) == MIN_CLIENT_CONNECTIONS
 
 
 def test_many_connections_at_once_are_not_closed_with_their_requests_unread() -> None:
@@ -39,11 +39,11 @@
     order: EvictionOrder[int] = EvictionOrder()
     for number in range(100):
         order.on_opened(number, 1.0)
-        assert order.next_evicted(9.0, lambda _: False) is None
+        assert order.next_to_evict(9.0, lambda _: False) is None
     for number in range(100):
         order.on_first_read(number)
     assert (
-        order.next_evicted(1.1, lambda _: False) == 0
+        order.next_to_evict(1.1, lambda _: False) == 0
     )  # they sent nothing: silent connections do not shut out others
 
 
@@ -79,4 +79,4 @@
     assert closed(19.0, -1.0, 19.0 + idle_connections.FIRST_LINE_S, line=started)
     assert closed(19.0, -1.0, 19.0 + idle_connections.FIRST_LINE_S, line=PartialLine(20.0, 21.4))
     assert not closed(19.0, -1.0, 99.0, is_in_use=True, line=started)
-    assert idle_connections.FIRST_LINE_S + client_connections.SWEEP_S < 3.0
+    assert idle_connections.FIRST_LINE_S + client_connections.SWEEP_INTERVAL_S < 3.0
--- a/tests/platform/test_platform_sockets.py
+++ b/tests/platform/test_platform_sockets.py
@@ -397,7 +397,7 @@
     """Guards against a placer without free descriptors, which accepts no client for a second at a time."""
     placer = await stage.start(Machine("m-1"))
     placer.service.budget.in_use += 150
-    max_clients = DescriptorShares.of(256).clients_beside(150)
+    max_clients = DescriptorShares.of(256).max_clients_with(150)
     assert max_clients < DescriptorShares.of(256).clients
     idle = [await placer.client() for _ in range(max_clients + 20)]
     last = await placer.client()
