--- a/kelpfront/controller/attempts.py
+++ b/kelpfront/controller/attempts.py
@@ -17,7 +17,7 @@
 from kelpfront.controller.tasks import Attempt, OrphanedInstance, Task
 from kelpfront.machine import messages as wire
 from kelpfront.scheduling.events import (
-    NOT_EXECUTED,
+    NOT_EXECUTED_OUTCOMES,
     AttemptClosed,
     AttemptOutcome,
     OutcomeReason,
@@ -214,7 +214,9 @@
 
     def _abandon_if_possibly_executed(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Abandon the offer, and request a stop if the task is idempotent or withdrawn."""
-        possibly_executed = attempt.sent_at is not None and not attempt.placed and outcome not in NOT_EXECUTED
+        possibly_executed = (
+            attempt.sent_at is not None and not attempt.placed and outcome not in NOT_EXECUTED_OUTCOMES
+        )
         if not possibly_executed or outcome is AttemptOutcome.ERROR:
             return
         task = attempt.task
--- a/kelpfront/scheduling/events.py
+++ b/kelpfront/scheduling/events.py
@@ -43,7 +43,9 @@
     NOT_SENT = "not sent"
 
 
-NOT_EXECUTED = frozenset({AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT})
+NOT_EXECUTED_OUTCOMES = frozenset(
+    {AttemptOutcome.REJECTED, AttemptOutcome.UNREACHABLE, AttemptOutcome.NOT_SENT}
+)
 """Outcomes that prove that the attempt was not executed."""
 
 
--- a/kelpfront/scheduling/feedback.py
+++ b/kelpfront/scheduling/feedback.py
@@ -10,7 +10,7 @@
 from kelpfront.scheduling.capacity import Capacity
 from kelpfront.scheduling.context import SchedulingContext
 from kelpfront.scheduling.events import (
-    NOT_EXECUTED,
+    NOT_EXECUTED_OUTCOMES,
     AttemptClosed,
     AttemptOutcome,
     OutcomeReason,
@@ -69,7 +69,7 @@
         now, task = self._context.now, attempt.task
         if event.outcome not in OUTCOMES_WITHOUT_CONTACT:
             machine.last_contact_at = now
-        if attempt.is_accepted or event.outcome in NOT_EXECUTED:
+        if attempt.is_accepted or event.outcome in NOT_EXECUTED_OUTCOMES:
             self._fleet.record_change(machine, -task.cores, -task.memory)
         if event.reason is OutcomeReason.DRAINED:  # while discovery is down nothing else reports the drain
             machine.draining_until = now + MAX_DRAINING_MS
--- a/kelpfront/scheduling/retries.py
+++ b/kelpfront/scheduling/retries.py
@@ -14,7 +14,7 @@
 from kelpfront.scheduling.attempts import AttemptTable
 from kelpfront.scheduling.context import SchedulingContext
 from kelpfront.scheduling.events import (
-    NOT_EXECUTED,
+    NOT_EXECUTED_OUTCOMES,
     STOPPED_WHILE_RUNNING,
     AttemptClosed,
     AttemptOutcome,
@@ -90,7 +90,7 @@
         task = attempt.task
         task.attempted_machines[event.machine] = None
         is_finished = event.task_finished or task.is_answered
-        if event.outcome not in NOT_EXECUTED and not is_finished:
+        if event.outcome not in NOT_EXECUTED_OUTCOMES and not is_finished:
             # A task that is finished or answered gets no reference to its attempts: the cycle could be freed
             # only by the garbage collector.
             task.possibly_executed.append(attempt)
--- a/kelpfront/wire/decoder.py
+++ b/kelpfront/wire/decoder.py
@@ -231,7 +231,7 @@
         )
         return InstanceEvent(instance, closed)
 
-    def _withdrawn(self, reader: _RecordReader) -> InstanceEvent:
+    def _decode_task_withdrawn(self, reader: _RecordReader) -> InstanceEvent:
         instance, task = reader.unpack(_WITHDRAWN)
         return InstanceEvent(instance, TaskWithdrawn(task))
 
@@ -281,7 +281,7 @@
     3: Decoder._decode_task_arrived,
     4: Decoder._decode_task_placed,
     5: Decoder._decode_attempt_closed,
-    6: Decoder._withdrawn,
+    6: Decoder._decode_task_withdrawn,
     7: Decoder._decode_timer_fired,
     8: Decoder._decode_health_check_completed,
     9: Decoder._skip_gossip,
--- a/tests/frames.py
+++ b/tests/frames.py
@@ -12,7 +12,7 @@
     return struct.pack(">IdII", 20 + len(body), now, len(records), number) + body
 
 
-def info(**changes: Any) -> dict[str, Any]:
+def start_record(**changes: Any) -> dict[str, Any]:
     defaults: dict[str, Any] = {
         "Categories": [
             {
@@ -57,7 +57,7 @@
 
 
 def instance_started(instance: int, settings: dict[str, Any] | None = None, seed: int = 5) -> bytes:
-    text = json.dumps(info() if settings is None else settings).encode()
+    text = json.dumps(start_record() if settings is None else settings).encode()
     return struct.pack(">BIQI", 1, instance, seed, len(text)) + text
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -95,12 +95,12 @@
     return replace(plain, **changes)
 
 
-def machine(ident: int, **changes: Any) -> Endpoint:
+def machine(machine_id: int, **changes: Any) -> Endpoint:
     plain = Endpoint(
-        id=ident,
+        id=machine_id,
         kind=0,
-        cell=ident // 2,
-        zone=ident // 4,
+        cell=machine_id // 2,
+        zone=machine_id // 4,
         state=MachineState.READY,
         free_cores=10.0,
         free_memory=30.0,
@@ -116,8 +116,8 @@
 class Driver:
     """One scheduler with its clock and the record of all that it did."""
 
-    def __init__(self, its_settings: SchedulerSettings | None = None, seed: int = 7) -> None:
-        self.scheduler = Scheduler(its_settings or settings(), seed)
+    def __init__(self, scheduler_settings: SchedulerSettings | None = None, seed: int = 7) -> None:
+        self.scheduler = Scheduler(scheduler_settings or settings(), seed)
         self.now = 1000.0
         self.history: list[tuple[float, SchedulerAction]] = []
 
@@ -133,13 +133,13 @@
         return self.send(full_list(*machines, kind=kind), after)
 
     def arrive(
-        self, task: int, cls: int = 0, service: int = 1, cores: float = 1.0, **more: Any
+        self, task: int, class_index: int = 0, service: int = 1, cores: float = 1.0, **more: Any
     ) -> list[SchedulerAction]:
         after = more.pop("after", 0.0)
         timeout_ms = more.pop("timeout_ms", 4000.0)
         memory = more.pop("memory", 1.5)
         assert not more, more
-        return self.send(TaskArrived(task, cls, service, cores, memory, timeout_ms), after)
+        return self.send(TaskArrived(task, class_index, service, cores, memory, timeout_ms), after)
 
     def bind(self, task: int, **more: Any) -> int:
         """Arrive and return the machine of the one bind."""
@@ -176,8 +176,8 @@
     def place(self, task: int, attempt: int, machine: int, after: float = 0.0) -> list[SchedulerAction]:
         return self.send(TaskPlaced(task, attempt, machine, 5.0), after)
 
-    def find(self, task: int, machine: int, cls: int = 0, service: int = 1) -> list[SchedulerAction]:
-        return self.send(TaskFound(task, cls, service, 1.0, 1.5, machine))
+    def find(self, task: int, machine: int, class_index: int = 0, service: int = 1) -> list[SchedulerAction]:
+        return self.send(TaskFound(task, class_index, service, 1.0, 1.5, machine))
 
 
 def actions_of(actions: list[SchedulerAction], kind: type[A]) -> list[A]:
@@ -195,7 +195,7 @@
     return max(actions_of(actions, SetTimer), key=lambda timer: timer.at)
 
 
-def crowded_settings(**changes: Any) -> SchedulerSettings:
+def saturated_settings(**changes: Any) -> SchedulerSettings:
     """Settings with which no machine serves in full, so that the least loaded safe machine is chosen.
 
     One placer and its sizes make the guardrails as tight as they get. The class is above the lowest priority,
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -20,7 +20,7 @@
 
 def info(**changes: Any) -> Json:
     """Settings with one safe, one keyed and one unsafe class; machines of one kind in two zones."""
-    plain = frames.info(RegistryMode="pushed", Shapes=["plain"], **changes)
+    plain = frames.start_record(RegistryMode="pushed", Shapes=["plain"], **changes)
     (keyed,) = plain["Categories"]
     plain["Categories"] = [
         keyed | {"Name": "easy", "Effect": "free"},
--- a/tests/scheduling/test_scheduling_guardrails.py
+++ b/tests/scheduling/test_scheduling_guardrails.py
@@ -4,10 +4,10 @@
 
 from helpers import (
     Driver,
-    crowded_settings,
     machine,
     only_action,
     place_many,
+    saturated_settings,
 )
 
 from kelpfront.scheduling.actions import (
@@ -22,7 +22,7 @@
 
 
 def test_counters_bound_the_offers_to_a_machine_that_looks_idle() -> None:
-    driver = Driver(crowded_settings(kind_cores=(300.0,), kind_memory=(900.0,)))
+    driver = Driver(saturated_settings(kind_cores=(300.0,), kind_memory=(900.0,)))
     driver.listing(machine(0, free_cores=290.0, free_memory=900.0), *(machine(n) for n in range(1, 4)))
     counts = place_many(driver, range(120))
     assert (
@@ -31,14 +31,14 @@
 
 
 def test_a_machine_of_twice_the_size_gets_twice_as_many_tasks() -> None:
-    driver = Driver(crowded_settings(cores_overcommit=9.0, memory_overcommit=9.0))
+    driver = Driver(saturated_settings(cores_overcommit=9.0, memory_overcommit=9.0))
     driver.listing(machine(0, kind=0), machine(1, kind=1, free_cores=40.0, free_memory=80.0))
     counts = place_many(driver, range(300), cores=0.1)
     assert 1.7 < counts[1] / counts[0] < 2.4
 
 
 def test_a_new_or_returning_machine_does_not_attract_all_tasks() -> None:
-    driver = Driver(crowded_settings())
+    driver = Driver(saturated_settings())
     driver.listing(machine(0), machine(1))
     place_many(driver, range(20))
     fair_share = 60 / 3 + 2 * MIN_TIGHTNESS
--- a/tests/scheduling/test_scheduling_outlier_detection.py
+++ b/tests/scheduling/test_scheduling_outlier_detection.py
@@ -42,12 +42,12 @@
     classes = [task_class(name=name) for name in ("a", "b", "c")]
     driver = Driver(settings(*classes))
     driver.listing(machine(0, free_cores=29.0, free_memory=49.0), machine(1))
-    for cls in range(3):
-        driver.find(50 + cls, 0, cls=cls, service=9 + cls)
-    for cls in (0, 1):
-        assert driver.bind(cls, cls=cls, service=9 + cls) == 0
-        driver.close(cls, 0, 0, AttemptOutcome.REJECTED, OutcomeReason.UNSPECIFIED)
-        assert driver.bind(20 + cls, cls=cls, service=9 + cls) == 1
-        other = driver.bind(30 + cls, cls=2, service=11, after=10.0)
-        assert other == (0 if cls == 0 else 1)
-        driver.place(30 + cls, 0, other)
+    for class_index in range(3):
+        driver.find(50 + class_index, 0, class_index=class_index, service=9 + class_index)
+    for class_index in (0, 1):
+        assert driver.bind(class_index, class_index=class_index, service=9 + class_index) == 0
+        driver.close(class_index, 0, 0, AttemptOutcome.REJECTED, OutcomeReason.UNSPECIFIED)
+        assert driver.bind(20 + class_index, class_index=class_index, service=9 + class_index) == 1
+        other = driver.bind(30 + class_index, class_index=2, service=11, after=10.0)
+        assert other == (0 if class_index == 0 else 1)
+        driver.place(30 + class_index, 0, other)
--- a/tests/scheduling/test_scheduling_under_faults.py
+++ b/tests/scheduling/test_scheduling_under_faults.py
@@ -19,7 +19,7 @@
 from kelpfront import Scheduler
 from kelpfront.scheduling.actions import Bind, CancelAttempt, Fail, Migrate, Reject, SchedulerAction, SetTimer
 from kelpfront.scheduling.events import (
-    NOT_EXECUTED,
+    NOT_EXECUTED_OUTCOMES,
     AttemptClosed,
     AttemptOutcome,
     Endpoint,
@@ -104,7 +104,7 @@
                 assert now <= self.deadline[task]
                 if isinstance(action, Reject):
                     cls = CLASSES[self.tasks[task].class_index]
-                    is_unexecuted = all(a["end"] in NOT_EXECUTED for a in self.attempts[task])
+                    is_unexecuted = all(a["end"] in NOT_EXECUTED_OUTCOMES for a in self.attempts[task])
                     has_global_key = (
                         cls.idempotency is Idempotency.IDEMPOTENCY_KEY
                         and cls.idempotency_scope is FailureDomain.ALL
@@ -124,7 +124,7 @@
         entry = self.listed[target]
         assert entry.state is MachineState.READY
         cls = CLASSES[self.tasks[task].class_index]
-        possibly_executed = [a for a in attempts if a["end"] not in NOT_EXECUTED]
+        possibly_executed = [a for a in attempts if a["end"] not in NOT_EXECUTED_OUTCOMES]
         if possibly_executed and cls.idempotency is not Idempotency.IDEMPOTENT:
             assert cls.idempotency is Idempotency.IDEMPOTENCY_KEY
             assert now <= possibly_executed[0]["sent"] + cls.idempotency_window_ms
--- a/tests/scheduling/test_simhost.py
+++ b/tests/scheduling/test_simhost.py
@@ -56,14 +56,14 @@
 
 
 def test_invalid_settings_are_reported_as_the_fault_action() -> None:
-    result = run_host(frames.batch(1, 1.0, frames.instance_started(3, frames.info(Siblings=0))))
+    result = run_host(frames.batch(1, 1.0, frames.instance_started(3, frames.start_record(Siblings=0))))
     (reply,) = split_replies(result.stdout)
     assert reply[12] == 5
     assert b"Siblings: must be at least 1" in reply
 
 
 def test_instances_are_isolated_from_each_other() -> None:
-    other = frames.instance_started(4, frames.info(Me=0))
+    other = frames.instance_started(4, frames.start_record(Me=0))
     alone = run_host(START + frames.batch(2, 1010.0, frames.task_arrived(3, 41)))
     both = run_host(
         START + frames.batch(2, 1010.0, other, frames.task_arrived(4, 77), frames.task_arrived(3, 41))
--- a/tests/scheduling/test_wire.py
+++ b/tests/scheduling/test_wire.py
@@ -116,11 +116,11 @@
 @pytest.mark.parametrize(
     ("name", "settings"),
     [
-        ("Siblings", frames.info(Siblings=0)),
-        ("FallMs", frames.info(Rules={"ColdMs": 1.0, "FallMultiple": 2.0})),
-        ("Effect", frames.info(Categories=[{"Effect": "magic"}])),
-        ("TickMs", frames.info(TickMs="soon")),
-        ("Permissions", frames.info(Permissions=None)),
+        ("Siblings", frames.start_record(Siblings=0)),
+        ("FallMs", frames.start_record(Rules={"ColdMs": 1.0, "FallMultiple": 2.0})),
+        ("Effect", frames.start_record(Categories=[{"Effect": "magic"}])),
+        ("TickMs", frames.start_record(TickMs="soon")),
+        ("Permissions", frames.start_record(Permissions=None)),
     ],
 )
 def test_missing_or_invalid_settings_are_named_in_the_error(name: str, settings: dict[str, object]) -> None:
