--- a/kelpfront/platform/idle_connections.py
+++ b/kelpfront/platform/idle_connections.py
@@ -113,7 +113,7 @@
 
 
 class ConnectionActivity(msgspec.Struct, frozen=True):
-    """Activity of a connection; `last_valid_at` is NO_VALID_MESSAGE_YET before its first valid message."""
+    """Activity of a client connection; `last_valid_at` is initially NO_VALID_MESSAGE_YET."""
 
     opened_at: float
     last_valid_at: float
--- a/tests/platform/core_stage.py
+++ b/tests/platform/core_stage.py
@@ -21,7 +21,7 @@
 NOW = 1_790_000_000_000.0
 
 
-class Stage:
+class CoreFixture:
     """A core with an endpoint list, one client connection, and the intents that it has issued so far."""
 
     def __init__(self, *members: Json) -> None:
--- a/tests/platform/test_platform_config_and_events.py
+++ b/tests/platform/test_platform_config_and_events.py
@@ -6,7 +6,7 @@
 
 import platforms
 import pytest
-from core_stage import Stage
+from core_stage import CoreFixture
 from platforms import config
 
 from kelpfront.lab.platform import event, member
@@ -55,7 +55,7 @@
 
 
 def test_events_that_were_applied_are_not_applied_again() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     drain = event(2, member("m-1", phase="Terminating"))
     stage.events({"index": 2, "updates": [drain]})
     stage.events({"index": 2, "updates": [event(1, member("m-1"), whole=True)]})
--- a/tests/platform/test_platform_crossings.py
+++ b/tests/platform/test_platform_crossings.py
@@ -17,7 +17,7 @@
 
 import platforms
 import pytest
-from platforms import Dials, Stage, ops
+from platforms import DelayedConnections, PlacerFixture, expect_ops
 from waiting import until
 
 from kelpfront.lab.platform import CALL, Json, Machine, Peer, accepts, event, line, member, offer
@@ -29,13 +29,13 @@
 
 
 @pytest.fixture
-async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    made = Stage(tmp_path)
+async def stage(tmp_path: Path) -> AsyncIterator[PlacerFixture]:
+    made = PlacerFixture(tmp_path)
     yield made
     await made.stop()
 
 
-def receive_from_client(stage: Stage, *lines: bytes, conn: int = 1) -> None:
+def receive_from_client(stage: PlacerFixture, *lines: bytes, conn: int = 1) -> None:
     """Have the placer handle a client's lines in this iteration of the loop, not in the next."""
     placer = stage.running
     for data in lines:
@@ -56,7 +56,7 @@
             sock.send(data)
 
 
-def connections_to(stage: Stage, name: str) -> list[Any]:
+def connections_to(stage: PlacerFixture, name: str) -> list[Any]:
     return list(stage.running.service.machines.pools[machine_id(name)].connections)
 
 
@@ -88,49 +88,53 @@
 
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
-async def test_an_offer_is_not_written_to_a_connection_whose_end_is_unread(stage: Stage, how: str) -> None:
+async def test_an_offer_is_not_written_to_a_connection_whose_end_is_unread(
+    stage: PlacerFixture, how: str
+) -> None:
     """Guards against a lost task: a non-idempotent offer on an idle connection that was just closed."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     with socket_of(machine.peers[0].writer) as sock:
         if how == "resets":
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             machine.peers[0].writer.get_extra_info("socket").shutdown(socket.SHUT_RD)
         sock.shutdown(socket.SHUT_WR)
     receive_from_client(stage, offer(SECOND, cls="once"))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened > 1
     assert len(machine.offers()) == 2
 
 
-async def test_nothing_is_written_behind_bytes_that_a_machine_does_not_read(stage: Stage) -> None:
+async def test_nothing_is_written_behind_bytes_that_a_machine_does_not_read(stage: PlacerFixture) -> None:
     """Guards against an offer that leaves a send buffer after its machine drains or its client has left."""
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     machine = stage.machines["m-1"]
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
     (connection,) = connections_to(stage, "m-1")
     connection.writer.write(b"\n" * (16 << 20))
     assert connection.unsent_bytes
     client.say(offer(SECOND, cls="once"))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened == 2
 
 
-async def test_an_offer_that_does_not_fit_into_a_full_socket_counts_as_not_executed(stage: Stage) -> None:
+async def test_an_offer_that_does_not_fit_into_a_full_socket_counts_as_not_executed(
+    stage: PlacerFixture,
+) -> None:
     """Guards against a non-idempotent task that counts as lost, or is sent late, with no byte sent so far."""
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=same_machine_retry_info())
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     machine.peers[0].reader._transport.pause_reading()  # type: ignore[attr-defined]
     (connection,) = connections_to(stage, "m-1")
     with socket_of(connection.writer) as sock:
@@ -139,7 +143,7 @@
         fill(sock, b"\n")  # to the last byte, so that no offer fits any more
         assert not connection.unsent_bytes
         receive_from_client(stage, offer(SECOND, cls="once"))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["call"] == SECOND
     assert machine.opened > 1
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE] == 1
@@ -147,14 +151,14 @@
 
 @pytest.mark.parametrize("how", ["closes", "withdraws"])
 async def test_an_offer_still_in_the_placers_kernel_does_not_arrive_after_its_client_has_left(
-    stage: Stage, how: str
+    stage: PlacerFixture, how: str
 ) -> None:
     """Guards against an attempt that arrives seconds late on a connection that was broken or cut off."""
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=same_machine_retry_info())
     client, other = await placer.client(), await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     machine_transport = machine.peers[0].reader._transport  # type: ignore[attr-defined]
     machine_transport.pause_reading()
     (connection,) = connections_to(stage, "m-1")
@@ -185,20 +189,20 @@
     await until(lambda: machine.opened > 1)  # the placer reconnects because of the task that runs there
     third = await placer.client()
     third.say(offer("00000000000000a3"))
-    await ops(third, "accept")
+    await expect_ops(third, "accept")
     assert SECOND not in {message["call"] for message in machine.offers()}
 
 
 @pytest.mark.parametrize("after_s", [0.005, 0.05])
 async def test_a_second_rejection_of_one_attempt_does_not_end_the_next_on_the_same_machine(
-    stage: Stage, after_s: float
+    stage: PlacerFixture, after_s: float
 ) -> None:
     """Guards against mixing up the attempts of one request, which all have its id."""
     machine = Machine("m-1", reject_first_offer(after_s))
     placer = await stage.start(machine, settings=same_machine_retry_info())
     client = await placer.client()
     client.say(offer(cls="once"))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["desc"] == "good"
     assert len(machine.offers()) == 2
     assert machine.opened == 2
@@ -209,7 +213,7 @@
 
 
 @pytest.mark.parametrize("after_s", [0.005, 0.05])
-async def test_a_duplicate_acceptance_causes_no_second_answer(stage: Stage, after_s: float) -> None:
+async def test_a_duplicate_acceptance_causes_no_second_answer(stage: PlacerFixture, after_s: float) -> None:
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             copy = line("accept", message["call"], desc="good")
@@ -219,10 +223,10 @@
     placer = await stage.start(Machine("m-1", script))
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     await until(lambda: placer.core.counters.unexpected_accepts == 2)  # unknown id, duplicate
     client.say(line("test", "00000000000000f0", why=0))
-    await ops(client, "tested")  # and no other message before it
+    await expect_ops(client, "tested")  # and no other message before it
 
 
 def slow_connect_info(connect_ms: float = 10_000.0) -> Json:
@@ -235,7 +239,7 @@
 
 
 async def test_a_request_that_waits_for_a_connection_uses_another_that_becomes_idle(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a request that waits for a connection that is never established beside an idle one."""
     answers: list[Peer] = []
@@ -248,35 +252,35 @@
 
     placer = await stage.start(Machine("m-1", script), settings=slow_connect_info())
     client = await placer.client()
-    dials = Dials(stage, monkeypatch, prompt=1)
+    delayed_connections = DelayedConnections(stage, monkeypatch, prompt=1)
     client.say(offer(left="20000"))
     await until(lambda: answers)
     client.say(offer(SECOND, left="20000"))
-    await until(lambda: dials.begun == 2)
+    await until(lambda: delayed_connections.begun == 2)
     answers[0].say(line("accept", CALL, desc="late"))
-    first, second = await ops(client, "accept", "accept")
+    first, second = await expect_ops(client, "accept", "accept")
     assert (first["call"], second["call"]) == (CALL, SECOND)
     assert stage.machines["m-1"].opened == 1
-    dials.up.set()
+    delayed_connections.up.set()
 
 
 async def test_an_attempt_whose_connection_times_out_counts_as_not_executed(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     placer = await stage.start(Machine("m-1"), Machine("m-2"), settings=slow_connect_info(50.0))
-    dials = Dials(stage, monkeypatch, prompt=0)
+    delayed_connections = DelayedConnections(stage, monkeypatch, prompt=0)
     client = await placer.client()
     client.say(offer(cls="once", left="20000"))
-    await until(lambda: dials.begun == 1)
-    dials.prompt = 10
-    await ops(client, "accept")
+    await until(lambda: delayed_connections.begun == 1)
+    delayed_connections.prompt = 10
+    await expect_ops(client, "accept")
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE] == 1
     assert sum(len(machine.offers()) for machine in stage.machines.values()) == 1
 
 
 @pytest.mark.parametrize("is_established", [True, False])
 async def test_a_retry_with_an_idempotency_key_is_not_sent_after_its_window(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch, *, is_established: bool
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch, *, is_established: bool
 ) -> None:
     """Guards against a retry after the idempotency window has expired.
 
@@ -291,29 +295,29 @@
     info = slow_connect_info()
     info["Categories"][1] |= {"WindowMs": 400.0, "Group": "all"}
     placer = await stage.start(Machine("m-1", script), Machine("m-2", script), settings=info)
-    dials = Dials(stage, monkeypatch, prompt=1)
+    delayed_connections = DelayedConnections(stage, monkeypatch, prompt=1)
     client = await placer.client()
     client.say(offer(cls="keyed", left="20000"))
-    (failed,) = await ops(client, "end")  # as soon as the window has expired, long before the deadline
+    (failed,) = await expect_ops(client, "end")  # as soon as the window has expired, long before the deadline
     assert failed["why"] == 41
-    assert dials.begun >= 2
+    assert delayed_connections.begun >= 2
     assert placer.core.counters.attempt_outcomes[AttemptOutcome.NOT_SENT] == 1
     if is_established:
-        dials.up.set()
+        delayed_connections.up.set()
         await until(lambda: sum(machine.opened for machine in stage.machines.values()) >= 2)
         await asyncio.sleep(0.1)
     assert sum(len(machine.offers()) for machine in stage.machines.values()) == 1
 
 
 async def test_a_task_ends_at_its_machine_although_the_connection_breaks_during_the_end(
-    stage: Stage,
+    stage: PlacerFixture,
 ) -> None:
     """Guards against a task that runs for nobody: its client has ended it and will not repeat that."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
 
     async def cut_on_end(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "end":
@@ -322,13 +326,13 @@
 
     machine.script = cut_on_end
     client.say(line("end", CALL, why=31))
-    await ops(client, "ended")
+    await expect_ops(client, "ended")
     await until(lambda: not placer.core.requests)
     assert machine.opened > 1
 
 
 async def test_no_request_waits_for_a_connection_that_ends_as_soon_as_it_is_established(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a request that waits for a connection although none is being opened.
 
@@ -353,7 +357,7 @@
     client.say(offer(cls="once", left="20000"))
     await until(lambda: placer.core.counters.attempt_outcomes[AttemptOutcome.UNREACHABLE])
     stage.coordinator.events.append(event(placer.core.endpoints.index + 1, member("m-2", other.address)))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["desc"] == "at m-2"
     assert stage.machines["m-1"].offers() == []
 
@@ -384,16 +388,16 @@
 
 @WAYS_OF_LEAVING
 async def test_nothing_is_sent_for_a_client_that_left_before_the_connection_came_up(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch, leave: Callable[[Peer], Any]
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch, leave: Callable[[Peer], Any]
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=slow_connect_info())
-    dials = Dials(stage, monkeypatch, prompt=0)
+    delayed_connections = DelayedConnections(stage, monkeypatch, prompt=0)
     client = await placer.client()
     client.say(offer(left="20000"))
-    await until(lambda: dials.begun)
+    await until(lambda: delayed_connections.begun)
     await leave(client)
-    dials.up.set()  # at once, before the placer has read that the client left
+    delayed_connections.up.set()  # at once, before the placer has read that the client left
     await until(lambda: machine.opened)
     await until(lambda: placer.core.counters.withdrawn)
     await asyncio.sleep(ABSENCE_WAIT_S)
@@ -402,7 +406,7 @@
 
 @WAYS_OF_LEAVING
 async def test_nothing_is_sent_for_a_client_that_left_while_no_machine_was_ready(
-    stage: Stage, leave: Callable[[Peer], Any]
+    stage: PlacerFixture, leave: Callable[[Peer], Any]
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
@@ -422,7 +426,7 @@
 
 @WAYS_OF_LEAVING
 async def test_nothing_is_sent_for_a_client_that_left_between_two_attempts(
-    stage: Stage, leave: Callable[[Peer], Any]
+    stage: PlacerFixture, leave: Callable[[Peer], Any]
 ) -> None:
     """The first machine has rejected the request, and no other has capacity yet."""
 
@@ -447,7 +451,7 @@
     assert len(machine.offers()) == 1
 
 
-async def test_the_end_of_a_connection_is_noticed_behind_many_lines_of_one_read(stage: Stage) -> None:
+async def test_the_end_of_a_connection_is_noticed_behind_many_lines_of_one_read(stage: PlacerFixture) -> None:
     """The client sends more than one read takes, and no machine is ready: a paused reader hides the end."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
@@ -467,45 +471,45 @@
 # ---- A client's connection that closes ---------------------------------------------------------------------
 
 
-def client_writer(stage: Stage, conn: int) -> asyncio.StreamWriter:
+def client_writer(stage: PlacerFixture, conn: int) -> asyncio.StreamWriter:
     writer: asyncio.StreamWriter = stage.running.service.clients.connections[conn].writer
     return writer
 
 
-def receive_from_machine(stage: Stage, data: bytes) -> None:
+def receive_from_machine(stage: PlacerFixture, data: bytes) -> None:
     """Have the placer handle a machine's line in this iteration of the loop, not in the next."""
     pool = stage.running.service.machines.pools[machine_id("m-1")]
     pool._on_message(next(iter(pool.connections)), decode(data))
     stage.running.service._runner.flush()
 
 
-async def test_a_task_end_is_sent_on_another_connection_if_its_own_is_closing(stage: Stage) -> None:
+async def test_a_task_end_is_sent_on_another_connection_if_its_own_is_closing(stage: PlacerFixture) -> None:
     """Guards against a task end that is dropped silently before the close of its connection is reported."""
     placer = await stage.start(Machine("m-1"))
     first, second = await placer.client(), await placer.client()
     second.say(line("test", "00000000000000f0", why=0))
-    await ops(second, "tested")
+    await expect_ops(second, "tested")
     first.say(offer())
-    await ops(first, "accept")
+    await expect_ops(first, "accept")
     client_writer(stage, 1).close()
     receive_from_machine(stage, line("end", CALL, why=16))
-    (ended,) = await ops(second, "end")
+    (ended,) = await expect_ops(second, "end")
     assert ended["call"] == CALL
     assert ended["why"] == 16
 
 
-async def test_a_task_end_waits_if_no_connection_is_left(stage: Stage) -> None:
+async def test_a_task_end_waits_if_no_connection_is_left(stage: PlacerFixture) -> None:
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     client_writer(stage, 1).close()
     receive_from_machine(stage, line("end", CALL, why=16))
-    (ended,) = await ops(await placer.client(), "end")
+    (ended,) = await expect_ops(await placer.client(), "end")
     assert ended["call"] == CALL
 
 
-async def test_a_task_whose_acceptance_cannot_be_delivered_is_ended(stage: Stage) -> None:
+async def test_a_task_whose_acceptance_cannot_be_delivered_is_ended(stage: PlacerFixture) -> None:
     """The client regards the request as withdrawn with its connection; the machine must be notified."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
@@ -527,7 +531,7 @@
 # ---- Shutdown ---------------------------------------------------------------------------------------------
 
 
-async def test_late_requests_to_a_draining_placer_are_rejected_at_once(stage: Stage) -> None:
+async def test_late_requests_to_a_draining_placer_are_rejected_at_once(stage: PlacerFixture) -> None:
     """Guards against requests that are unanswered when the placer is killed.
 
     While tasks run, a draining placer continues to run, and clients may still connect.
@@ -536,25 +540,25 @@
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     placer.service._shutdown.set()
     client.say(offer(SECOND))
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     await until(lambda: placer.core.client_messages.is_closing)
     for number, peer in enumerate((client, await placer.client())):
         peer.say(offer(f"{number:016x}"))
-        (rejected,) = await ops(peer, "end")
+        (rejected,) = await expect_ops(peer, "end")
         assert rejected["why"] == 42
     assert len(machine.offers()) == 2
     for call in (CALL, SECOND):
         machine.peers[0].say(line("end", call, why=16))
-    await ops(client, "end", "end")  # the tasks that ran are still tracked
+    await expect_ops(client, "end", "end")  # the tasks that ran are still tracked
     assert placer.task is not None
     await placer.task
 
 
 async def test_a_draining_placer_answers_what_is_queued_connecting_and_sent(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Requests that wait for a machine with capacity, a connection, or an answer each get their answer."""
     pending_peers: list[Peer] = []
@@ -568,19 +572,19 @@
     info = slow_connect_info()
     info["Categories"][0]["DeadlineMs"] = 3_000.0
     placer = await stage.start(Machine("m-1", script), settings=info)
-    dials = Dials(stage, monkeypatch, prompt=1)
+    delayed_connections = DelayedConnections(stage, monkeypatch, prompt=1)
     client = await placer.client()
     client.say(offer(left="20000"))
     await until(lambda: pending_peers)
     client.say(offer(SECOND, left="20000"))
-    await until(lambda: dials.begun == 2)
+    await until(lambda: delayed_connections.begun == 2)
     client.say(
         offer("00000000000000a3", left="1500", extras="cores:22;memory:40;service:1")
     )  # no machine has the capacity
     await until(lambda: placer.core.requests.unanswered_count == 3)
     placer.service._shutdown.set()
     await until(lambda: placer.core.client_messages.is_closing)
-    dials.up.set()
+    delayed_connections.up.set()
     pending_peers[0].say(line("accept", CALL, desc="late"))
     answers = {
         m["call"]: m["op"] for m in [await client.read(), await client.read(), await client.read()] if m
@@ -588,13 +592,13 @@
     assert answers == {CALL: "accept", SECOND: "accept", "00000000000000a3": "end"}
 
 
-async def test_a_buffered_answer_is_sent_before_the_placer_ends(stage: Stage) -> None:
+async def test_a_buffered_answer_is_sent_before_the_placer_ends(stage: PlacerFixture) -> None:
     """A slow client receives what was written; one that never reads does not delay the shutdown for long."""
     placer = await stage.start(Machine("m-1"))
     slow, never = await placer.client(), await placer.client()
     for peer in (slow, never):
         peer.say(line("test", "00000000000000f0", why=0))
-        await ops(peer, "tested")
+        await expect_ops(peer, "tested")
         peer.reader._transport.pause_reading()  # type: ignore[attr-defined]
     filler = line("ringing", CALL, desc="x" * 8_000)
     for conn in (1, 2):
@@ -617,7 +621,7 @@
 # ---- Answers and floods -----------------------------------------------------------------------------------
 
 
-async def test_an_answer_counts_although_its_connection_is_reset_right_after_it(stage: Stage) -> None:
+async def test_an_answer_counts_although_its_connection_is_reset_right_after_it(stage: PlacerFixture) -> None:
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             peer.say(line("accept", message["call"], desc="good"))
@@ -629,12 +633,12 @@
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(offer(cls="once"))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["desc"] == "good"
     await until(lambda: machine.opened > 1)  # the placer reconnects because of the running task
 
 
-async def test_every_client_gets_an_answer_although_a_machine_hangs(stage: Stage) -> None:
+async def test_every_client_gets_an_answer_although_a_machine_hangs(stage: PlacerFixture) -> None:
     """The machine accepts connections and offers, but never answers. Harmless retries go elsewhere."""
 
     async def never_answer(_machine: Machine, peer: Peer, message: Json) -> None:
@@ -652,21 +656,21 @@
     assert all(answers[call]["why"] == 41 for call in unanswered if calls[call] == "once")
 
 
-async def test_a_flood_of_requests_leaves_other_clients_served(stage: Stage) -> None:
+async def test_a_flood_of_requests_leaves_other_clients_served(stage: PlacerFixture) -> None:
     """500 connections are silent, and another client sends and withdraws 300 requests in one write."""
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
     machine = Machine("m-1")
     placer = await stage.start(machine, limits=limits)
     other_client = await placer.client()
     other_client.say(offer())
-    await ops(other_client, "accept")
+    await expect_ops(other_client, "accept")
     silent = [await placer.client() for _ in range(500)]
     flooding_client = await placer.client()
     calls = [f"{number:016x}" for number in range(0x1000, 0x1000 + 300)]
     flooding_client.say(b"".join(offer(call) + line("end", call, why=16) for call in calls))
     flooding_client.say(line("test", "00000000000000f0", why=0))
     other_client.say(offer(SECOND))
-    (accepted,) = await ops(other_client, "accept")
+    (accepted,) = await expect_ops(other_client, "accept")
     assert accepted["call"] == SECOND
     while (message := await flooding_client.read()) is not None and message["op"] != "tested":
         pass
--- a/tests/platform/test_platform_crossings_late.py
+++ b/tests/platform/test_platform_crossings_late.py
@@ -17,11 +17,10 @@
 import platforms
 import psutil
 import pytest
-from core_stage import NOW
-from core_stage import Stage as CoreStage
+from core_stage import NOW, CoreFixture
 from placers import ready
 from placers_under_load import PlacersUnderLoad
-from platforms import Stage, ops
+from platforms import PlacerFixture, expect_ops
 from test_platform_discovery import apply_answer, table_with_two_machines
 from waiting import until
 
@@ -42,8 +41,8 @@
 
 
 @pytest.fixture
-async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    new_stage = Stage(tmp_path)
+async def stage(tmp_path: Path) -> AsyncIterator[PlacerFixture]:
+    new_stage = PlacerFixture(tmp_path)
     yield new_stage
     await new_stage.stop()
 
@@ -51,21 +50,21 @@
 # ---- Complete lists while tasks run -----------------------------------------------------------------------
 
 
-async def place_tasks_on(stage: Stage, *machines: Machine) -> dict[str, tuple[Peer, str]]:
+async def place_tasks_on(stage: PlacerFixture, *machines: Machine) -> dict[str, tuple[Peer, str]]:
     """Place a task on each of the machines; return client and request id by machine name."""
     placer = await stage.start(*machines)
     tasks: dict[str, tuple[Peer, str]] = {}
     for number in range(1, 100):
         client, call = await placer.client(), f"{number:016x}"
         client.say(offer(call, cls=("easy", "keyed", "once")[number % 3]))
-        (accepted,) = await ops(client, "accept")
+        (accepted,) = await expect_ops(client, "accept")
         tasks.setdefault(accepted["desc"].removeprefix("at "), (client, call))
         if len(tasks) == len(machines):
             return tasks
     raise AssertionError(f"only {', '.join(tasks)} received a task")
 
 
-async def test_a_later_complete_list_ends_tasks_on_machines_that_it_lacks(stage: Stage) -> None:
+async def test_a_later_complete_list_ends_tasks_on_machines_that_it_lacks(stage: PlacerFixture) -> None:
     """Of five machines, one is unchanged, one restarted, one drains, one is missing and one is new."""
     machines = [Machine(f"m-{number}") for number in range(1, 5)]
     running = await place_tasks_on(stage, *machines)
@@ -91,18 +90,18 @@
     for name in ("m-1", "m-3"):  # their tasks run on, and their ends are reported
         client, call = running[name]
         next(m for m in machines if m.name == name).peers[0].say(line("end", call, why=16))
-        (ended,) = await ops(client, "end")
+        (ended,) = await expect_ops(client, "end")
         assert (ended["call"], ended["why"]) == (call, 16)
     assert machines[0].opened == opened  # its connections were not touched
     offers_before = len(machines[2].offers())
     for number in range(0xB1, 0xC1):
         client = await placer.client()
         client.say(offer(f"{number:016x}"))
-        await ops(client, "accept")
+        await expect_ops(client, "accept")
     assert len(machines[2].offers()) == offers_before
 
 
-async def test_the_same_complete_list_again_changes_nothing(stage: Stage) -> None:
+async def test_the_same_complete_list_again_changes_nothing(stage: PlacerFixture) -> None:
     machines = [Machine("m-1"), Machine("m-2")]
     running = await place_tasks_on(stage, *machines)
     opened = [machine.opened for machine in machines]
@@ -115,13 +114,13 @@
     for machine in machines:
         client, call = running[machine.name]
         machine.peers[0].say(line("end", call, why=16))
-        (ended,) = await ops(client, "end")
+        (ended,) = await expect_ops(client, "end")
         assert ended["why"] == 16
 
 
 @pytest.mark.parametrize(("cls", "answer"), [("easy", "accept"), ("once", "end")])
 async def test_a_complete_list_without_the_machine_of_an_offer_in_flight(
-    stage: Stage, cls: str, answer: str
+    stage: PlacerFixture, cls: str, answer: str
 ) -> None:
     """The offer may have been executed: a repeatable task is retried elsewhere, any other one fails."""
     held: list[Peer] = []
@@ -138,11 +137,11 @@
     client.say(offer(cls=cls))
     await until(lambda: held)
     stage.coordinator.events.append(event(2, member("m-2", other.address), whole=True))
-    (reply,) = await ops(client, answer)
+    (reply,) = await expect_ops(client, answer)
     assert reply.get("why") == (None if cls == "easy" else 41)
     held[0].say(line("accept", CALL, desc="late"))
     client.say(line("test", "00000000000000f0", why=0))
-    await ops(client, "tested")  # no other message precedes it
+    await expect_ops(client, "tested")  # no other message precedes it
     assert len(other.offers()) == (cls == "easy")
     assert len(machine.offers()) == 1
 
@@ -184,7 +183,7 @@
 # ---- Reloads with drains ----------------------------------------------------------------------------------
 
 
-def reload_with_updates(stage: Stage, coordinator: str, *updates: Json) -> None:
+def reload_with_updates(stage: PlacerFixture, coordinator: str, *updates: Json) -> None:
     """Add updates to the configuration file, and send SIGHUP."""
     raw = json.loads((stage.path / "config.json").read_text())
     raw["coordinator"] = coordinator
@@ -197,7 +196,7 @@
 @pytest.mark.parametrize("moved", [True, False], ids=["moved", "the same address"])
 @pytest.mark.parametrize("reported", ["nothing", "an older list", "more at once"])
 async def test_a_drain_by_reload_is_kept_whatever_the_coordinator_sends(
-    stage: Stage, reported: str, *, moved: bool
+    stage: PlacerFixture, reported: str, *, moved: bool
 ) -> None:
     """`known` reports a drain; the coordinator has an older list or reports more events at the same time."""
     drained, other = Machine("m-1"), Machine("m-2")
@@ -221,13 +220,13 @@
     for number in range(0xB1, 0xC1):
         client = await placer.client()
         client.say(offer(f"{number:016x}", cls=("easy", "keyed", "once")[number % 3]))
-        (accepted,) = await ops(client, "accept")
+        (accepted,) = await expect_ops(client, "accept")
         assert accepted["desc"] == "at m-2"
     assert drained.offers() == []
     await new.stop()
 
 
-async def test_a_drain_in_a_file_that_came_during_the_start_is_applied(stage: Stage) -> None:
+async def test_a_drain_in_a_file_that_came_during_the_start_is_applied(stage: PlacerFixture) -> None:
     """Guards against a SIGHUP lost because its handler was not installed yet; the coordinator is silent."""
     await stage.coordinator.start()
     stage.coordinator.mute = True
@@ -267,7 +266,7 @@
 # ---- After many hours -------------------------------------------------------------------------------------
 
 
-class VirtualTimeStage(CoreStage):
+class VirtualTimeFixture(CoreFixture):
     """A core in virtual time; machines answer health checks unless they are in `silent`."""
 
     def __init__(self, *members: Json) -> None:
@@ -293,7 +292,7 @@
 
 @pytest.mark.parametrize("cls", ["easy", "keyed", "once"])
 def test_a_machine_that_becomes_unresponsive_after_an_hour_is_declared_lost_in_time(cls: str) -> None:
-    stage = VirtualTimeStage(member("m-1"), member("m-2"))
+    stage = VirtualTimeFixture(member("m-1"), member("m-2"))
     ident = stage.place(cls=cls)
     stage.pass_time(HOUR_MS)
     assert stage.ops == ["accept"]
@@ -310,7 +309,7 @@
 
 
 def test_a_list_that_becomes_stale_after_an_hour_defers_offers_and_its_drain_is_kept() -> None:
-    stage = VirtualTimeStage(member("m-1"))
+    stage = VirtualTimeFixture(member("m-1"))
     machine = stage.place()
     stage.pass_time(HOUR_MS)
     stage.pass_time(6_000.0, list_answers=False)
@@ -332,7 +331,7 @@
 
 def test_a_placer_idle_for_half_a_day_has_not_grown_and_serves() -> None:
     """For half a day no requests and only empty list answers; then a request and a health check arrive."""
-    stage = VirtualTimeStage(*(member(f"m-{number}") for number in range(40)))
+    stage = VirtualTimeFixture(*(member(f"m-{number}") for number in range(40)))
     stage.pass_time(60_000.0, step=1_000.0)
     timers, logs = len(stage.core.timers._heap), len(stage.core.log)
     stage.pass_time(12 * HOUR_MS, step=1_000.0)
@@ -379,7 +378,7 @@
 ) -> None:
     """All 20 machines are replaced thirty times over, each by one with a new name."""
     monkeypatch.setattr(endpoint_table, "MAX_REMEMBERED_REMOVALS", 10)
-    stage = VirtualTimeStage(*(member(f"m-{number}") for number in range(20)))
+    stage = VirtualTimeFixture(*(member(f"m-{number}") for number in range(20)))
 
     def replace_machines(times: int) -> int:
         for _ in range(times):
@@ -433,7 +432,7 @@
         for placer in placers:
             client = await ready(placer)
             client.say(offer(f"{placer.port:016x}"))
-            await ops(client, "accept")
+            await expect_ops(client, "accept")
             assert placer.alive
             assert not placer.ends
     finally:
--- a/tests/platform/test_platform_disconnected_clients.py
+++ b/tests/platform/test_platform_disconnected_clients.py
@@ -17,7 +17,7 @@
 
 import platforms
 import pytest
-from platforms import Dials, Stage, ops
+from platforms import DelayedConnections, PlacerFixture, expect_ops
 from waiting import until
 
 from kelpfront.lab.fleet.ports import free_port
@@ -66,7 +66,7 @@
 WAYS_OF_LEAVING = pytest.mark.parametrize("how", ["withdraws", "half_closes", "closes", "resets"])
 
 
-class Scene(Stage):
+class Scene(PlacerFixture):
     """A stage with plain clients, one of which can leave right before an attempt of its request."""
 
     def __init__(self, path: Path) -> None:
@@ -96,7 +96,7 @@
         await until(lambda: self.running.core.requests.get(CALL) is None)
         marker = await self.running.client()
         marker.say(offer(MARKER_ID))
-        assert (await ops(marker, "accept"))[0]["call"] == MARKER_ID
+        assert (await expect_ops(marker, "accept"))[0]["call"] == MARKER_ID
         assert sum(message["call"] == CALL for message in machine.offers()) == expected_count
 
     async def warm(self, machine: Machine) -> None:
@@ -114,7 +114,7 @@
         machine.script = script
         for peer, message in zip(waiting_peers, machine.offers(), strict=True):
             peer.say(line("accept", message["call"], desc="warm"))
-        await ops(client, "accept", "accept")
+        await expect_ops(client, "accept", "accept")
 
 
 @pytest.fixture
@@ -170,12 +170,12 @@
 ) -> None:
     machine = Machine("m-1")
     await scene.start(machine, settings=slow_connect_info())
-    dials = Dials(scene, monkeypatch, prompt=0)
+    delayed_connections = DelayedConnections(scene, monkeypatch, prompt=0)
     client = scene.client()
     scene.leave_before(client, how)
     client.say(offer(left="20000"))
-    await until(lambda: dials.begun)
-    dials.up.set()
+    await until(lambda: delayed_connections.begun)
+    delayed_connections.up.set()
     await scene.assert_nothing_sent(machine)
     assert scene.send_results == [(0, False)]
 
@@ -194,18 +194,18 @@
 
     machine = Machine("m-1", script)
     placer = await scene.start(machine, settings=slow_connect_info())
-    dials = Dials(scene, monkeypatch, prompt=1)
+    delayed_connections = DelayedConnections(scene, monkeypatch, prompt=1)
     first = await placer.client()
     first.say(offer(WARM_UP_IDS[0], left="20000"))
     await until(lambda: answers)
     client = scene.client()
     scene.leave_before(client, how)
     client.say(offer(left="20000"))
-    await until(lambda: dials.begun == 2)
+    await until(lambda: delayed_connections.begun == 2)
     answers[0].say(line("accept", WARM_UP_IDS[0], desc="late"))
     await scene.assert_nothing_sent(machine)
     assert scene.send_results == [(0, False)]
-    dials.up.set()
+    delayed_connections.up.set()
 
 
 @WAYS_OF_LEAVING
@@ -386,7 +386,7 @@
 
         peer = await asyncio.wait_for(connect(), 30.0)
         peer.say(offer(WARM_UP_IDS[0]))  # opens a connection to the machine, which stays idle
-        await ops(peer, "accept")
+        await expect_ops(peer, "accept")
         client = Client(placer.port)
         client.say(line("test", OTHER_ID_PREFIX + "1", why=0))
         await asyncio.get_running_loop().run_in_executor(None, client.sock.recv, 4_096)
@@ -395,9 +395,9 @@
             client.say(offer())
             client.leaves(how)
         peer.say(offer(MARKER_ID))
-        assert (await ops(peer, "accept"))[0]["call"] == MARKER_ID
+        assert (await expect_ops(peer, "accept"))[0]["call"] == MARKER_ID
         peer.say(line("test", OTHER_ID_PREFIX + "2", why=0))
-        await ops(peer, "tested")
+        await expect_ops(peer, "tested")
         assert [message["call"] for message in machine.offers()] == [WARM_UP_IDS[0], MARKER_ID]
     finally:
         for close in (peer.cut if peer else None, client.sock.close if client else None):
--- a/tests/platform/test_platform_discovery.py
+++ b/tests/platform/test_platform_discovery.py
@@ -13,7 +13,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platforms import Dials, Placer, Stage, ops
+from platforms import DelayedConnections, Placer, PlacerFixture, expect_ops
 from waiting import until
 
 from kelpfront.lab.platform import Coordinator, Json, Machine, event, line, member, offer
@@ -30,8 +30,8 @@
 
 
 @pytest.fixture
-async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    new_stage = Stage(tmp_path)
+async def stage(tmp_path: Path) -> AsyncIterator[PlacerFixture]:
+    new_stage = PlacerFixture(tmp_path)
     yield new_stage
     await new_stage.stop()
 
@@ -137,7 +137,7 @@
     assert [entry.name for entry in merged.entries] == ["m-4", "m-5"]
 
 
-async def test_a_drain_that_was_left_out_of_an_answer_is_received(stage: Stage) -> None:
+async def test_a_drain_that_was_left_out_of_an_answer_is_received(stage: PlacerFixture) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     stage.coordinator.events += [
@@ -155,7 +155,9 @@
 # ---- Before the first answer ------------------------------------------------------------------------------
 
 
-async def test_clients_are_accepted_when_the_list_has_answered_not_when_it_failed(stage: Stage) -> None:
+async def test_clients_are_accepted_when_the_list_has_answered_not_when_it_failed(
+    stage: PlacerFixture,
+) -> None:
     """Guards against offers to draining machines: a placer started in an outage knows only its file."""
     await stage.coordinator.start()
     port = int(stage.coordinator.address.rpartition(":")[2])
@@ -174,11 +176,11 @@
     await until(lambda: placer.service.port)
     client = await placer.client()
     client.say(offer(left="400"))
-    await ops(client, "end")
+    await expect_ops(client, "end")
     assert machine.offers() == []
 
 
-async def test_a_placer_that_is_told_to_end_before_it_serves_ends(stage: Stage) -> None:
+async def test_a_placer_that_is_told_to_end_before_it_serves_ends(stage: PlacerFixture) -> None:
     stage.coordinator.mute = True
     await stage.coordinator.start()
     raw = platforms.raw_config(member("m-1"), coordinator=stage.coordinator.address)
@@ -191,7 +193,7 @@
     assert not placer.service.port
 
 
-async def test_a_start_that_finds_its_address_in_use_waits_for_it(stage: Stage) -> None:
+async def test_a_start_that_finds_its_address_in_use_waits_for_it(stage: PlacerFixture) -> None:
     """A previous process keeps the address until the longest deadline; the new one may start before that."""
     previous = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
     port = previous.sockets[0].getsockname()[1]
@@ -213,7 +215,7 @@
 # ---- New configurations -----------------------------------------------------------------------------------
 
 
-async def test_a_configuration_that_came_during_the_start_is_taken(stage: Stage) -> None:
+async def test_a_configuration_that_came_during_the_start_is_taken(stage: PlacerFixture) -> None:
     """Guards against a SIGHUP lost before its handler was installed; the old address has no events."""
     old, new = Coordinator(), stage.coordinator
     await old.start()
@@ -228,7 +230,7 @@
 
 
 async def test_the_events_of_a_new_configuration_are_applied_though_its_coordinator_is_silent(
-    stage: Stage,
+    stage: PlacerFixture,
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
@@ -252,7 +254,7 @@
 
 
 async def test_a_placer_without_an_answer_of_the_list_serves_in_the_end(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(service, "first_answer_wait_ms", lambda _alive_ms: 200.0)
     machine = Machine("m-1")
@@ -264,13 +266,13 @@
     await placer.start()
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
 
 
 # ---- Drains that coincide with a request ------------------------------------------------------------------
 
 
-def receive_drain(stage: Stage, *machines: Machine, phase: str = "Terminating") -> None:
+def receive_drain(stage: PlacerFixture, *machines: Machine, phase: str = "Terminating") -> None:
     """Apply a drain event in the current iteration of the event loop."""
     placer = stage.running
     index = placer.core.endpoints.index + 1
@@ -284,13 +286,13 @@
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
 @pytest.mark.parametrize("order", ["set-up first", "word first"])
 async def test_a_drain_received_in_the_same_iteration_as_the_decision_stops_the_offer(
-    stage: Stage, phase: str, order: str
+    stage: PlacerFixture, phase: str, order: str
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(line("test", "00000000000000f0", why=0))
-    await ops(client, "tested")
+    await expect_ops(client, "tested")
     if order == "word first":
         receive_drain(stage, machine, phase=phase)
     placer.core.on_client_message(placer.now(), 1, decode(offer(left="300", cls="once")))
@@ -298,36 +300,36 @@
     if order == "set-up first":
         receive_drain(stage, machine, phase=phase)
     placer.service._runner.flush()
-    (refused,) = await ops(client, "end")
+    (refused,) = await expect_ops(client, "end")
     assert refused["why"] == 42
     assert machine.offers() == []
 
 
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
 async def test_a_drain_received_while_the_connection_comes_up_stops_the_offer(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch, phase: str
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch, phase: str
 ) -> None:
     """The connection opens after the drain; the request goes to another machine, as it was not executed."""
     info = platforms.info()
     info["Permissions"]["ConnectTimeoutMs"] = 10_000.0
     machine, other = Machine("m-1"), Machine("m-2")
     placer = await stage.start(machine, settings=info)
-    dials = Dials(stage, monkeypatch, prompt=0)
+    delayed_connections = DelayedConnections(stage, monkeypatch, prompt=0)
     client = await placer.client()
     client.say(offer(cls="once"))
-    await until(lambda: dials.begun)
+    await until(lambda: delayed_connections.begun)
     await other.start()
     stage.machines["m-2"] = other
     receive_drain(stage, machine, phase=phase)
     receive_drain(stage, other, phase="Ready")
     placer.service._runner.flush()
-    dials.up.set()
-    (accepted,) = await ops(client, "accept")
+    delayed_connections.up.set()
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["desc"] == "at m-2"
     assert machine.offers() == []
 
 
-async def test_a_drain_in_an_event_that_broke_off_is_received_after_it(stage: Stage) -> None:
+async def test_a_drain_in_an_event_that_broke_off_is_received_after_it(stage: PlacerFixture) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     await until(lambda: len(stage.coordinator.asked) > 1)
@@ -336,11 +338,11 @@
     await until(lambda: placer.core.endpoints.index == 2)
     client = await placer.client()
     client.say(offer(left="300"))
-    await ops(client, "end")
+    await expect_ops(client, "end")
     assert machine.offers() == []
 
 
-async def test_events_of_both_addresses_around_a_move_are_applied(stage: Stage) -> None:
+async def test_events_of_both_addresses_around_a_move_are_applied(stage: PlacerFixture) -> None:
     """The old address reports a drain as SIGHUP arrives, the new one the next; then the old one is silent."""
     first, second = Machine("m-1"), Machine("m-2")
     placer = await stage.start(first, second)
@@ -358,7 +360,7 @@
     await until(lambda: placer.core.endpoints.index == 4)
     client = await placer.client()
     client.say(offer(cls="once"))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["desc"] == "at m-2"
     assert first.offers() == []
     await new.stop()
@@ -368,7 +370,7 @@
 
 
 async def test_nothing_is_sent_while_a_stale_endpoint_list_may_hide_a_drain(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against offers after a drain that counts as reported 7 s after an outage began."""
     monkeypatch.setattr(discovery_freshness, "DISCOVERY_STALE_MS", 1_500.0)
@@ -383,7 +385,7 @@
     await asyncio.sleep(QUIET_PERIOD_S)
     assert machine.offers() == []
     stage.coordinator.mute = False  # the list is unchanged: no machine drains
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     assert not placer.core.freshness.is_stale
 
 
--- a/tests/platform/test_platform_fragments.py
+++ b/tests/platform/test_platform_fragments.py
@@ -10,10 +10,9 @@
 from pathlib import Path
 
 import pytest
-from core_stage import NOW
-from core_stage import Stage as CoreStage
+from core_stage import NOW, CoreFixture
 from placers import ready
-from platforms import Stage, ops
+from platforms import PlacerFixture, expect_ops
 from waiting import until
 
 from kelpfront.lab.fleet.lists import ListService
@@ -32,8 +31,8 @@
 
 
 @pytest.fixture
-async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    new_stage = Stage(tmp_path)
+async def stage(tmp_path: Path) -> AsyncIterator[PlacerFixture]:
+    new_stage = PlacerFixture(tmp_path)
     yield new_stage
     await new_stage.stop()
 
@@ -53,7 +52,9 @@
 # ---- Fragments --------------------------------------------------------------------------------------------
 
 
-async def test_two_requests_that_arrive_byte_by_byte_at_the_same_time_are_both_read(stage: Stage) -> None:
+async def test_two_requests_that_arrive_byte_by_byte_at_the_same_time_are_both_read(
+    stage: PlacerFixture,
+) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     first, second = await placer.client(), await placer.client()
@@ -62,12 +63,12 @@
         second.say(bytes([second_byte]))
         await asyncio.sleep(0.001)
     for peer, call in ((first, CALL), (second, SECOND)):
-        (accepted,) = await ops(peer, "accept")
+        (accepted,) = await expect_ops(peer, "accept")
         assert accepted["call"] == call
     assert {m["call"]: m["desc"] for m in machine.offers()} == {CALL: DESC, SECOND: DESC}
 
 
-async def test_a_request_is_read_wherever_it_was_split_in_two(stage: Stage) -> None:
+async def test_a_request_is_read_wherever_it_was_split_in_two(stage: PlacerFixture) -> None:
     """Splits at every third byte, also within characters; the request before the split one is answered."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
@@ -78,24 +79,26 @@
         client.say(rest + data[:cut])
         rest = data[cut:]
         if number:
-            (accepted,) = await ops(client, "accept")
+            (accepted,) = await expect_ops(client, "accept")
             assert accepted["call"] == f"{number - 1:016x}"
             machine.peers[0].say(line("end", accepted["call"], why=16))
-            await ops(client, "end")
+            await expect_ops(client, "end")
     client.say(rest)
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     assert {m["desc"] for m in machine.offers()} == {DESC}
     assert len(machine.offers()) == len(cuts)
 
 
 @pytest.mark.parametrize("has_sent", [True, False], ids=["spoke long ago", "opened long ago"])
-async def test_a_line_just_begun_does_not_count_as_one_that_stopped(stage: Stage, *, has_sent: bool) -> None:
+async def test_a_line_just_begun_does_not_count_as_one_that_stopped(
+    stage: PlacerFixture, *, has_sent: bool
+) -> None:
     """Guards against closing a connection between two fragments of a request because it was idle for 2 s."""
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     if has_sent:
         client.say(line("test", "00000000000000f0", why=0))
-        await ops(client, "tested")
+        await expect_ops(client, "tested")
     await until(lambda: placer.service.clients.connections)
     (connection,) = placer.service.clients.connections.values()
     connection.opened_at -= (
@@ -107,7 +110,7 @@
     await until(lambda: connection.partial_line is not None)
     placer.service.clients.sweep()
     client.say(data[100:])
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
 
 
 async def test_the_timeout_of_a_request_counts_from_its_last_byte(tmp_path: Path) -> None:
@@ -132,7 +135,7 @@
         for number, client in enumerate(clients):
             client.say(raw_offer(f"{number:016x}", left="2000")[150:])
         for client in clients:
-            await ops(client, "accept")
+            await expect_ops(client, "accept")
         assert all(0 < int(m["with"]["left"]) <= 2_000 for m in machine.offers())
     finally:
         for placer in placers:
@@ -142,7 +145,7 @@
 
 
 @pytest.mark.parametrize("how", ["ends", "resets"])
-async def test_a_fragment_without_its_rest_is_ignored(stage: Stage, how: str) -> None:
+async def test_a_fragment_without_its_rest_is_ignored(stage: PlacerFixture, how: str) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client, other = await placer.client(), await placer.client()
@@ -157,21 +160,21 @@
         assert await client.read() is None  # closed without an answer, since the request was never complete
     await until(lambda: len(placer.service.clients.connections) == 1)
     other.say(offer(SECOND))
-    await ops(other, "accept")
+    await expect_ops(other, "accept")
     assert [m["call"] for m in machine.offers()] == [SECOND]
     assert placer.core.counters.requests == 1
 
 
 @pytest.mark.parametrize("has_sent", [True, False])
 async def test_a_connection_that_stopped_within_a_line_is_closed(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch, *, has_sent: bool
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch, *, has_sent: bool
 ) -> None:
     monkeypatch.setattr(idle_connections, "FRAGMENT_S" if has_sent else "FIRST_LINE_S", 0.3)
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     if has_sent:
         client.say(line("test", "00000000000000f0", why=0))
-        await ops(client, "tested")
+        await expect_ops(client, "tested")
     client.say(raw_offer()[:50])
     assert await client.read() is None
 
@@ -190,7 +193,7 @@
     that of a refusal.
     """
     phase = "Terminating" if machines == "none ready" else "Ready"
-    stage = CoreStage(*(member(f"m-{number}", phase=phase) for number in range(3)))
+    stage = CoreFixture(*(member(f"m-{number}", phase=phase) for number in range(3)))
     stage.client(offer(cls=cls, left="1500"))
     written = 0
     while stage.now < NOW + 1_500.0 and not stage.sent_to_clients:
@@ -209,7 +212,9 @@
     assert not stage.core.requests
 
 
-async def test_a_placer_whose_machines_are_all_unresponsive_answers_each_request_once(stage: Stage) -> None:
+async def test_a_placer_whose_machines_are_all_unresponsive_answers_each_request_once(
+    stage: PlacerFixture,
+) -> None:
     """The machines accept connections and all messages, also health checks, but never answer."""
 
     async def silent(_machine: Machine, peer: Peer, message: Json) -> None:
--- a/tests/platform/test_platform_kills.py
+++ b/tests/platform/test_platform_kills.py
@@ -9,7 +9,7 @@
 
 import pytest
 from placers import ready
-from platforms import Placer, Stage, ops, raw_config
+from platforms import Placer, PlacerFixture, expect_ops, raw_config
 from waiting import until
 
 from kelpfront.lab.fleet.lists import ListService
@@ -45,15 +45,15 @@
 
 
 @pytest.fixture
-async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    new_stage = Stage(tmp_path)
+async def stage(tmp_path: Path) -> AsyncIterator[PlacerFixture]:
+    new_stage = PlacerFixture(tmp_path)
     yield new_stage
     await new_stage.stop()
 
 
 @CLASSES
 async def test_the_task_of_a_machine_killed_right_after_its_acceptance_is_reported_as_ended(
-    stage: Stage, cls: str
+    stage: PlacerFixture, cls: str
 ) -> None:
     """With a machine process. Its task ends with it; the client is notified once, and no retry follows."""
     process = await asyncio.create_subprocess_exec(
@@ -67,11 +67,11 @@
     await placer.start()
     client = await placer.client()
     client.say(offer(cls=cls, left="2000"))
-    (accepted,) = await ops(client, "accept")
+    (accepted,) = await expect_ops(client, "accept")
     assert accepted["desc"] == "here"
     await process.wait()
     killed_at = time.monotonic()
-    (ended,) = await ops(client, "end")
+    (ended,) = await expect_ops(client, "end")
     assert ended["why"] == 41
     assert time.monotonic() - killed_at < END_REPORT_LIMIT_S
     other = Machine("m-2")
@@ -107,7 +107,7 @@
             await placer.start()
         client = await ready(first)
         client.say(offer(cls=cls))
-        await ops(client, "accept")
+        await expect_ops(client, "accept")
         await first.kill()
         assert await client.read() is None
         if successor == "its next life":
@@ -120,10 +120,10 @@
         await asyncio.sleep(QUIET_PERIOD_S)
         assert len(machine.offers()) == 1
         machine.peers[-1].say(line("end", CALL, why=16))
-        (ended,) = await ops(client, "end")
+        (ended,) = await expect_ops(client, "end")
         assert (ended["call"], ended["why"]) == (CALL, 16)
         client.say(line("test", "00000000000000f0", why=0))
-        await ops(client, "tested")  # no second end precedes it
+        await expect_ops(client, "tested")  # no second end precedes it
         assert other.alive
     finally:
         for placer in placers:
--- a/tests/platform/test_platform_requests.py
+++ b/tests/platform/test_platform_requests.py
@@ -5,7 +5,7 @@
 import math
 
 import pytest
-from core_stage import Stage
+from core_stage import CoreFixture
 
 from kelpfront.lab.platform import CALL, event, line, member, offer
 from kelpfront.platform import messages, requests
@@ -20,7 +20,7 @@
 
 
 def test_a_request_is_offered_accepted_ended_and_removed() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     machine = stage.place()
     assert stage.sent_to_clients == [(1, {"op": "accept", "call": CALL, "with": {}, "desc": "given"})]
     assert stage.intents_of(KeepConnected)
@@ -33,7 +33,7 @@
 
 
 def test_an_answer_from_another_machine_or_before_the_offer_was_sent_is_ignored() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer())
     sent = stage.intents_of(Offer)[-1]
     stage.machine(sent.machine, "accept", desc="early")
@@ -44,7 +44,7 @@
 
 
 def test_an_unanswered_attempt_is_abandoned_before_the_next_one_is_sent() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(left="1500"))
     stage.send_offer()
     stage.advance(1400)
@@ -55,7 +55,7 @@
 
 
 def test_a_non_idempotent_task_whose_connection_broke_fails_at_once_and_is_not_rejected() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(cls="once"))
     sent = stage.send_offer()
     stage.core.on_attempt_failed(stage.now, sent.key, AttemptOutcome.RESET)
@@ -67,7 +67,7 @@
 
 
 def test_a_non_idempotent_task_that_was_never_sent_goes_to_another_machine() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(cls="once"))
     sent = stage.intents_of(Offer)[-1]
     stage.core.on_attempt_failed(stage.now, sent.key, AttemptOutcome.UNREACHABLE)
@@ -77,7 +77,7 @@
 
 
 def test_a_request_that_cannot_be_placed_is_answered_in_time_and_once() -> None:
-    stage = Stage(member("m-1", phase="Terminating"))
+    stage = CoreFixture(member("m-1", phase="Terminating"))
     stage.client(offer(left="900"))
     stage.advance(900)
     assert [(message["op"], message["why"]) for _, message in stage.sent_to_clients] == [
@@ -88,7 +88,7 @@
 
 
 def test_no_offer_is_sent_to_a_machine_that_drains_after_the_decision() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(cls="once"))
     sent = stage.intents_of(Offer)[-1]
     name = next(m.name for m in stage.core.endpoints.machines.values() if m.id == sent.machine)
@@ -99,7 +99,7 @@
 
 
 def test_a_withdrawn_request_has_no_answer_and_its_machine_is_notified() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer())
     sent = stage.send_offer()
     stage.client(line("end", why=16))
@@ -110,7 +110,7 @@
 
 
 def test_requests_withdrawn_in_the_same_read_are_never_sent() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     for number in range(100):
         call = f"{number:016x}"
         stage.core.on_client_message(stage.now, 1, decode(offer(call)))
@@ -121,7 +121,7 @@
 
 
 def test_only_the_ids_of_ended_requests_are_kept() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     for number in range(300):
         call = f"{number:016x}"
         machine = stage.place(call)
@@ -138,7 +138,7 @@
 def test_requests_are_limited_in_total_and_per_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(requests, "MAX_REQUESTS", 3)
     monkeypatch.setattr(requests, "MAX_REQUESTS_PER_CONNECTION", 2)
-    stage = Stage()
+    stage = CoreFixture()
     stage.core.sessions.open(stage.now, 2, "127.0.0.6")
     for number, conn in ((1, 1), (2, 1), (3, 1), (4, 2), (5, 2)):
         stage.client(offer(f"{number:016x}"), conn=conn)
@@ -153,7 +153,7 @@
 
     The machine restarts between the decision and the write.
     """
-    stage = Stage(member("m-1"))
+    stage = CoreFixture(member("m-1"))
     stage.client(offer(left="3000"))
     (first_offer,) = [intent for intent in stage.intents if isinstance(intent, Offer)]
     stage.now += 10.0
--- a/tests/platform/test_platform_running_tasks.py
+++ b/tests/platform/test_platform_running_tasks.py
@@ -4,7 +4,7 @@
 
 import platforms
 import pytest
-from core_stage import NOW, Stage
+from core_stage import NOW, CoreFixture
 from platforms import config
 
 from kelpfront.lab.platform import CALL, event, line, member, offer
@@ -31,7 +31,7 @@
 
 
 def test_a_client_ends_a_task_on_any_connection_and_no_end_is_sent_to_it() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     machine = stage.place()
     stage.core.sessions.open(stage.now, 2, "127.0.0.5")
     stage.client(line("end", why=16), conn=2)
@@ -41,7 +41,7 @@
 
 
 def test_a_migration_is_sent_to_client_and_machine_and_no_end_follows() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     machine = stage.place()
     stage.core.carry_out(stage.now, Migrate(stage.call().task))
     stage.collect_intents()
@@ -52,7 +52,7 @@
 
 
 def test_an_end_by_the_client_before_its_machine_is_listed_reaches_the_machine() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-9"))
     stage.client(line("end", why=16))
     stage.events({"index": 2, "updates": [event(2, member("m-9"))]})
@@ -60,7 +60,7 @@
 
 
 def test_ends_of_client_and_machine_that_cross_are_each_processed_once() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     machine = stage.place()
     stage.machine(machine, "end", why=16)
     stage.client(line("end", why=16))
@@ -69,7 +69,7 @@
 
 
 def test_a_new_machine_at_the_address_of_a_removed_one_is_another_machine() -> None:
-    stage = Stage(member("m-1", "127.0.0.1:7"))
+    stage = CoreFixture(member("m-1", "127.0.0.1:7"))
     stage.place()
     removed, added = member("m-1", "127.0.0.1:7", "Gone"), member("m-2", "127.0.0.1:7")
     stage.events({"index": 2, "updates": [event(2, removed, added)]})
@@ -81,7 +81,7 @@
 
 
 def test_no_more_than_the_maximum_of_attempts_is_made() -> None:
-    stage = Stage(*(member(f"m-{n}") for n in range(1, 8)))
+    stage = CoreFixture(*(member(f"m-{n}") for n in range(1, 8)))
     stage.client(offer(left="3000"))
     for _ in range(8):
         open_offers = [
@@ -94,7 +94,7 @@
 
 
 def test_a_task_end_whose_connection_is_closed_is_sent_on_another_of_its_client() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     machine = stage.place()
     stage.core.sessions.open(stage.now, 2, "127.0.0.5")
     stage.core.sessions.open(stage.now, 3, "127.0.0.6")
@@ -105,7 +105,7 @@
 
 
 def test_a_task_end_without_a_connection_waits_for_the_next_one_until_it_expires() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     for call, wait in ((CALL, 100.0), ("00000000000000a2", UNDELIVERED_END_TTL_MS + 1)):
         stage.core.sessions.open(stage.now, 2, "127.0.0.7")
         machine = stage.place(call)
@@ -122,7 +122,7 @@
 
 
 def test_an_adopted_task_is_not_answered_and_its_end_is_sent() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     extras = "cores:1;memory:2;service:b4;at:m-1"
     stage.client(offer(left="4294967", extras=extras))
     stage.client(offer(left="4294967", extras=extras))
@@ -134,7 +134,7 @@
 
 def test_a_task_end_that_arrives_before_the_task_is_adopted_is_sent_on_adoption() -> None:
     """Guards against adopted tasks that are kept forever: machines report the end of a task only once."""
-    stage = Stage()
+    stage = CoreFixture()
     stage.machine(machine_id("m-1"), "end", why=16)
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-1"))
     assert [message["why"] for _, message in stage.sent_to_clients] == [16]
@@ -142,7 +142,7 @@
 
 
 def test_an_adopted_task_on_a_machine_that_is_never_listed_is_lost() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-9"))
     stage.advance(1000)
     stage.events({"index": 1, "updates": []})  # the coordinator reports no change
@@ -155,7 +155,7 @@
 
 def test_a_task_adopted_during_a_discovery_outage_is_not_lost() -> None:
     """Guards against reporting the end of a task that is still running: its client would start it again."""
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(cls="once", extras="cores:1;memory:2;service:1;at:m-9"))
     stage.advance(UNLISTED_MACHINE_TIMEOUT_MS + 1.0)
     assert stage.sent_to_clients == []
@@ -167,14 +167,14 @@
 
 
 def test_the_end_of_an_adopted_task_is_sent_in_time_although_the_coordinator_is_silent() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(cls="once", extras="cores:1;memory:2;service:1;at:m-9"))
     stage.advance(8_000.0)
     assert [message["op"] for _, message in stage.sent_to_clients] == ["end"]
 
 
 def test_a_task_adopted_before_its_machine_is_listed_continues_to_run() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-9"))
     stage.events({"index": 2, "updates": [event(2, member("m-9"))]})
     stage.advance(3000)
@@ -184,7 +184,7 @@
 
 @pytest.mark.parametrize("how", ["refused", "restarted", "gone"])
 def test_tasks_end_with_their_machine(how: str) -> None:
-    stage = Stage()
+    stage = CoreFixture()
     ident = stage.place()
     name = stage.core.endpoints.machines[ident].name
     if how == "refused":
@@ -200,7 +200,7 @@
 
 def test_a_machine_that_becomes_unresponsive_is_health_checked_and_its_tasks_end_in_time() -> None:
     """Guards against machines that are cut off: their connections stay open, and nobody reports them."""
-    stage = Stage(member("m-1"))
+    stage = CoreFixture(member("m-1"))
     stage.place()
     stage.advance(6900)
     assert [message["op"] for _, message in stage.sent_to_clients] == [
@@ -213,7 +213,7 @@
 
 def test_a_machine_that_only_runs_tasks_is_health_checked_rarely() -> None:
     """Guards against sixteen placers that each check nearly every machine every second without need."""
-    stage = Stage(member("m-1"))
+    stage = CoreFixture(member("m-1"))
     machine = stage.place()
     stage.advance(4000)
     assert not stage.intents_of(SendHealthCheck)
@@ -226,7 +226,7 @@
 
 def test_a_machine_with_an_unanswered_offer_is_health_checked_soon() -> None:
     """Guards against requests that wait until their timeout for a machine that became unresponsive."""
-    stage = Stage(member("m-1"))
+    stage = CoreFixture(member("m-1"))
     stage.client(offer(left="20000"))
     stage.send_offer()
     stage.advance(900)
@@ -236,7 +236,7 @@
 
 
 def test_an_idle_machine_that_answers_health_checks_keeps_its_tasks() -> None:
-    stage = Stage(member("m-1"))
+    stage = CoreFixture(member("m-1"))
     machine = stage.place()
     answered = 0
     for _ in range(200):
@@ -252,7 +252,7 @@
 def test_an_offer_on_an_unresponsive_machine_goes_elsewhere_only_if_that_is_harmless(
     cls: str, *, retries: bool
 ) -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(cls=cls, left="20000"))
     silent = stage.send_offer().machine
     stage.advance(3500)
@@ -263,7 +263,7 @@
 
 def test_a_machine_that_fails_its_health_checks_is_reachable_and_keeps_its_offers() -> None:
     """Guards against abandoning offers on busy machines, which fail a health check but answer soon after."""
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(left="20000"))
     machine = stage.send_offer().machine
     for _ in range(20):
@@ -282,7 +282,7 @@
     cls: str, why: int, sign: str
 ) -> None:
     """Guards against answers that a peer delays: the task ran, and its client must receive the end soon."""
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(cls=cls))
     machine = stage.send_offer().machine
     if sign == "a note":
@@ -297,7 +297,7 @@
 
 
 def test_an_attempt_without_a_sign_of_execution_is_retried_if_that_is_harmless() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer())
     stage.machine(stage.send_offer().machine, "end", why=41)
     assert len(stage.intents_of(Offer)) == 2
@@ -306,7 +306,7 @@
 
 def test_22_000_tasks_may_be_adopted_on_one_connection_without_using_the_capacity_for_requests() -> None:
     """Guards against running tasks that no placer tracks after most placers of a region are lost."""
-    stage = Stage()
+    stage = CoreFixture()
     for number in range(22_000):
         extras = f"cores:0.01;memory:0.01;service:1;at:m-{1 + number % 2}"
         stage.core.on_client_message(stage.now, 1, decode(offer(f"{0xF0000 + number:016x}", extras=extras)))
@@ -324,7 +324,7 @@
 
 
 def test_adopted_tasks_are_limited_by_the_memory_limit_and_one_that_ends_frees_capacity() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     max_adopted = requests.max_adopted_tasks(3.0)
     assert requests.max_adopted_tasks(192.0) > 22_000
     assert requests.max_adopted_tasks(1e-6) == 1
@@ -348,7 +348,7 @@
 
 def test_fields_of_an_adopted_task_that_only_its_machine_needs_are_not_kept() -> None:
     """Guards against 22,000 descriptions of 16 KiB each."""
-    stage = Stage()
+    stage = CoreFixture()
     stage.client(offer(extras="cores:1;memory:2;service:b4;at:m-1", desc="x" * 15_000))
     request = stage.core.requests.get(CALL)
     assert request is not None
--- a/tests/platform/test_platform_settings.py
+++ b/tests/platform/test_platform_settings.py
@@ -13,7 +13,7 @@
 
 import platforms
 import pytest
-from platforms import Stage, ops
+from platforms import PlacerFixture, expect_ops
 from waiting import until
 
 from kelpfront.lab.platform import Json, Machine, event, member, offer
@@ -47,20 +47,20 @@
 
 
 @pytest.fixture
-async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    new_stage = Stage(tmp_path)
+async def stage(tmp_path: Path) -> AsyncIterator[PlacerFixture]:
+    new_stage = PlacerFixture(tmp_path)
     yield new_stage
     await new_stage.stop()
 
 
-def places(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def key_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     """Return the path of each nested value."""
     inner = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    return [prefix, *(path for key, item in inner for path in places(item, (*prefix, key)))]
+    return [prefix, *(path for key, item in inner for path in key_paths(item, (*prefix, key)))]
 
 
 RAW = platforms.raw_config(member("m-1"), member("m-2"))
-KEY_PATHS = [path for path in places(RAW) if path]
+KEY_PATHS = [path for path in key_paths(RAW) if path]
 
 
 def with_value(path: tuple[Any, ...], value: Any) -> Json:
@@ -139,7 +139,7 @@
     assert len(err) < 1_000
 
 
-async def test_a_new_configuration_that_cannot_be_used_changes_nothing(stage: Stage) -> None:
+async def test_a_new_configuration_that_cannot_be_used_changes_nothing(stage: PlacerFixture) -> None:
     """A running placer keeps its last valid configuration; an invalid one is not applied in part."""
     machine = Machine("m-1")
     placer = await stage.start(machine)
@@ -163,7 +163,7 @@
         os.kill(os.getpid(), signal.SIGHUP)
         client = await placer.client()
         client.say(offer(f"{number:016x}"))
-        await ops(client, "accept")
+        await expect_ops(client, "accept")
     path.write_text(json.dumps(raw | {"known": known}))
     os.kill(os.getpid(), signal.SIGHUP)
     await until(lambda: placer.core.endpoints.index == index + 1)
--- a/tests/platform/test_platform_sockets.py
+++ b/tests/platform/test_platform_sockets.py
@@ -15,7 +15,7 @@
 
 import platforms
 import pytest
-from platforms import Stage, closed, ops
+from platforms import PlacerFixture, closed, expect_ops
 from waiting import until
 
 from kelpfront.lab.platform import CALL, DESC, Coordinator, Json, Machine, Peer, event, line, member, offer
@@ -27,22 +27,22 @@
 
 
 @pytest.fixture
-async def stage(tmp_path: Path) -> AsyncIterator[Stage]:
-    new_stage = Stage(tmp_path)
+async def stage(tmp_path: Path) -> AsyncIterator[PlacerFixture]:
+    new_stage = PlacerFixture(tmp_path)
     yield new_stage
     await new_stage.stop()
 
 
-async def test_a_task_from_its_request_to_its_end(stage: Stage) -> None:
+async def test_a_task_from_its_request_to_its_end(stage: PlacerFixture) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(line("test", "00000000000000f0", why=0) + offer())
-    tested, accepted = await ops(client, "tested", "accept")
+    tested, accepted = await expect_ops(client, "tested", "accept")
     assert tested["why"] == 1
     assert accepted["desc"] == "at m-1"
     machine.peers[0].say(line("info", CALL, with_={"note": "c", "value": 0.4}) + line("end", CALL, why=16))
-    (ended,) = await ops(client, "end")
+    (ended,) = await expect_ops(client, "end")
     assert ended["why"] == 16
     assert machine.offers()[0]["desc"] == DESC
     assert 0 < float(machine.offers()[0]["with"]["left"]) <= 2000
@@ -58,7 +58,7 @@
     ],
     ids=["noise", "no description", "unending", "stops short"],
 )
-async def test_a_malformed_answer_harms_only_its_own_request(stage: Stage, malformed: bytes) -> None:
+async def test_a_malformed_answer_harms_only_its_own_request(stage: PlacerFixture, malformed: bytes) -> None:
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] != "offer":
             return
@@ -79,17 +79,17 @@
     assert answers[CALL]["why"] == 41
 
 
-async def test_answers_to_clients_do_not_wait_for_acknowledgements(stage: Stage) -> None:
+async def test_answers_to_clients_do_not_wait_for_acknowledgements(stage: PlacerFixture) -> None:
     """Guards against a delay of 40 ms on every second answer, due to Nagle's algorithm and delayed ACKs."""
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     (connection,) = placer.service.clients.connections.values()
     assert connection.writer.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-async def test_hundreds_of_invalid_requests_do_not_keep_a_client_waiting(stage: Stage) -> None:
+async def test_hundreds_of_invalid_requests_do_not_keep_a_client_waiting(stage: PlacerFixture) -> None:
     placer = await stage.start(Machine("m-1"))
     invalid_client = await placer.client()
     invalid_client.say(b"".join(offer(f"{n:016x}", left="-1") for n in range(1000, 3000)))
@@ -98,26 +98,28 @@
         withdrawn.say(offer(f"{n:016x}") + line("end", f"{n:016x}", why=16))
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
-    assert len(await ops(invalid_client, *["end"] * 2000)) == 2000
+    await expect_ops(client, "accept")
+    assert len(await expect_ops(invalid_client, *["end"] * 2000)) == 2000
 
 
-async def test_nothing_is_sent_on_connections_that_the_machine_would_close_as_idle(stage: Stage) -> None:
+async def test_nothing_is_sent_on_connections_that_the_machine_would_close_as_idle(
+    stage: PlacerFixture,
+) -> None:
     info = platforms.info()
     info["Permissions"] = info["Permissions"] | {"ConnIdleMs": 1.0}
     machine = Machine("m-1")
     placer = await stage.start(machine, settings=info)
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     machine.peers[0].say(line("end", CALL, why=16))
-    await ops(client, "end")
+    await expect_ops(client, "end")
     await until(lambda: not machine.peers)
     client.say(offer(SECOND))
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
 
 
-async def test_a_connection_on_which_no_answer_came_is_not_used_again(stage: Stage) -> None:
+async def test_a_connection_on_which_no_answer_came_is_not_used_again(stage: PlacerFixture) -> None:
     async def script(machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer" and machine.opened > 1:
             peer.say(line("accept", message["call"], desc="on another"))
@@ -126,11 +128,11 @@
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(offer(left="600"))
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     await until(lambda: len(machine.peers) == 1)
 
 
-async def test_a_machine_whose_answer_crosses_the_withdrawal_is_notified(stage: Stage) -> None:
+async def test_a_machine_whose_answer_crosses_the_withdrawal_is_notified(stage: PlacerFixture) -> None:
     """Guards against an abandoned task that keeps running beside the next attempt."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
@@ -155,7 +157,7 @@
     await until(lambda: [message for message in machine.seen if message["op"] == "end"])
 
 
-async def test_an_unusable_answer_of_a_machine_is_reported_at_once(stage: Stage) -> None:
+async def test_an_unusable_answer_of_a_machine_is_reported_at_once(stage: PlacerFixture) -> None:
     """Guards against a request that waits for its deadline though its answer was read and rejected."""
 
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
@@ -165,12 +167,12 @@
     placer = await stage.start(Machine("m-1", script))
     client = await placer.client()
     client.say(offer(cls="once", left="29000"))
-    (ended,) = await ops(client, "end")  # `ops` reads for less time than the client would wait
+    (ended,) = await expect_ops(client, "end")  # `expect_ops` reads for less time than the client would wait
     assert ended["why"] == 41
 
 
 async def test_connections_being_opened_are_bounded_and_waiting_requests_are_answered(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     opening, max_opening = 0, 0
 
@@ -190,12 +192,12 @@
     monkeypatch.setattr("asyncio.open_connection", open_forever)
     calls = [f"{number:016x}" for number in range(1, 41)]
     client.say(b"".join(offer(call, cls="once", left="900") for call in calls))
-    ended = await ops(client, *["end"] * 40)
+    ended = await expect_ops(client, *["end"] * 40)
     assert {message["why"] for message in ended} == {42}
     assert 1 < max_opening <= connection_pool.MAX_CONNECTIONS
 
 
-async def test_a_duplicate_answer_and_an_unknown_one_before_it_harm_nothing(stage: Stage) -> None:
+async def test_a_duplicate_answer_and_an_unknown_one_before_it_harm_nothing(stage: PlacerFixture) -> None:
     async def script(_machine: Machine, peer: Peer, message: Json) -> None:
         if message["op"] == "offer":
             answer = line("accept", message["call"], desc="good")
@@ -204,40 +206,42 @@
     placer = await stage.start(Machine("m-1", script))
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     client.say(line("test", "00000000000000f1", why=0))
-    await ops(client, "tested")
+    await expect_ops(client, "tested")
 
 
 async def test_tasks_of_a_dead_process_are_lost_and_those_behind_a_broken_connection_run_on(
-    stage: Stage,
+    stage: PlacerFixture,
 ) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     machine.peers[0].cut()
     await until(lambda: machine.opened == 2 and machine.peers)
     machine.peers[0].say(line("info", CALL, with_={"note": "live"}))
     client.say(line("test", "00000000000000f1", why=0))
-    await ops(client, "tested")
+    await expect_ops(client, "tested")
     machine.die()
-    (ended,) = await ops(client, "end")
+    (ended,) = await expect_ops(client, "end")
     assert ended["why"] == 41
 
 
-async def test_an_unreachable_machine_proves_that_nothing_was_executed(stage: Stage) -> None:
+async def test_an_unreachable_machine_proves_that_nothing_was_executed(stage: PlacerFixture) -> None:
     dead, alive = Machine("m-1"), Machine("m-2")
     placer = await stage.start(dead, alive)
     dead.die()
     client = await placer.client()
     calls = [f"{number:016x}" for number in range(1, 9)]
     client.say(b"".join(offer(call, cls="once") for call in calls))
-    assert {message["desc"] for message in await ops(client, *["accept"] * 8)} == {"at m-2"}
+    assert {message["desc"] for message in await expect_ops(client, *["accept"] * 8)} == {"at m-2"}
 
 
-async def test_the_coordinator_is_polled_through_broken_answers_and_at_a_new_address(stage: Stage) -> None:
+async def test_the_coordinator_is_polled_through_broken_answers_and_at_a_new_address(
+    stage: PlacerFixture,
+) -> None:
     first, second = Machine("m-1"), Machine("m-2")
     placer = await stage.start(first, second)
     stage.coordinator.garble = 2
@@ -258,16 +262,16 @@
     await other.stop()
 
 
-async def test_requests_are_placed_without_a_coordinator(stage: Stage) -> None:
+async def test_requests_are_placed_without_a_coordinator(stage: PlacerFixture) -> None:
     placer = await stage.start(Machine("m-1"))
     await stage.coordinator.stop()
     await until(lambda: placer.service.discovery.is_failing)
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
 
 
-async def test_reloads_under_load_lose_no_answer(stage: Stage) -> None:
+async def test_reloads_under_load_lose_no_answer(stage: PlacerFixture) -> None:
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     raw = json.loads((stage.path / "config.json").read_text())
@@ -276,12 +280,12 @@
         (stage.path / "config.json").write_text(json.dumps(other))
         os.kill(os.getpid(), signal.SIGHUP)
         client.say(offer(f"{number:016x}"))
-        await ops(client, "accept")
+        await expect_ops(client, "accept")
     assert placer.service.discovery.address.port == 8
     assert len(placer.core.endpoints.machines) == 1
 
 
-async def test_a_client_that_sends_a_message_of_60_megabytes_is_disconnected(stage: Stage) -> None:
+async def test_a_client_that_sends_a_message_of_60_megabytes_is_disconnected(stage: PlacerFixture) -> None:
     placer = await stage.start(Machine("m-1"))
     invalid_client = await placer.client()
     chunk = b"z" * (1 << 20)
@@ -294,7 +298,7 @@
     assert placer.core.counters.unreadable_lines == 1
 
 
-async def test_answers_of_a_slow_coordinator_are_applied(stage: Stage) -> None:
+async def test_answers_of_a_slow_coordinator_are_applied(stage: PlacerFixture) -> None:
     placer = await stage.start(Machine("m-1"))
     stage.coordinator.slow_s = 0.2
     for index in (2, 3, 4):
@@ -304,7 +308,7 @@
 
 
 async def test_a_starting_placer_receives_what_its_file_lacks_before_clients_are_accepted(
-    stage: Stage,
+    stage: PlacerFixture,
 ) -> None:
     """Guards against offers to draining machines: restarted placers have a list that is two seconds old.
 
@@ -316,12 +320,12 @@
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer(left="400"))
-    await ops(client, "end")
+    await expect_ops(client, "end")
     assert stage.machines["m-1"].offers() == []
 
 
 async def test_a_placer_with_a_list_serves_though_its_coordinator_is_silent(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It serves once the events that were held back count as reported in any case."""
     monkeypatch.setattr(service, "first_answer_wait_ms", lambda _alive_ms: 300.0)
@@ -329,10 +333,10 @@
     placer = await stage.start(Machine("m-1"))
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
 
 
-async def test_a_silent_coordinator_is_polled_again(stage: Stage) -> None:
+async def test_a_silent_coordinator_is_polled_again(stage: PlacerFixture) -> None:
     placer = await stage.start(Machine("m-1"))
     await until(lambda: len(stage.coordinator.asked) > 1)  # the first is answered at once
     stage.coordinator.mute = True
@@ -359,7 +363,9 @@
         b'{"op":"offer","with":{"class":"easy"}}\n',
     ],
 )
-async def test_invalid_clients_are_answered_or_closed_and_never_served(stage: Stage, data: bytes) -> None:
+async def test_invalid_clients_are_answered_or_closed_and_never_served(
+    stage: PlacerFixture, data: bytes
+) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     invalid_client = await placer.client()
@@ -369,31 +375,33 @@
     assert not machine.offers()
 
 
-async def test_hundreds_of_silent_connections_leave_capacity_for_clients(stage: Stage) -> None:
+async def test_hundreds_of_silent_connections_leave_capacity_for_clients(stage: PlacerFixture) -> None:
     machine = Machine("m-1")
     placer = await stage.start(machine)
     max_clients = DescriptorShares.of(256).clients
     silent = [await placer.client() for _ in range(max_clients + 20)]
     client = await placer.client()
     client.say(offer())
-    await ops(client, "accept")
+    await expect_ops(client, "accept")
     for peer in silent:
         await closed(peer)
 
 
-async def test_clients_that_stay_connected_after_one_request_do_not_shut_out_the_next(stage: Stage) -> None:
+async def test_clients_that_stay_connected_after_one_request_do_not_shut_out_the_next(
+    stage: PlacerFixture,
+) -> None:
     placer = await stage.start(Machine("m-1"))
     max_clients = DescriptorShares.of(256).clients
     for number in range(max_clients + 20):
         client = await placer.client()
         client.say(line("test", f"{number:016x}", why=0))
-        await ops(client, "tested")
+        await expect_ops(client, "tested")
         if number % 50 == 0:
             await asyncio.sleep(idle_connections.RECENTLY_ACTIVE_S)
     assert len(placer.service.clients.connections) <= max_clients
 
 
-async def test_idle_clients_make_way_for_connections_to_machines(stage: Stage) -> None:
+async def test_idle_clients_make_way_for_connections_to_machines(stage: PlacerFixture) -> None:
     """Guards against a placer without free descriptors, which accepts no client for a second at a time."""
     placer = await stage.start(Machine("m-1"))
     placer.service.budget.in_use += 150
@@ -402,7 +410,7 @@
     idle = [await placer.client() for _ in range(max_clients + 20)]
     last = await placer.client()
     last.say(offer())
-    await ops(last, "accept")
+    await expect_ops(last, "accept")
     assert len(placer.service.clients.connections) <= max_clients
     for peer in idle[:20]:
         await closed(peer)
@@ -414,7 +422,7 @@
 
 
 async def test_a_client_that_reads_nothing_is_disconnected(
-    stage: Stage, monkeypatch: pytest.MonkeyPatch
+    stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_connections, "MAX_UNSENT_BYTES", 4096)
     placer = await stage.start(Machine("m-1"))
@@ -473,8 +481,8 @@
         later = Peer(*await asyncio.open_connection(host, port))
         client.say(offer())
         later.say(offer(SECOND))
-        await ops(client, "accept")
-        await ops(later, "accept")
+        await expect_ops(client, "accept")
+        await expect_ops(later, "accept")
         async with asyncio.timeout(30):
             assert await process.wait() == 0
     finally:
--- a/tests/platform/test_platform_start.py
+++ b/tests/platform/test_platform_start.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from placers import ready
-from platforms import Stage, raw_config
+from platforms import PlacerFixture, raw_config
 from waiting import until
 
 from kelpfront.lab.fleet.ports import free_port
@@ -127,7 +127,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against opening a thousand connections at once, while new clients wait for seconds."""
-    stage = Stage(tmp_path)
+    stage = PlacerFixture(tmp_path)
     try:
         machines = [Machine(f"m-{number}") for number in range(3 * descriptor_budget.MAX_RECONNECTING)]
         placer = await stage.start(*machines, limits={"sockets": 1_024})
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -87,7 +87,7 @@
         await self.service.close()
 
 
-class Stage:
+class PlacerFixture:
     def __init__(self, path: Path) -> None:
         self.path = path
         self.machines: dict[str, Machine] = {}
@@ -118,7 +118,7 @@
         await self.coordinator.stop()
 
 
-async def ops(peer: Peer, *wanted: str) -> list[Json]:
+async def expect_ops(peer: Peer, *wanted: str) -> list[Json]:
     found = []
     for op in wanted:
         message = await peer.read()
@@ -133,10 +133,10 @@
         pass
 
 
-class Dials:
+class DelayedConnections:
     """Connections to machines: the first `prompt` come up at once, the others when `up` is set."""
 
-    def __init__(self, stage: Stage, monkeypatch: pytest.MonkeyPatch, prompt: int) -> None:
+    def __init__(self, stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch, prompt: int) -> None:
         self.prompt, self.begun = prompt, 0
         self.addresses = {machine.address for machine in stage.machines.values()}
         self.up = asyncio.Event()
