--- a/tests/failure_detector/test_detector_processes.py
+++ b/tests/failure_detector/test_detector_processes.py
@@ -24,7 +24,7 @@
 from kelpfront.failure_detector.config import parse_detector_config
 from kelpfront.lab.fleet.settings import ZONES
 from kelpfront.lab.fleet.watched import Deployment
-from kelpfront.platform.config import ConfigError, config_of
+from kelpfront.platform.config import ConfigError, parse_config
 
 LOSS_DETECTED_AFTER_S = 9.0  # a machine that is unresponsive for this long has been declared lost
 DEADLINE_S = 60.0  # for what takes 8 s on a host that is not busy
@@ -70,24 +70,24 @@
 @pytest.mark.parametrize(
     ("watchers", "message"),
     [
-        ("127.0.0.1:7", "a list of at most 16 is wanted"),
-        ([7], "HOST:PORT is wanted"),
-        (["there:7"], "an IPv4 address and a port are wanted"),
-        (["127.0.0.1:0"], "a port above 0 is wanted"),
-        (["127.0.0.1:7", "127.0.0.1:7"], "each is wanted once"),
-        ([f"127.0.0.1:{port}" for port in range(1, 18)], "a list of at most 16 is wanted"),
+        ("127.0.0.1:7", "expected a list of at most 16, got"),
+        ([7], "expected HOST:PORT, got"),
+        (["there:7"], "expected IPv4:PORT, got"),
+        (["127.0.0.1:0"], "expected a port above 0, got"),
+        (["127.0.0.1:7", "127.0.0.1:7"], "duplicate address in"),
+        ([f"127.0.0.1:{port}" for port in range(1, 18)], "expected a list of at most 16, got"),
     ],
 )
 def test_an_invalid_list_of_detectors_is_rejected_with_its_key(watchers: Any, message: str) -> None:
     with pytest.raises(ConfigError, match=f"^liveness: watchers: {message}"):
-        config_of(raw_config(liveness={"watchers": watchers}))
+        parse_config(raw_config(liveness={"watchers": watchers}))
 
 
 @pytest.mark.parametrize(
     ("table", "message"),
     [
         (None, "watch: expected a JSON object, got"),
-        ({}, "watch: listen: HOST:PORT is wanted"),
+        ({}, "watch: listen: expected HOST:PORT, got"),
         (
             {"listen": "127.0.0.1:7", "zones": ["nowhere"]},
             "watch: zones: expected a list of some of a, b, got",
@@ -119,9 +119,9 @@
         "import asyncio, json, sys\n"
         "from pathlib import Path\n"
         "from kelpfront.platform import __main__\n"
-        "from kelpfront.platform.config import config_of\n"
+        "from kelpfront.platform.config import parse_config\n"
         "from kelpfront.platform.service import Service\n"
-        "Service(Path(''), config_of(json.loads(sys.argv[1])))\n"
+        "Service(Path(''), parse_config(json.loads(sys.argv[1])))\n"
         "print(sorted(m for m in sys.modules if 'failure_detection' in m or 'watch' in m.split('.')[-1]))"
     )
     raw = raw_config() | ({"liveness": {"watchers": ["127.0.0.1:7"]}} if has_detectors else {})
--- a/tests/lab/test_lab_fleet.py
+++ b/tests/lab/test_lab_fleet.py
@@ -25,7 +25,7 @@
 from kelpfront.lab.fleet.proxy import FaultProxy
 from kelpfront.lab.fleet.settings import config_json, whole_list
 from kelpfront.lab.platform import event, member
-from kelpfront.platform.config import address_of
+from kelpfront.platform.config import parse_address
 from kelpfront.platform.discovery_client import DiscoveryClient
 from kelpfront.platform.poll_pacing import HEDGE_DELAY_MS, MAX_HEDGE_DELAY_MS, PollPacing
 from kelpfront.platform.timeouts import POLL_WAIT_MS
@@ -77,7 +77,7 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.index = 0
-        where = address_of(f"{address[0]}:{address[1]}", "coordinator")
+        where = parse_address(f"{address[0]}:{address[1]}", "coordinator")
         self.follower = DiscoveryClient(where, lambda: self.index, self.take, random.Random(1), 500.0)
 
     def take(self, raw: dict[str, int]) -> None:
@@ -229,7 +229,7 @@
     assert "coordinator lost" in killed.last_lines[-1] and not placer.alive
     assert (misled.life, misled.exit_code, misled.signal, misled.wanted) == (2, 2, "", False)
     (line,) = misled.last_lines
-    assert "HOST:PORT is wanted" in line and line in str(misled) and "exit code 2" in str(misled)
+    assert "expected HOST:PORT, got" in line and line in str(misled) and "exit code 2" in str(misled)
     assert (told.life, told.exit_code, told.signal, told.wanted) == (3, 0, "", True)
 
 
--- a/tests/platform/test_platform_config_and_events.py
+++ b/tests/platform/test_platform_config_and_events.py
@@ -6,11 +6,11 @@
 
 import platforms
 import pytest
-from core_stage import Stage
+from core_stage import CoreFixture
 from platforms import config
 
 from kelpfront.lab.platform import event, member
-from kelpfront.platform.config import ConfigError, config_of
+from kelpfront.platform.config import ConfigError, parse_config
 from kelpfront.platform.endpoint_events import InvalidEventError, parse_events
 from kelpfront.platform.messages import machine_id
 from kelpfront.scheduling.events import MachineState
@@ -30,7 +30,7 @@
 )
 def test_an_invalid_configuration_names_the_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError, match=key):
-        config_of(platforms.raw_config() | changes)
+        parse_config(platforms.raw_config() | changes)
 
 
 def test_events_are_parsed_and_invalid_ones_are_rejected_completely() -> None:
@@ -55,7 +55,7 @@
 
 
 def test_events_that_were_applied_are_not_applied_again() -> None:
-    stage = Stage()
+    stage = CoreFixture()
     drain = event(2, member("m-1", phase="Terminating"))
     stage.events({"index": 2, "updates": [drain]})
     stage.events({"index": 2, "updates": [event(1, member("m-1"), whole=True)]})
--- a/tests/platforms.py
+++ b/tests/platforms.py
@@ -14,13 +14,13 @@
 from waiting import until
 
 from kelpfront.lab.platform import Coordinator, Json, Machine, Peer, event, member
-from kelpfront.platform.config import Config, config_of
+from kelpfront.platform.config import Config, parse_config
 from kelpfront.platform.service import Service
 
 
 def info(**changes: Any) -> Json:
     """Return settings with a safe, a keyed and an unsafe class, and machines of one kind in two zones."""
-    plain = frames.info(RegistryMode="pushed", Shapes=["plain"], **changes)
+    plain = frames.start_record(RegistryMode="pushed", Shapes=["plain"], **changes)
     (keyed,) = plain["Categories"]
     plain["Categories"] = [
         keyed | {"Name": "easy", "Effect": "free"},
@@ -50,7 +50,7 @@
 
 
 def config(*members: Json, **changes: Any) -> Config:
-    return config_of(raw_config(*members, **changes))
+    return parse_config(raw_config(*members, **changes))
 
 
 class Placer:
@@ -58,7 +58,7 @@
 
     def __init__(self, path: Path, raw: Json) -> None:
         path.write_text(json.dumps(raw))
-        self.service = Service(path, config_of(raw))
+        self.service = Service(path, parse_config(raw))
         self.task: asyncio.Task[None] | None = None
         self.clients: list[Peer] = []
 
@@ -87,7 +87,7 @@
         await self.service.close()
 
 
-class Stage:
+class PlacerFixture:
     def __init__(self, path: Path) -> None:
         self.path = path
         self.machines: dict[str, Machine] = {}
@@ -118,7 +118,7 @@
         await self.coordinator.stop()
 
 
-async def ops(peer: Peer, *wanted: str) -> list[Json]:
+async def expect_ops(peer: Peer, *wanted: str) -> list[Json]:
     found = []
     for op in wanted:
         message = await peer.read()
@@ -133,10 +133,10 @@
         pass
 
 
-class Dials:
+class DelayedConnections:
     """Delays connections to machines: the first `prompt` open at once, the others once `up` is set."""
 
-    def __init__(self, stage: Stage, monkeypatch: pytest.MonkeyPatch, prompt: int) -> None:
+    def __init__(self, stage: PlacerFixture, monkeypatch: pytest.MonkeyPatch, prompt: int) -> None:
         self.prompt, self.begun = prompt, 0
         self.addresses = {machine.address for machine in stage.machines.values()}
         self.up = asyncio.Event()
--- a/tests/surfaces/surface_platform.py
+++ b/tests/surfaces/surface_platform.py
@@ -24,7 +24,7 @@
     """Acts as the client and the machine of a placer's core, and records all lines in the order sent."""
 
     def __init__(self) -> None:
-        config = platform_config.config_of(json.loads(golden("platform-config-full.json")))
+        config = platform_config.parse_config(json.loads(golden("platform-config-full.json")))
         self._core = PlacerCore(config, Scheduler(config.settings, SEED))
         self._now, self.lines = NOW, list[str]()
         self._core.apply_endpoint_events(NOW, *platform_events.parse_events(config.known, config))
@@ -72,7 +72,7 @@
 
     def drain_machine(self) -> None:
         """Deliver an endpoint list in which the machine is draining and another one is added."""
-        config = platform_config.config_of(json.loads(golden("platform-config-full.json")))
+        config = platform_config.parse_config(json.loads(golden("platform-config-full.json")))
         members = json.loads(golden("drain.json"))
         self.lines.append("the machine drains, another is listed")
         self._core.apply_endpoint_events(self._now, *platform_events.parse_events(members, config))
--- a/tests/surfaces/surface_published.py
+++ b/tests/surfaces/surface_published.py
@@ -79,12 +79,12 @@
 
 def platform_config_full_read() -> bytes:
     """Return the configuration of a placer with every key set to a value that is not its default."""
-    return as_json(platform_config.config_of(json.loads(golden("platform-config-full.json"))))
+    return as_json(platform_config.parse_config(json.loads(golden("platform-config-full.json"))))
 
 
 def platform_config_least_read() -> bytes:
     """Return the configuration of a placer with only the required keys, which shows the other defaults."""
-    return as_json(platform_config.config_of(json.loads(golden("platform-config-least.json"))))
+    return as_json(platform_config.parse_config(json.loads(golden("platform-config-least.json"))))
 
 
 def watch_config_full_read() -> bytes:
@@ -94,7 +94,7 @@
 def directory_read() -> bytes:
     """Return the events parsed from `known`, which has the form of the coordinator's answer."""
     raw = json.loads(golden("platform-config-full.json"))
-    return as_json(platform_events.parse_events(raw["known"], platform_config.config_of(raw)))
+    return as_json(platform_events.parse_events(raw["known"], platform_config.parse_config(raw)))
 
 
 def commands() -> bytes:
