--- a/kelpfront/controller/degradation.py
+++ b/kelpfront/controller/degradation.py
@@ -132,14 +132,14 @@
     The object has the controller's name.
 
     Attributes:
-        governor: decides which level applies and what is accepted at it.
+        degradation_controller: decides which level applies and what is accepted at it.
         process_load: the load of this process.
     """
 
     def __init__(
         self, cluster: Cluster, store: ResourceStore, name: str, settings: LevelSettings, seed: int
     ) -> None:
-        self.governor = DegradationController(settings, cluster.settings.classes, seed)
+        self.degradation_controller = DegradationController(settings, cluster.settings.classes, seed)
         self.process_load = ProcessLoad()
         self._classes = cluster.settings.classes
         self._mean_cores = cluster.settings.mean_cores
@@ -154,12 +154,12 @@
     @property
     def level(self) -> Level:
         """The level that applies now."""
-        return self.governor.level
+        return self.degradation_controller.level
 
     @property
     def policy(self) -> LevelPolicy:
         """The policy of the current level: what is done less often or not at all."""
-        return self.governor.policy
+        return self.degradation_controller.policy
 
     # ---- Jobs and tasks -------------------------------------------------------------------------------
 
@@ -169,7 +169,7 @@
         Raises:
             ApiError: 429; no part of the job was stored or sent.
         """
-        rejection = self.governor.decide_admission(now, request)
+        rejection = self.degradation_controller.decide_admission(now, request)
         if rejection is not None:
             cause = Cause(f"level:{self.level.api_name}", rejection.text, rejection.reason.value)
             raise ApiError(
@@ -183,54 +183,60 @@
 
     def on_accepted(self, job: Job, count: int) -> None:
         """Record that `count` tasks of a job were accepted and need an answer."""
-        self.governor.on_admitted(job.class_index, job.namespace, count)
+        self.degradation_controller.on_admitted(job.class_index, job.namespace, count)
 
     def on_withdrawn(self, job: Job) -> None:
         """Record that an unanswered task of the job was withdrawn."""
-        self.governor.on_withdrawn(job.class_index, job.namespace)
+        self.degradation_controller.on_withdrawn(job.class_index, job.namespace)
 
     def on_rejected_early(self, now: float, count: int) -> None:
         """Record tasks that were rejected before admission; they still count as demand."""
-        self.governor.on_rejected_elsewhere(now, count)
+        self.degradation_controller.on_rejected_before_admission(now, count)
 
     def on_answered(self, now: float, task: Task, state: TaskState) -> None:
         """Record that a task was answered."""
         job = task.job
         if not job.feasible:  # the refusal of a task that fits no machine is no sign of overload
-            self.governor.on_withdrawn(job.class_index, job.namespace)
+            self.degradation_controller.on_withdrawn(job.class_index, job.namespace)
             return
-        record = self.governor.on_placed if state is TaskState.PLACED else self.governor.on_not_placed
+        record = (
+            self.degradation_controller.on_placed
+            if state is TaskState.PLACED
+            else self.degradation_controller.on_not_placed
+        )
         record(now, AnsweredTask(job.class_index, job.namespace, now - task.created_at, job.timeout_ms))
 
     def on_offer_closed(self, now: float, task: Task, outcome: AttemptOutcome, reason: OutcomeReason) -> None:
         """Record that an offer was accepted, or that its attempt ended without acceptance."""
         if outcome in (AttemptOutcome.REJECTED, AttemptOutcome.ENDED):
             rejected_as_full = outcome is AttemptOutcome.REJECTED and reason in NO_CAPACITY
-            self.governor.on_offer_answered(now, task.job.class_index, rejected_as_full=rejected_as_full)
+            self.degradation_controller.on_offer_answered(
+                now, task.job.class_index, rejected_as_full=rejected_as_full
+            )
 
     def priority_rank(self, task: Task) -> int:
         """Return the priority rank of a task's class; the most important class ranks first."""
-        return self.governor.priority_order.rank_of_class[task.job.class_index]
+        return self.degradation_controller.priority_order.rank_of_class[task.job.class_index]
 
     def client_weight(self, namespace: str) -> float:
         """Return the fair-queueing weight of a namespace."""
-        return self.governor.load_shedder.owners.weight(namespace)
+        return self.degradation_controller.load_shedder.owners.weight(namespace)
 
     def placement_time_ms(self, task: Task, remaining_ms: float) -> float:
         """Return how long the scheduler may try to place a task.
 
         At reduced levels this is shorter than the remaining time, which limits the number of attempts.
         """
-        return self.governor.attempt_time_ms(task.job.class_index, remaining_ms)
+        return self.degradation_controller.attempt_time_ms(task.job.class_index, remaining_ms)
 
     # ---- Levels ---------------------------------------------------------------------------------------
 
     def observe(self, now: float, registry: MachineRegistry, open_share: float) -> list[LogLine]:
         """Evaluate the load, publish the level when due, and return log lines of a level change."""
-        change = self.governor.observe(
+        change = self.degradation_controller.observe(
             now, self.process_load.observe(now, registry, open_share, self._mean_cores)
         )
-        if self._pin is not None and self.governor.active_pin is None:
+        if self._pin is not None and self.degradation_controller.active_pin is None:
             self._pin = None
             self._generation += 1
             self._published_at = -math.inf
@@ -243,7 +249,7 @@
 
     def pin(self, now: float, level: Level | None, for_ms: float) -> list[LogLine]:
         """Pin a level for an operator, or unpin it if `level` is None; return log lines of a level change."""
-        change = self.governor.pin(now, level, for_ms)
+        change = self.degradation_controller.pin(now, level, for_ms)
         self._pin = None if level is None else {"level": level.api_name, "for": format_duration(for_ms)}
         self._pin_until = now + for_ms
         self._generation += 1
@@ -256,7 +262,9 @@
             "before": change.before.api_name,
             "after": change.after.api_name,
             "why": change.reason,
-            "symptoms": {name: round(value, 3) for name, value in self.governor.readings.items()},
+            "symptoms": {
+                name: round(value, 3) for name, value in self.degradation_controller.readings.items()
+            },
         }
         return LogLine("warning" if raised else "info", "level changed", fields)
 
@@ -290,21 +298,21 @@
         }
 
     def _status(self, now: float) -> Object:
-        governor = self.governor
-        state_machine = governor.state_machine
-        level = governor.level
+        controller = self.degradation_controller
+        state_machine = controller.state_machine
+        level = controller.level
         changes = list(state_machine.changes)[-PUBLISHED_CHANGES:]
         status: Object = {
             "level": level.api_name,
             "since": self._timestamp(now, state_machine.entered_at),
             "meaning": LEVEL_DESCRIPTIONS[level],
             "why": changes[-1].reason if changes else "the placer has started",
-            "givenUp": describe_restrictions(governor),
-            "leavesWhen": describe_exit_conditions(governor),
-            "calls": describe_active_signals(governor),
-            "symptoms": {name: round(value, 3) for name, value in governor.readings.items()},
+            "givenUp": describe_restrictions(controller),
+            "leavesWhen": describe_exit_conditions(controller),
+            "calls": describe_active_signals(controller),
+            "symptoms": {name: round(value, 3) for name, value in controller.readings.items()},
             "classes": self._class_statuses(),
-            "turnedAway": dict(governor.rejections_by_reason),
+            "turnedAway": dict(controller.rejections_by_reason),
             "changes": [self._change_status(now, change) for change in changes],
             "changesInHour": state_machine.changes_in_last_hour,
             "changesMost": state_machine.max_changes_per_hour,
@@ -314,23 +322,23 @@
         return status
 
     def _timestamp(self, now: float, at: float) -> str:
-        """Return the timestamp of a time on the governor's clock of elapsed milliseconds."""
-        return timestamp(now - (self.governor.elapsed_ms - at))
+        """Return the timestamp of a time on the degradation controller's clock of elapsed milliseconds."""
+        return timestamp(now - (self.degradation_controller.elapsed_ms - at))
 
     def _class_statuses(self) -> list[Object]:
-        governor = self.governor
-        placement_rate = governor.signals.placement_rate(governor.elapsed_ms)
+        controller = self.degradation_controller
+        placement_rate = controller.signals.placement_rate(controller.elapsed_ms)
         classes = []
         for number, cls in enumerate(self._classes):
-            rank = governor.priority_order.rank_of_class[number]
+            rank = controller.priority_order.rank_of_class[number]
             status: Object = {
                 "name": cls.name,
                 "rank": rank,
-                "essential": governor.priority_order.is_essential(number),
-                "waiting": governor.backlog.count_of_class(number),
+                "essential": controller.priority_order.is_essential(number),
+                "waiting": controller.backlog.count_of_class(number),
             }
-            if governor.level is not Level.FULL:
-                status["places"] = math.ceil(governor.load_shedder.queue_limit(rank, placement_rate))
+            if controller.level is not Level.FULL:
+                status["places"] = math.ceil(controller.load_shedder.queue_limit(rank, placement_rate))
             classes.append(status)
         return classes
 
--- a/kelpfront/controller/operations.py
+++ b/kelpfront/controller/operations.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Written:
+class WriteResult:
     """An object after a write; `created` is False if an earlier identical request had created the object."""
 
     stored: StoredObject
@@ -75,7 +75,7 @@
     """The API operations of one controller.
 
     Attributes:
-        closed: why no jobs are accepted; empty if they are accepted.
+        rejection_message: why no jobs are accepted; empty if they are accepted.
         starting: whether machines have yet to report which tasks they run.
         first_tries: the number of submissions that were not retries, according to their clients.
         retries: the number of submissions that were retries.
@@ -86,12 +86,12 @@
         self._controller = controller
         self._now = now
         self._rng = rng
-        self.closed = ""
+        self.rejection_message = ""
         self.starting = False
         self.first_tries = 0
         self.retries = 0
 
-    def count_try(self, attempt_number: str) -> bool:
+    def count_submission(self, attempt_number: str) -> bool:
         """Count a submission, and return whether it is a retry by the attempt number that its client sent."""
         is_number = attempt_number.isascii() and attempt_number.isdigit()
         is_retry = is_number and int(attempt_number[:MAX_ATTEMPT_NUMBER_DIGITS]) > 0
@@ -114,12 +114,12 @@
             ApiError: 404 if there is no such object, 503 if that is not known yet.
         """
         if self.starting and resource is JOBS and self.store.find(resource, key) is None:
-            raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
+            raise ApiError(503, self.rejection_message, retry_after_s=RETRY_AFTER_S)
         return self.store.get(resource, key)
 
     # ---- Jobs -----------------------------------------------------------------------------------------
 
-    def check_open(self, received_at: float) -> None:
+    def check_overload(self, received_at: float) -> None:
         """Check, before a request's body is read, that work is accepted; raise ApiError 503 if it is not."""
         reason = overload_reason(self._now(), received_at)
         if reason:
@@ -127,7 +127,7 @@
 
     def create_job(
         self, namespace: str, data: Object, origin: RequestOrigin, validation: FieldValidation = "Strict"
-    ) -> Written:
+    ) -> WriteResult:
         """Accept a job, or return the job that was created earlier with the same client token."""
         self._check_namespace(namespace)
         job, warnings = decode(JOB_INPUT, JOBS, data, validation)
@@ -135,9 +135,9 @@
         existing = self._find_by_token(namespace, job.spec)
         if existing is not None:
             self._check_same_job(existing, job)
-            return Written(existing, warnings=warnings)
-        if self.closed:
-            raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
+            return WriteResult(existing, warnings=warnings)
+        if self.rejection_message:
+            raise ApiError(503, self.rejection_message, retry_after_s=RETRY_AFTER_S)
         name = self._name(namespace, job)
         self._controller.check_spec(name, job.spec)
         now = self._now()
@@ -153,7 +153,7 @@
             timeout_starts_at(arrival),
             origin.is_retry,
         )
-        return Written(self._controller.submit(now, submission), created=True, warnings=warnings)
+        return WriteResult(self._controller.submit(now, submission), created=True, warnings=warnings)
 
     def _find_by_token(self, namespace: str, spec: JobSpec) -> StoredObject | None:
         if spec.client_token is None:
@@ -208,14 +208,14 @@
         data: Object,
         received_at: float,
         validation: FieldValidation = "Strict",
-    ) -> Written:
+    ) -> WriteResult:
         """Replace a job's spec, labels and annotations."""
         stored = self.store.get(JOBS, (namespace, name))
         job, warnings = decode(JOB_INPUT, JOBS, data, validation)
         self._check_metadata(JOBS, job.metadata, namespace, name)
         self.store.check_revision(JOBS, stored, job.metadata.resource_version)
         updated = self._update_job(stored, job.spec, job.metadata, received_at)
-        return Written(updated, warnings=warnings)
+        return WriteResult(updated, warnings=warnings)
 
     def patch_job(
         self,
@@ -224,7 +224,7 @@
         patch: Any,
         received_at: float,
         validation: FieldValidation = "Strict",
-    ) -> Written:
+    ) -> WriteResult:
         """Change a job's spec, labels and annotations by a JSON merge patch."""
         stored = self.store.get(JOBS, (namespace, name))
         merged = self._apply_patch(JOBS, stored, patch)
@@ -232,13 +232,13 @@
         self._check_metadata(JOBS, job.metadata, namespace, name)
         self.store.check_revision(JOBS, stored, job.metadata.resource_version)
         updated = self._update_job(stored, job.spec, job.metadata, received_at)
-        return Written(updated, warnings=warnings)
+        return WriteResult(updated, warnings=warnings)
 
     def _update_job(
         self, stored: StoredObject, spec: JobSpec, metadata: ObjectMeta, received_at: float
     ) -> StoredObject:
-        if self.closed and spec.count > stored.body["spec"]["count"]:
-            raise ApiError(503, self.closed, retry_after_s=RETRY_AFTER_S)
+        if self.rejection_message and spec.count > stored.body["spec"]["count"]:
+            raise ApiError(503, self.rejection_message, retry_after_s=RETRY_AFTER_S)
         update = JobUpdate(spec, metadata.labels or {}, metadata.annotations or {}, received_at)
         return self._controller.update(self._now(), stored.key, update)
 
@@ -255,17 +255,17 @@
 
     # ---- Machines -------------------------------------------------------------------------------------
 
-    def replace_machine(self, name: str, data: Object, validation: FieldValidation = "Strict") -> Written:
+    def replace_machine(self, name: str, data: Object, validation: FieldValidation = "Strict") -> WriteResult:
         """Replace a machine's spec, in which only `unschedulable` may change."""
         stored = self.store.get(MACHINES, ("", name))
         return self._write_machine(stored, data, validation)
 
-    def patch_machine(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> Written:
+    def patch_machine(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> WriteResult:
         """Change a machine's `unschedulable` by a JSON merge patch."""
         stored = self.store.get(MACHINES, ("", name))
         return self._write_machine(stored, self._apply_patch(MACHINES, stored, patch), validation)
 
-    def _write_machine(self, stored: StoredObject, data: Object, validation: FieldValidation) -> Written:
+    def _write_machine(self, stored: StoredObject, data: Object, validation: FieldValidation) -> WriteResult:
         """Write a machine's spec, in which only `unschedulable` may change; it drains the machine."""
         machine, warnings = decode(MACHINE_INPUT, MACHINES, data, validation)
         self._check_metadata(MACHINES, machine.metadata, "", stored.name)
@@ -279,18 +279,18 @@
         if causes:
             raise invalid(MACHINES, stored.name, causes)
         if machine.spec.unschedulable == old["unschedulable"]:
-            return Written(stored, warnings=warnings)
+            return WriteResult(stored, warnings=warnings)
         cordoned = self._controller.cordon(self._now(), stored.name, unschedulable=machine.spec.unschedulable)
-        return Written(cordoned, warnings=warnings)
+        return WriteResult(cordoned, warnings=warnings)
 
     # ---- Levels ---------------------------------------------------------------------------------------
 
-    def replace_level(self, name: str, data: Object, validation: FieldValidation = "Strict") -> Written:
+    def replace_level(self, name: str, data: Object, validation: FieldValidation = "Strict") -> WriteResult:
         """Replace a level's spec: pin or unpin the level."""
         stored = self.store.get(LEVELS, ("", name))
         return self._write_level(stored, data, validation)
 
-    def patch_level(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> Written:
+    def patch_level(self, name: str, patch: Any, validation: FieldValidation = "Strict") -> WriteResult:
         """Change a level's pin by a JSON merge patch; a pin in the patch restarts its duration."""
         stored = self.store.get(LEVELS, ("", name))
         merged = self._apply_patch(LEVELS, stored, patch)
@@ -299,7 +299,7 @@
 
     def _write_level(
         self, stored: StoredObject, data: Object, validation: FieldValidation, *, renew: bool = False
-    ) -> Written:
+    ) -> WriteResult:
         """Write a level's spec. Only the pin can be changed through the API.
 
         Writing an unchanged pin has no effect, unless `renew` is set, which restarts its duration.
@@ -312,11 +312,11 @@
         new_pin = None if pin is None else pin.model_dump(by_alias=True)
         renews_pin = renew and pin is not None
         if new_pin == current_pin and not renews_pin:
-            return Written(stored, warnings=warnings)
+            return WriteResult(stored, warnings=warnings)
         level_to_pin = None if pin is None else Level.from_api_name(pin.level)
         for_ms = 0.0 if pin is None else parse_duration(pin.for_)
         pinned = self._controller.pin_level(self._now(), level_to_pin, for_ms)
-        return Written(pinned, warnings=warnings)
+        return WriteResult(pinned, warnings=warnings)
 
     # ---- Checks shared by all resources ---------------------------------------------------------------
 
--- a/kelpfront/controller/stop_requests.py
+++ b/kelpfront/controller/stop_requests.py
@@ -30,10 +30,10 @@
     def __len__(self) -> int:
         return len(self._attempts)
 
-    def request(self, host: str, task_uid: str, attempt_number: int, why: str) -> None:
+    def request(self, host: str, task_uid: str, attempt_number: int, reason: str) -> None:
         """Request that a machine stops a task; the request is kept until it is confirmed."""
         self._attempts[InstanceKey(host, task_uid)] = attempt_number
-        self._send(host, task_uid, attempt_number, why)
+        self._send(host, task_uid, attempt_number, reason)
 
     def confirm(self, host: str, task_uid: str) -> None:
         """Discard a request that the machine has received, or whose task has ended there."""
@@ -51,6 +51,6 @@
         for key in obsolete:
             del self._attempts[key]
 
-    def _send(self, host: str, task_uid: str, attempt_number: int, why: str = "") -> None:
-        stop = StopRequest(self._controller_name, task_uid, attempt_number, why)
+    def _send(self, host: str, task_uid: str, attempt_number: int, reason: str = "") -> None:
+        stop = StopRequest(self._controller_name, task_uid, attempt_number, reason)
         self._intents.append(SendStop(host, stop))
--- a/kelpfront/degradation/controller.py
+++ b/kelpfront/degradation/controller.py
@@ -169,7 +169,7 @@
             self.rejections_by_reason[reason] = self.rejections_by_reason.get(reason, 0) + 1
         return rejection
 
-    def on_rejected_elsewhere(self, now: float, task_count: int) -> None:
+    def on_rejected_before_admission(self, now: float, task_count: int) -> None:
         """Count tasks that were requested for the first time and rejected before the admission decision."""
         self.signals.on_requested(self.advance_clock(now), task_count)
 
--- a/kelpfront/fronts/grpc/job_submission.py
+++ b/kelpfront/fronts/grpc/job_submission.py
@@ -29,7 +29,7 @@
     Raises:
         ApiError: if the job is not accepted.
     """
-    operations.check_open(origin.received_at)
+    operations.check_overload(origin.received_at)
     refuse_unknown(request.spec, "spec", request.metadata.name)
     data = job_data(request.metadata, request.spec)
     written = operations.create_job(namespace, data, origin)
--- a/kelpfront/fronts/grpc/jobs_service.py
+++ b/kelpfront/fronts/grpc/jobs_service.py
@@ -32,7 +32,7 @@
     ) -> pb.SubmitResponse:
         """Submit a job, or find it by its client token."""
         sent_at = read_sent_at(context)
-        is_retry = self._operations.count_try(read_metadata(context, ATTEMPT_KEY))
+        is_retry = self._operations.count_submission(read_metadata(context, ATTEMPT_KEY))
 
         def submit(received_at: float) -> pb.SubmitResponse:
             origin = RequestOrigin(received_at, sent_at, is_retry)
--- a/kelpfront/fronts/rest/collection_requests.py
+++ b/kelpfront/fronts/rest/collection_requests.py
@@ -63,8 +63,8 @@
     def _create(self, request: Request, namespace: str) -> Response:
         reject_dry_run(request)
         received_at = self._environment.common_time(request.received_at)
-        is_retry = self._operations.count_try(request.headers.get(ATTEMPT_HEADER, ""))
-        self._operations.check_open(received_at)
+        is_retry = self._operations.count_submission(request.headers.get(ATTEMPT_HEADER, ""))
+        self._operations.check_overload(received_at)
         data = read_body(request, JSON)
         origin = RequestOrigin(received_at, read_sent_at(request), is_retry)
         written = self._operations.create_job(namespace, data, origin, read_validation(request))
--- a/kelpfront/fronts/rest/object_requests.py
+++ b/kelpfront/fronts/rest/object_requests.py
@@ -5,7 +5,7 @@
 from kelpfront.api.decode import FieldValidation, parse_json
 from kelpfront.api.errors import success
 from kelpfront.api.meta import JOBS, LEVELS, Object
-from kelpfront.controller.operations import Operations, Written
+from kelpfront.controller.operations import Operations, WriteResult
 from kelpfront.fronts.rest.environment import RestEnvironment
 from kelpfront.fronts.rest.parameters import JSON, MERGE_PATCH, read_body, read_validation, reject_dry_run
 from kelpfront.fronts.rest.paths import ResourcePath
@@ -49,7 +49,7 @@
 
     def _replace(
         self, request: Request, path: ResourcePath, data: Object, validation: FieldValidation
-    ) -> Written:
+    ) -> WriteResult:
         operations = self._operations
         if path.resource is JOBS:
             received_at = self._environment.common_time(request.received_at)
@@ -60,7 +60,7 @@
 
     def _patch(
         self, request: Request, path: ResourcePath, patch: Object, validation: FieldValidation
-    ) -> Written:
+    ) -> WriteResult:
         operations = self._operations
         if path.resource is JOBS:
             received_at = self._environment.common_time(request.received_at)
--- a/kelpfront/fronts/rest/responses.py
+++ b/kelpfront/fronts/rest/responses.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from kelpfront.api.errors import ApiError
-from kelpfront.controller.operations import Written
+from kelpfront.controller.operations import WriteResult
 from kelpfront.http.messages import Response
 
 PLAIN_TEXT = "text/plain; charset=utf-8"
@@ -18,7 +18,7 @@
     return Response(status, msgspec.json.encode(data))
 
 
-def written_response(status: int, written: Written) -> Response:
+def written_response(status: int, written: WriteResult) -> Response:
     """Return the response to a write: the stored object, and warnings in headers."""
     headers = [("warning", f'299 - "{warning}"'.replace("\n", " ")) for warning in written.warnings]
     return Response(status, written.stored.encoded, headers=headers)
--- a/kelpfront/lab/fronts.py
+++ b/kelpfront/lab/fronts.py
@@ -92,7 +92,7 @@
     service = PlacerService(config, inventory, options=PlacerOptions(seed=seed, clock=clock))
     try:
         await service.start()
-        while service.operations.closed:  # noqa: ASYNC110 - opened by another task
+        while service.operations.rejection_message:  # noqa: ASYNC110 - opened by another task
             await asyncio.sleep(0.01)
         yield service, recorder
     finally:
--- a/kelpfront/lab/placersim.py
+++ b/kelpfront/lab/placersim.py
@@ -401,14 +401,14 @@
     def _hook(self) -> None:
         """Lets the experiment hear of answers, and set the levels' clock."""
         levelling = self.controller.degradation
-        answered, elapsed = levelling.on_answered, levelling.governor.advance_clock
+        answered, elapsed = levelling.on_answered, levelling.degradation_controller.advance_clock
 
         def told(now: float, task: Task, state: TaskState) -> None:
             answered(now, task, state)
             self.on_answer(now, task, state)
 
         levelling.on_answered = told  # type: ignore[method-assign]
-        levelling.governor.advance_clock = lambda now: elapsed(now + self.skew_ms)  # type: ignore[method-assign]
+        levelling.degradation_controller.advance_clock = lambda now: elapsed(now + self.skew_ms)  # type: ignore[method-assign]
 
     def kill(self) -> None:
         self.up = False
--- a/kelpfront/lab/timeline/emulation.py
+++ b/kelpfront/lab/timeline/emulation.py
@@ -196,7 +196,7 @@
             await service.start()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(READY_WITHIN_S):
-                while service.operations.closed:  # noqa: ASYNC110 - virtual time
+                while service.operations.rejection_message:  # noqa: ASYNC110 - virtual time
                     await asyncio.sleep(0.01)
 
     def _record_ends(self, service: PlacerService) -> None:
--- a/kelpfront/lab/wrongplacers.py
+++ b/kelpfront/lab/wrongplacers.py
@@ -276,9 +276,11 @@
         super().__init__(*args, **more)
         request = self.context.stops.request
 
-        def requested(host: str, task_uid: str, attempt_number: int, why: str) -> None:
+        def requested(host: str, task_uid: str, attempt_number: int, reason: str) -> None:
             now = self.context.driver.scheduler._context.now
-            self.context.timers.set(now + 10_000.0, lambda then: request(host, task_uid, attempt_number, why))
+            self.context.timers.set(
+                now + 10_000.0, lambda then: request(host, task_uid, attempt_number, reason)
+            )
 
         self.context.stops.request = requested  # type: ignore[method-assign]
 
--- a/kelpfront/service/placer.py
+++ b/kelpfront/service/placer.py
@@ -74,7 +74,7 @@
         )
         self._trace_finished_tasks()
         self.operations = Operations(self.controller, self.clock.now, rng)
-        self.operations.closed = STARTING
+        self.operations.rejection_message = STARTING
         self.operations.starting = True
         self.links = MachineLinks(LinkContext(self.controller, self.clock.now, self.notify_changed, rng))
         self._control_loop = ControlLoop(self.controller, self.clock.now, self.links)
@@ -141,7 +141,7 @@
 
     def health(self) -> Health:
         """Return whether the placer accepts jobs."""
-        return Health(ready=self.operations.closed)
+        return Health(ready=self.operations.rejection_message)
 
     def notify_changed(self) -> None:
         """Execute the controller's intents soon. Must be called after each report to the controller."""
@@ -204,7 +204,7 @@
         self.operations.starting = False
         if self._is_stopping:
             return
-        self.operations.closed = ""
+        self.operations.rejection_message = ""
         if self.grpc is not None:
             await self.grpc.set_ready(ready=True)
         reconciled = sum(entry.reconciled for entry in entries.values())
@@ -215,7 +215,7 @@
         if self._is_stopping:
             return
         self._is_stopping = True
-        self.operations.closed = STOPPING
+        self.operations.rejection_message = STOPPING
         if self.grpc is not None:
             await self.grpc.set_ready(ready=False)
         log.info("placer stopping", open_tasks=self.controller.open_tasks)
--- a/tests/agent/test_agent_cluster.py
+++ b/tests/agent/test_agent_cluster.py
@@ -43,7 +43,7 @@
         service = PlacerService(config, Inventory("test", hosts), options=options)
         self.placers.append(service)
         await service.start()
-        await until(lambda: not service.operations.closed)
+        await until(lambda: not service.operations.rejection_message)
         await until(lambda: all(entry.load for entry in service.controller.registry.entries.values()))
         client = Client(service.url, seed=1)
         self.clients.append(client)
--- a/tests/client/test_clients.py
+++ b/tests/client/test_clients.py
@@ -246,10 +246,10 @@
 @BOTH
 async def test_a_refusal_that_allows_it_is_retried_and_marked_as_a_retry(protocol: str) -> None:
     async with served(protocol) as (_, service, client):
-        service.operations.closed = "busy"
+        service.operations.rejection_message = "busy"
         submitting = asyncio.create_task(client.submit("climate", spec(), deadline_s=20.0))
         await until(lambda: service.operations.first_tries == 1)
-        service.operations.closed = ""
+        service.operations.rejection_message = ""
         assert (await submitting).metadata.uid
         assert (service.operations.first_tries, service.operations.retries) == (1, 1)
         assert client.retry_policy.counts.retries == 1
@@ -258,7 +258,7 @@
 @BOTH
 async def test_no_attempt_is_made_beyond_the_deadline(protocol: str) -> None:
     async with served(protocol) as (_, service, client):
-        service.operations.closed = "busy"
+        service.operations.rejection_message = "busy"
         loop = asyncio.get_running_loop()
         began = loop.time()
         with pytest.raises(ApiError) as caught:
--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -112,7 +112,7 @@
         )
         self.placers.append(service)
         await service.start()
-        await until(lambda: not service.operations.closed)
+        await until(lambda: not service.operations.rejection_message)
         await until(
             lambda: all(e.load is not None for e in service.controller.registry.entries.values() if e.boot)
         )
--- a/tests/degradation/test_levels_service.py
+++ b/tests/degradation/test_levels_service.py
@@ -229,7 +229,7 @@
         await until(lambda: service.controller.degradation.process_load.memory_share > 1.0)
         await until(lambda: level_name(service) == "holding")
         assert "memory" in level_object(service)["status"]["why"]
-    controller = service.controller.degradation.governor
+    controller = service.controller.degradation.degradation_controller
     observation = OverloadObservation(timer_lag_ms=300.0)
     assert controller.signals.readings(controller.elapsed_ms, observation)["lag"] == 300.0
 
