--- a/kelpfront/agent/adoption.py
+++ b/kelpfront/agent/adoption.py
@@ -52,8 +52,8 @@
             self._idempotency_records.remove_machine(self.node.settings.name, uids)
         for record, folder in open_tasks:
             # A record recovered from a damaged state may be of a task whose folder has already been removed.
-            is_doubtful = stored.quarantine is not None and not folder.exists()
-            self.adopt(now, record, folder, is_doubtful=is_doubtful)
+            may_be_outdated = stored.quarantine is not None and not folder.exists()
+            self.adopt(now, record, folder, may_be_outdated=may_be_outdated)
 
     def _adopt_records(self, stored: StoredState) -> list[OpenTask]:
         """Adopt the tasks that are recorded as ended, and return the others."""
@@ -100,14 +100,13 @@
             )
             return None
 
-    def adopt(self, now: float, record: TaskRecord, folder: Path, *, is_doubtful: bool) -> None:
+    def adopt(self, now: float, record: TaskRecord, folder: Path, *, may_be_outdated: bool) -> None:
         """Adopt one task that is not recorded as ended.
 
-        `is_doubtful` is whether its record may be outdated: then a missing folder does not prove that it was
-        never started.
+        If its record `may_be_outdated`, a missing folder does not prove that it was never started.
         """
         inspection = self._inspect(record, folder)
-        state = RecoveredState.ENDED_UNOBSERVED if is_doubtful else classify(inspection.evidence)
+        state = RecoveredState.ENDED_UNOBSERVED if may_be_outdated else classify(inspection.evidence)
         if state is RecoveredState.UNCLAIMED:
             try:
                 void_start(folder)
--- a/kelpfront/agent/service.py
+++ b/kelpfront/agent/service.py
@@ -246,7 +246,7 @@
     # ---- While it runs --------------------------------------------------------------------------------
 
     def _on_change(self) -> None:
-        self.server.changed()
+        self.server.apply_effects()
 
     def _set_draining(self, *, draining: bool) -> None:
         """Begin or end a drain, which persists across restarts.
@@ -261,7 +261,7 @@
     def _record_acknowledged(self, tasks: list[str]) -> None:
         keys = []
         for task in tasks:
-            ended = self.node.ended(task)
+            ended = self.node.ended_task(task)
             if ended is not None:
                 keys.append(TaskKey(task, ended.report.offer.attempt))
         self._state.record_acknowledged(keys)
@@ -276,8 +276,8 @@
         """Stop the tasks of placers that have not reconnected within the timeout."""
         now = self.clock.now()
         owners = {active.placer for active in self.node.tasks.values()}
-        for placer in self._orphan_detector.expired_placers(now, owners, self.server.connected):
-            count = self.node.stop_tasks_of(now, placer, "lost")
+        for placer in self._orphan_detector.expired_placers(now, owners, self.server.connected_placers):
+            count = self.node.stop_placer_tasks(now, placer, "lost")
             if count:
                 self._orphaned += count
                 log.warning("orphaned tasks stopped", placer=placer, tasks=count)
--- a/kelpfront/agent/status.py
+++ b/kelpfront/agent/status.py
@@ -99,7 +99,7 @@
             warm=round(node.settings.slow_start.share_at(age_ms), 3),
             tasks=dict(phases),
             load=node.load(),
-            placers=sorted(self._server.connected),
+            placers=sorted(self._server.connected_placers),
             ready_ms=round(progress.ready_ms, 1),
             found=dict(progress.found_states),
             starts=self._context.forkserver.forked_count,
--- a/kelpfront/agent/task_completion.py
+++ b/kelpfront/agent/task_completion.py
@@ -75,7 +75,7 @@
 
     def _reported_cause(self, run: TaskRun) -> GoneCause:
         """Return the cause that the node has reported to the task's placer."""
-        ended = self._context.node.ended(run.task)
+        ended = self._context.node.ended_task(run.task)
         if ended is None or ended.report.cause is None:
             return "ended"
         return ended.report.cause
@@ -83,7 +83,7 @@
     def _record_end(self, run: TaskRun, end: TaskEnd, *, has_record: bool) -> None:
         """Record a task's end, and trigger the sending of the node's reports."""
         self._runs.remove(run)
-        ended = self._context.node.ended(run.task)
+        ended = self._context.node.ended_task(run.task)
         run.record.end = end
         run.record.end_seq = 0 if ended is None else ended.seq
         if has_record:
--- a/kelpfront/lab/standin.py
+++ b/kelpfront/lab/standin.py
@@ -301,7 +301,7 @@
     def drain(self, on: bool) -> None:
         if self.server is not None:
             self.node.set_draining(self.now(), draining=on)
-            self.server.changed()
+            self.server.apply_effects()
 
     def neighbour(self, share: float) -> None:
         """Another program takes a share of the machine."""
@@ -410,13 +410,13 @@
             held.offer.memory * model.memory_use * self.rng.uniform(0.7, 1.3),
         )
         self.node.started(self.now(), task)
-        self.server.changed()
+        self.server.apply_effects()
         self._later(life_ms / 1000.0, self._exit, task)
 
     def _fail(self, task: str) -> None:
         assert self.server is not None
         self.node.start_unconfirmed(self.now(), task, "the class fails here")
-        self.server.changed()
+        self.server.apply_effects()
 
     def _exit(self, task: str) -> None:
         assert self.server is not None
@@ -427,7 +427,7 @@
             return
         self.record("end", task=task, attempt=held.offer.attempt, cause=held.cause)
         self.node.exited(self.now(), task, 0 if held.cause == "ended" else None)
-        self.server.changed()
+        self.server.apply_effects()
 
     def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
         offer = superseding.offer
@@ -460,7 +460,7 @@
                 self.node.report_status(Note(task, held.offer.attempt, "cores", round(use[0], 3)))
                 self.node.report_status(Note(task, held.offer.attempt, "memory", round(use[1], 3)))
         self._note_service()
-        self.server.changed()
+        self.server.apply_effects()
 
     def _note_service(self) -> None:
         capacity = self.settings.capacity
--- a/kelpfront/lab/wrongagents.py
+++ b/kelpfront/lab/wrongagents.py
@@ -29,8 +29,8 @@
 
 
 class _EagerAdoption(TaskAdoption):
-    def adopt(self, now: float, record: TaskRecord, folder: Path, *, is_doubtful: bool) -> None:
-        super().adopt(now, record, folder, is_doubtful=is_doubtful)
+    def adopt(self, now: float, record: TaskRecord, folder: Path, *, may_be_outdated: bool) -> None:
+        super().adopt(now, record, folder, may_be_outdated=may_be_outdated)
         if record.end is None and record.request.offer.task in self.node.tasks:
             run = TaskRun(record, folder.with_name(f"{folder.name}.again"))
             self.runtime.launch(run)
@@ -54,7 +54,7 @@
 
 
 class _DenyingAdoption(TaskAdoption):
-    def adopt(self, now: float, record: TaskRecord, folder: Path, *, is_doubtful: bool) -> None:
+    def adopt(self, now: float, record: TaskRecord, folder: Path, *, may_be_outdated: bool) -> None:
         self.record_end(record, folder, TaskEnd("failed", False, message="never ran"))
 
 
--- a/kelpfront/machine/node.py
+++ b/kelpfront/machine/node.py
@@ -136,7 +136,7 @@
         self.advance(now)
         return StopReply("stopped")
 
-    def stop_tasks_of(self, now: float, placer: str, cause: GoneCause) -> int:
+    def stop_placer_tasks(self, now: float, placer: str, cause: GoneCause) -> int:
         """Stop all tasks of a placer that has failed; returns the number of tasks."""
         tasks = [task for task in self._tasks.of_placer(placer) if task.phase is not Phase.STOPPING]
         for task in tasks:
@@ -322,6 +322,6 @@
         """The services whose program is on the machine; the first start of any other service takes longer."""
         return self._start_queue.programs.services()
 
-    def ended(self, task: str) -> EndedTask | None:
+    def ended_task(self, task: str) -> EndedTask | None:
         """Return the record of an ended task, or None if it is unknown or no longer kept."""
         return self._report_log.ended.get(task)
--- a/kelpfront/machine/server.py
+++ b/kelpfront/machine/server.py
@@ -1,7 +1,7 @@
 """The HTTP server of a machine: it serves the protocol of `messages` for a `Node`.
 
 The server carries out the node's effects, runs its timer and serves the placers' offers, stops and streams. A
-`TaskRuntime` runs the tasks; it reports their starts and ends to the node and then calls `changed`.
+`TaskRuntime` runs the tasks; it reports their starts and ends to the node and then calls `apply_effects`.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
         self.closed = asyncio.Event()
 
     @property
-    def connected(self) -> frozenset[str]:
+    def connected_placers(self) -> frozenset[str]:
         """The placers whose stream is open."""
         return frozenset(self._streams)
 
@@ -93,7 +93,7 @@
 
     # ---- The node's effects and timer ---------------------------------------------------------------------
 
-    def changed(self) -> None:
+    def apply_effects(self) -> None:
         """Carry out the node's effects and reset its timer; call this after each report to the node."""
         while effects := self.node.pop_effects():  # a runtime may report at once, which adds effects
             for effect in effects:
@@ -133,7 +133,7 @@
     def _advance(self) -> None:
         self._timer = None
         self.node.advance(self._now())
-        self.changed()
+        self.apply_effects()
 
     # ---- Requests -----------------------------------------------------------------------------------------
 
@@ -157,7 +157,7 @@
     def stop(self, request: StopRequest) -> StopReply:
         """Handle a placer's request to stop a task."""
         reply = self.node.stop(self._now(), request)
-        self.changed()
+        self.apply_effects()
         return reply
 
     async def answer_offer(self, offered: OfferRequest, request: Request) -> Answer:
@@ -172,7 +172,7 @@
         key = OfferKey(offered.offer.task, offered.offer.attempt)
         future = self._waiters.add(key)
         self.node.offer(self._now(), offered)
-        self.changed()
+        self.apply_effects()
         if future.done():
             return future.result()
         stop_watching = request.peer.on_change(lambda: self._abandon(key, future))
@@ -185,7 +185,7 @@
         nobody_waits = self._waiters.cancel(key, future)
         if nobody_waits:
             self.node.abandon(self._now(), key.task, key.attempt)
-            self.changed()
+            self.apply_effects()
 
     # ---- The stream ---------------------------------------------------------------------------------------
 
--- a/kelpfront/machine/stream_offset.py
+++ b/kelpfront/machine/stream_offset.py
@@ -32,7 +32,7 @@
         self._next_seq = 0
 
     @property
-    def resume(self) -> ResumePoint | None:
+    def resume_point(self) -> ResumePoint | None:
         """The point to resume from, or None if the stream has to start with a snapshot.
 
         A stream that breaks between a `Hello` that does not resume and its snapshot must not be resumed: the
--- a/kelpfront/service/stream_session.py
+++ b/kelpfront/service/stream_session.py
@@ -27,7 +27,7 @@
     @property
     def resume_point(self) -> ResumePoint | None:
         """The offset at which the next connection resumes; None if the stream must start anew."""
-        return self._offset.resume
+        return self._offset.resume_point
 
     def receive(self, message: StreamMessage) -> None:
         """Pass a message to the controller unless it was received before the last break.
--- a/tests/agent/test_node_restoration.py
+++ b/tests/agent/test_node_restoration.py
@@ -63,20 +63,20 @@
 
 def test_a_stream_is_resumed_after_the_last_accepted_message() -> None:
     offset = StreamOffset()
-    assert offset.resume is None
+    assert offset.resume_point is None
     assert offset.accept(Hello("b1", 0.0, "small", 500.0, resumed=False, next_seq=7))
-    assert offset.resume is None, "the snapshot was not received yet"
+    assert offset.resume_point is None, "the snapshot was not received yet"
     assert offset.accept(Snapshot(6, ()))
-    assert offset.resume == ("b1", 7)
+    assert offset.resume_point == ("b1", 7)
     assert offset.accept(Taken(7, "t", 0, running=True))
     assert not offset.accept(Taken(7, "t", 0, running=True))
-    assert offset.resume == ("b1", 8)
+    assert offset.resume_point == ("b1", 8)
     with pytest.raises(ValueError, match="message 10 came where 8"):
         offset.accept(Gone(10, "t", 0, "ended", ran=True))
     assert offset.accept(Hello("b1", 0.0, "small", 500.0, resumed=True, next_seq=8))
-    assert offset.resume == ("b1", 8)
+    assert offset.resume_point == ("b1", 8)
     assert offset.accept(Hello("b2", 0.0, "small", 500.0, resumed=False, next_seq=1))
-    assert offset.resume is None
+    assert offset.resume_point is None
 
 
 def test_a_later_attempt_is_answered_only_once_the_supersession_is_recorded() -> None:
@@ -102,6 +102,9 @@
     driver.run()
     node.offer(driver.now, OfferRequest("p1", "life", offer("stays")))
     driver.run()
-    assert node.stop_tasks_of(driver.now, "p0", "lost") + node.stop_tasks_of(driver.now, "x", "lost") == 2
+    assert (
+        node.stop_placer_tasks(driver.now, "p0", "lost") + node.stop_placer_tasks(driver.now, "x", "lost")
+        == 2
+    )
     driver.run()
     assert set(node.tasks) == {"stays"}
--- a/tests/machine/test_grpc_link.py
+++ b/tests/machine/test_grpc_link.py
@@ -53,12 +53,12 @@
     link = PlacerLink(server, pb.Open(placer="p0"), context)
     link_task = asyncio.create_task(link.run(two_offers(requests_ended)))
     await until(lambda: set(server.node.tasks) == {"starts", "queued"})
-    assert server.connected == {"p0"}
+    assert server.connected_placers == {"p0"}
     requests_ended.set()
     await link_task
     assert asyncio.all_tasks() == tasks_before
     assert set(server.node.tasks) == {"starts"}, "a start that has begun goes on: its placer decides"
-    assert server.connected == frozenset()
+    assert server.connected_placers == frozenset()
 
 
 async def test_a_link_that_is_cancelled_leaves_no_task() -> None:
@@ -72,7 +72,7 @@
     with pytest.raises(asyncio.CancelledError):
         await link_task
     assert asyncio.all_tasks() == tasks_before
-    assert server.connected == frozenset()
+    assert server.connected_placers == frozenset()
 
 
 async def test_a_link_to_a_closed_server_aborts() -> None:
--- a/tests/machine/test_server.py
+++ b/tests/machine/test_server.py
@@ -121,7 +121,7 @@
     await listener.open()
     await until(lambda: len(listener.messages) == 3)
     server.node.set_draining(1.0, draining=True)
-    server.changed()
+    server.apply_effects()
     await until(lambda: listener.messages[-1].state == "draining")  # type: ignore[union-attr]
     listener.disconnect()
     await server.close()
--- a/tests/machines.py
+++ b/tests/machines.py
@@ -133,7 +133,7 @@
     def start(self, task: str) -> None:
         assert self.server is not None
         self.server.node.started(1.0, task)
-        self.server.changed()
+        self.server.apply_effects()
 
     def stop_task(self, stop: StopTask) -> None:
         assert self.server is not None
