--- a/kelpfront/api/errors.py
+++ b/kelpfront/api/errors.py
@@ -10,7 +10,7 @@
 
 from kelpfront.api.meta import GROUP, Object, Resource
 
-REASON_OF_CODE = {
+REASON_OF_HTTP_STATUS = {
     400: "BadRequest",
     404: "NotFound",
     405: "MethodNotAllowed",
@@ -70,7 +70,7 @@
         super().__init__(message)
         self.code = code
         self.message = message
-        self.reason = reason or REASON_OF_CODE.get(code, "Unknown")
+        self.reason = reason or REASON_OF_HTTP_STATUS.get(code, "Unknown")
         self.resource = resource
         self.name = name
         self.causes = causes
@@ -104,7 +104,7 @@
         return status
 
 
-def success(resource: Resource, name: str, uid: str) -> Object:
+def success_status(resource: Resource, name: str, uid: str) -> Object:
     """Return the `Status` object of a successful delete."""
     return {
         "kind": "Status",
--- a/kelpfront/api/meta.py
+++ b/kelpfront/api/meta.py
@@ -29,7 +29,7 @@
 LABEL_FORM = "letters, digits, '-', '_' and '.', at most 63, first and last a letter or digit"
 
 
-def name_of_token(token: str, prefix: str = "job-") -> str:
+def job_name_of_token(token: str, prefix: str = "job-") -> str:
     """Return the name of a job that was submitted with a client token and without a name."""
     return prefix + hashlib.blake2b(token.encode(), digest_size=8).hexdigest()
 
@@ -164,7 +164,7 @@
 RESOURCES = {resource.plural: resource for resource in (JOBS, MACHINES, LEVELS)}
 
 
-def field_of(obj: Object, path: str) -> str:
+def field_text(obj: Object, path: str) -> str:
     """Return the value at a dotted path as the text that field selectors compare; booleans in lower case."""
     value: Any = obj
     for part in path.split("."):
--- a/kelpfront/api/selectors.py
+++ b/kelpfront/api/selectors.py
@@ -82,7 +82,7 @@
         return None
 
 
-EVERYTHING = Selector()
+SELECT_ALL = Selector()
 
 
 def parse_selector(resource: Resource, labels: str, fields: str) -> Selector:
--- a/kelpfront/client/bindings.py
+++ b/kelpfront/client/bindings.py
@@ -17,7 +17,7 @@
 
 from kelpfront.api.errors import ApiError
 from kelpfront.api.jobs import JobSpec
-from kelpfront.api.meta import name_of_token
+from kelpfront.api.meta import job_name_of_token
 from kelpfront.client.interface import ServerUnreachableError
 from kelpfront.client.retry import RetryPolicy
 from kelpfront.rpc.jobs import spec_message
@@ -112,7 +112,7 @@
         if job is None:
             return
         submit = job.request.submit
-        name = submit.metadata.name or name_of_token(submit.spec.client_token)
+        name = submit.metadata.name or job_name_of_token(submit.spec.client_token)
         try:
             await self._delete_job(self._namespace, name)
         except ApiError as error:
--- a/kelpfront/client/grpc.py
+++ b/kelpfront/client/grpc.py
@@ -27,7 +27,7 @@
 from kelpfront.client.transport import AttemptMarks, WatchLine
 from kelpfront.rpc.jobs import job_object, spec_message
 from kelpfront.rpc.machines import machine_object
-from kelpfront.rpc.status import error_of
+from kelpfront.rpc.status import error_from_status
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
 
@@ -115,7 +115,7 @@
         """Return what a call's error means: the placer's own error, or that it did not answer."""
         code = error.code()
         text = error.details() or ""
-        answered = error_of(code, text, error.trailing_metadata())
+        answered = error_from_status(code, text, error.trailing_metadata())
         if answered is not None:
             return answered
         if code in FINAL_TRANSPORT_CODES:
--- a/kelpfront/client/retrying.py
+++ b/kelpfront/client/retrying.py
@@ -19,7 +19,7 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.api.jobs import Job, JobSpec
 from kelpfront.api.machines import Machine
-from kelpfront.api.meta import JOBS, MACHINES, Object, Resource, name_of_token
+from kelpfront.api.meta import JOBS, MACHINES, Object, Resource, job_name_of_token
 from kelpfront.client.events import all_answered, job_after, job_metadata
 from kelpfront.client.informer import Event, Informer, ObjectList
 from kelpfront.client.interface import ServerUnreachableError, UnknownOutcomeError
@@ -185,7 +185,7 @@
             return Job.model_validate(await transport.create(namespace, body, remaining_s, marks))
 
         async def find_earlier(transport: Transport, remaining_s: float, marks: AttemptMarks) -> Job | None:
-            job_name = name or name_of_token(token)
+            job_name = name or job_name_of_token(token)
             try:
                 found = await transport.read(JOBS, namespace, job_name, remaining_s, marks)
             except ApiError as error:
--- a/kelpfront/controller/operations.py
+++ b/kelpfront/controller/operations.py
@@ -25,7 +25,7 @@
     Resource,
     check_name,
     check_namespace,
-    name_of_token,
+    job_name_of_token,
 )
 from kelpfront.api.patch import merge_patch
 from kelpfront.api.selectors import Selector
@@ -188,7 +188,7 @@
             return job.metadata.name
         prefix = job.metadata.generate_name or "job-"
         if job.spec.client_token is not None:
-            candidates = [name_of_token(job.spec.client_token, prefix)]
+            candidates = [job_name_of_token(job.spec.client_token, prefix)]
         else:
             candidates = [self._generate_name(prefix) for _ in range(NAME_CANDIDATES)]
         try:
--- a/kelpfront/fronts/grpc/binding_session.py
+++ b/kelpfront/fronts/grpc/binding_session.py
@@ -12,7 +12,7 @@
 from kelpfront.api.meta import Object
 from kelpfront.fronts.grpc.job_progress import Event, JobProgress
 from kelpfront.rpc.limits import MAX_STREAM_JOBS
-from kelpfront.rpc.status import code_of
+from kelpfront.rpc.status import status_code_of
 from kelpfront.rpc.times import duration_message
 
 MAX_REJECTIONS = 1_000
@@ -146,7 +146,7 @@
 
 def _rejected_event(error: ApiError) -> Event.Rejected:
     return Event.Rejected(
-        code=code_of(error).value[0],
+        code=status_code_of(error).value[0],
         reason=error.reason,
         message=error.message,
         retry_after=duration_message(f"{error.retry_after_s}s" if error.retry_after_s else None),
--- a/kelpfront/fronts/grpc/call_metadata.py
+++ b/kelpfront/fronts/grpc/call_metadata.py
@@ -7,7 +7,7 @@
 import grpc
 
 from kelpfront.api.errors import ApiError
-from kelpfront.rpc.status import code_of, trailers
+from kelpfront.rpc.status import status_code_of, trailers
 
 Context = grpc.aio.ServicerContext
 
@@ -17,7 +17,7 @@
 
 async def abort(context: Context[Any, Any], error: ApiError) -> None:
     """End a call with the status of an error. Always raises, like `abort` of the gRPC library."""
-    await context.abort(code_of(error), error.message, trailers(error))
+    await context.abort(status_code_of(error), error.message, trailers(error))
 
 
 def read_metadata(context: Context[Any, Any], name: str) -> str:
--- a/kelpfront/fronts/grpc/job_submission.py
+++ b/kelpfront/fronts/grpc/job_submission.py
@@ -7,7 +7,7 @@
 from kelpfront.api.meta import Object
 from kelpfront.controller.operations import Operations, RequestOrigin
 from kelpfront.rpc.jobs import job_data
-from kelpfront.rpc.unknown_fields import refuse_unknown
+from kelpfront.rpc.unknown_fields import reject_unknown_fields
 from kelpfront.v1 import api_pb2 as pb
 
 
@@ -30,7 +30,7 @@
         ApiError: if the job is not accepted.
     """
     operations.check_overload(origin.received_at)
-    refuse_unknown(request.spec, "spec", request.metadata.name)
+    reject_unknown_fields(request.spec, "spec", request.metadata.name)
     data = job_data(request.metadata, request.spec)
     written = operations.create_job(namespace, data, origin)
     return SubmittedJob(written.stored.body, written.created)
--- a/kelpfront/fronts/rest/__init__.py
+++ b/kelpfront/fronts/rest/__init__.py
@@ -3,6 +3,6 @@
 from kelpfront.fronts.rest.environment import Health, RestEnvironment
 from kelpfront.fronts.rest.front import RestFront
 from kelpfront.fronts.rest.responses import error_body
-from kelpfront.fronts.rest.watch import WatchTimes
+from kelpfront.fronts.rest.watch import WatchTiming
 
-__all__ = ["Health", "RestEnvironment", "RestFront", "WatchTimes", "error_body"]
+__all__ = ["Health", "RestEnvironment", "RestFront", "WatchTiming", "error_body"]
--- a/kelpfront/fronts/rest/collection_requests.py
+++ b/kelpfront/fronts/rest/collection_requests.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from kelpfront.api.errors import ApiError, success
+from kelpfront.api.errors import ApiError, success_status
 from kelpfront.api.meta import API_VERSION, Object
 from kelpfront.controller.operations import Operations, RequestOrigin
 from kelpfront.fronts.open_streams import OpenStreams
@@ -74,7 +74,7 @@
         reject_dry_run(request)
         selector = read_selector(request, path.resource)
         deleted = self._operations.delete_jobs(path.namespace or "", selector)
-        status = success(path.resource, "", "")
+        status = success_status(path.resource, "", "")
         status["details"]["deleted"] = len(deleted)
         return json_response(200, status)
 
--- a/kelpfront/fronts/rest/environment.py
+++ b/kelpfront/fronts/rest/environment.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from kelpfront.fronts.rest.task_output import TaskOutputReader
-from kelpfront.fronts.rest.watch import WatchTimes
+from kelpfront.fronts.rest.watch import WatchTiming
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,5 +38,5 @@
     common_time: Callable[[float], float]
     health: Callable[[], Health]
     rng: random.Random
-    watch_times: WatchTimes = field(default_factory=WatchTimes)
+    watch_times: WatchTiming = field(default_factory=WatchTiming)
     read_task_output: TaskOutputReader | None = None
--- a/kelpfront/fronts/rest/object_requests.py
+++ b/kelpfront/fronts/rest/object_requests.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from kelpfront.api.decode import FieldValidation, parse_json
-from kelpfront.api.errors import success
+from kelpfront.api.errors import success_status
 from kelpfront.api.meta import JOBS, LEVELS, Object
 from kelpfront.controller.operations import Operations, WriteResult
 from kelpfront.fronts.rest.environment import RestEnvironment
@@ -73,4 +73,4 @@
         options = parse_json(request.body) if request.body else {}
         stored = self._operations.delete_job(path.namespace or "", path.name, options)
         uid: str = stored.body["metadata"]["uid"]
-        return json_response(200, success(path.resource, path.name, uid))
+        return json_response(200, success_status(path.resource, path.name, uid))
--- a/kelpfront/fronts/rest/watch.py
+++ b/kelpfront/fronts/rest/watch.py
@@ -27,15 +27,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchTimes:
+class WatchTiming:
     """The timing of watches, in seconds.
 
     Attributes:
-        bookmark_s: the time between bookmarks.
+        bookmark_interval_s: the time between bookmarks.
         max_duration_s: the maximum duration of a watch.
     """
 
-    bookmark_s: float = 10.0
+    bookmark_interval_s: float = 10.0
     max_duration_s: float = 3600.0
 
 
@@ -72,7 +72,7 @@
         times: the timing of the watch.
     """
 
-    def __init__(self, store: ResourceStore, request: WatchRequest, peer: Peer, times: WatchTimes) -> None:
+    def __init__(self, store: ResourceStore, request: WatchRequest, peer: Peer, times: WatchTiming) -> None:
         self._store = store
         self._request = request
         self._peer = peer
@@ -91,7 +91,7 @@
             return
         now = asyncio.get_running_loop().time()
         self._ends_at = now + self._request.timeout_s
-        self._next_bookmark_at = now + self._times.bookmark_s
+        self._next_bookmark_at = now + self._times.bookmark_interval_s
         unsubscribe = self._peer.on_change(self._signal.changed.set)
         try:
             with streams.open(self._signal.stop):
@@ -138,7 +138,7 @@
         """Return whether a bookmark is due; if so, schedule the next one."""
         if now < self._next_bookmark_at:
             return False
-        self._next_bookmark_at = now + self._times.bookmark_s
+        self._next_bookmark_at = now + self._times.bookmark_interval_s
         return True
 
     async def _wait_for_change(self) -> None:
--- a/kelpfront/http/messages.py
+++ b/kelpfront/http/messages.py
@@ -44,7 +44,7 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class Abort(Exception):  # noqa: N818 - control flow, not an error
+class AbortConnection(Exception):  # noqa: N818 - control flow, not an error
     """Raised by a handler to abort the connection without a response, to simulate a crash or a fault."""
 
 
--- a/kelpfront/http/server.py
+++ b/kelpfront/http/server.py
@@ -14,7 +14,7 @@
 
 from kelpfront.http.exchange import READ_BYTES, Exchange
 from kelpfront.http.limits import HttpLimits
-from kelpfront.http.messages import Abort, ErrorBody, Handler, RequestRejectedError, plain_error
+from kelpfront.http.messages import AbortConnection, ErrorBody, Handler, RequestRejectedError, plain_error
 from kelpfront.http.pacing import RequestPacer
 from kelpfront.http.peer import Peer
 
@@ -140,7 +140,7 @@
             await self._serve_requests(exchange, peer)
         except RequestRejectedError as error:
             await exchange.reject(error.status, self._error_body(error.status, error.message))
-        except (Abort, ConnectionError, TimeoutError):
+        except (AbortConnection, ConnectionError, TimeoutError):
             writer.transport.abort()
 
     def _check_admitted(self) -> None:
--- a/kelpfront/lab/faultyfiles.py
+++ b/kelpfront/lab/faultyfiles.py
@@ -97,6 +97,6 @@
         self._step()
         del self._names[name]
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         self._step()
         self._safe_names = dict(self._names)
--- a/kelpfront/lab/fronts.py
+++ b/kelpfront/lab/fronts.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from kelpfront.api.errors import REASON_OF_CODE, ApiError
+from kelpfront.api.errors import REASON_OF_HTTP_STATUS, ApiError
 from kelpfront.api.jobs import Job, JobSpec
 from kelpfront.api.meta import LEVELS
 from kelpfront.api.selectors import Selector
@@ -47,7 +47,8 @@
 # share one process, which took up to 1.1 s of it with 64 calls of gRPC in flight.
 VAIN_PATIENCE = "4s"
 PINNED_FOR = "1h"
-CODE_OF_REASON = {reason: code for code, reason in REASON_OF_CODE.items()}  # the stream tells gRPC's code
+# the stream tells gRPC's code
+CODE_OF_REASON = {reason: code for code, reason in REASON_OF_HTTP_STATUS.items()}
 
 SETTINGS = f"""
 [placer]
--- a/kelpfront/lab/standin.py
+++ b/kelpfront/lab/standin.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Literal
 
 from kelpfront.http.limits import HttpLimits
-from kelpfront.http.messages import Abort, Request, Response
+from kelpfront.http.messages import AbortConnection, Request, Response
 from kelpfront.lab.recording import Recorder
 from kelpfront.machine.effects import StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.idempotency_records import MachineIdempotencyRecords
@@ -117,7 +117,7 @@
         await standin.until_heard()
         if troubles.reset_share and standin.rng.random() < troubles.reset_share:
             standin.record("answer", task=key[0], attempt=key[1], answer="lost")
-            raise Abort
+            raise AbortConnection
         delivered = not (request.peer.closed or request.peer.half_closed)
         standin.record(
             "answer",
--- a/kelpfront/machine/grpc_link.py
+++ b/kelpfront/machine/grpc_link.py
@@ -13,7 +13,7 @@
 
 import grpc
 
-from kelpfront.http.messages import Abort, Request
+from kelpfront.http.messages import AbortConnection, Request
 from kelpfront.http.peer import Peer
 from kelpfront.machine.grpc_conversion import (
     UnknownValueError,
@@ -50,8 +50,8 @@
     async def run(self, requests: AsyncIterator[pb.PlacerMessage]) -> None:
         """Serve the stream until the placer disconnects, a newer stream replaces it, or the server closes.
 
-        Raises the exception of an asyncio task of the stream that failed; Abort if the connection must be
-        broken.
+        Raises the exception of an asyncio task of the stream that failed; AbortConnection if the connection
+        must be broken.
         """
         stream_tasks = [
             self._spawn(self._read(requests)),
@@ -95,7 +95,7 @@
     async def _read(self, requests: AsyncIterator[pb.PlacerMessage]) -> None:
         async for request in requests:
             if self._server.closed.is_set():
-                raise Abort  # a closed server must not accept further messages
+                raise AbortConnection  # a closed server must not accept further messages
             match request.WhichOneof("message"):
                 case "offer":
                     await self._accept_offer(request.offer)
--- a/kelpfront/machine/grpc_server.py
+++ b/kelpfront/machine/grpc_server.py
@@ -11,7 +11,7 @@
 
 import grpc
 
-from kelpfront.http.messages import Abort
+from kelpfront.http.messages import AbortConnection
 from kelpfront.machine.grpc_link import PlacerLink
 from kelpfront.machine.server import MachineServer
 from kelpfront.v1 import node_pb2 as pb
@@ -83,7 +83,7 @@
         link = PlacerLink(self._server, first.open, context)
         try:
             await link.run(requests)
-        except Abort:
+        except AbortConnection:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "broken off")
 
     async def Log(  # noqa: N802 - the name of the call in node.proto
--- a/kelpfront/machine/server.py
+++ b/kelpfront/machine/server.py
@@ -163,7 +163,7 @@
     async def answer_offer(self, offered: OfferRequest, request: Request) -> Answer:
         """Return the answer to send for an offer; a hook around `decide_offer` for subclasses.
 
-        Raises Abort if the connection must be broken without an answer.
+        Raises AbortConnection if the connection must be broken without an answer.
         """
         return await self.decide_offer(offered, request)
 
--- a/kelpfront/rpc/status.py
+++ b/kelpfront/rpc/status.py
@@ -18,7 +18,7 @@
 DOMAIN = "kelpfront.dev"
 DETAILS_KEY = "grpc-status-details-bin"
 
-CODE_OF_REASON = {
+STATUS_CODE_OF_REASON = {
     "BadRequest": grpc.StatusCode.INVALID_ARGUMENT,
     "Invalid": grpc.StatusCode.INVALID_ARGUMENT,
     "NotFound": grpc.StatusCode.NOT_FOUND,
@@ -57,14 +57,14 @@
     retry_after_s: int
 
 
-def code_of(error: ApiError) -> grpc.StatusCode:
+def status_code_of(error: ApiError) -> grpc.StatusCode:
     """Return the gRPC status code for an error."""
-    return CODE_OF_REASON.get(error.reason, grpc.StatusCode.UNKNOWN)
+    return STATUS_CODE_OF_REASON.get(error.reason, grpc.StatusCode.UNKNOWN)
 
 
 def status_message(error: ApiError) -> status_pb2.Status:
     """Return the complete status of an error, with its details."""
-    code: int = code_of(error).value[0]
+    code: int = status_code_of(error).value[0]
     status = status_pb2.Status(code=code, message=error.message)
     metadata = {"code": str(error.code)}
     if error.name:
@@ -93,7 +93,7 @@
     return ((DETAILS_KEY, status_message(error).SerializeToString()),)
 
 
-def error_of(
+def error_from_status(
     code: grpc.StatusCode, message: str, metadata: Iterable[tuple[str, str | bytes]] | None
 ) -> ApiError | None:
     """Return the placer's error that ended a call, or None if the status is from the transport."""
@@ -139,4 +139,4 @@
     return _Details(info, causes, retry_after_s)
 
 
-assert {code.value[0] for code in CODE_OF_REASON.values()} <= set(code_pb2.Code.values())
+assert {code.value[0] for code in STATUS_CODE_OF_REASON.values()} <= set(code_pb2.Code.values())
--- a/kelpfront/rpc/unknown_fields.py
+++ b/kelpfront/rpc/unknown_fields.py
@@ -13,7 +13,7 @@
 MAX_REPORTED_FIELDS = 20  # bounds the size of an error, which the client could otherwise choose
 
 
-def refuse_unknown(message: Message, path: str, name: str = "") -> None:
+def reject_unknown_fields(message: Message, path: str, name: str = "") -> None:
     """Raise ApiError 422 if a message has fields that this version does not know.
 
     `path` is the path of the message in the resource, `name` the resource's name.
--- a/kelpfront/service/composition.py
+++ b/kelpfront/service/composition.py
@@ -17,7 +17,7 @@
 from kelpfront.config import Config, build_cluster, build_levels
 from kelpfront.controller.job_controller import ControllerIdentity, ControllerOptions, JobController
 from kelpfront.controller.jobs import JobLimits
-from kelpfront.fronts.rest import WatchTimes
+from kelpfront.fronts.rest import WatchTiming
 from kelpfront.http.limits import HttpLimits
 from kelpfront.store import ResourceStore, StoreLimits
 
@@ -46,7 +46,7 @@
 
     seed: int | None = None
     clock: CommonClock | None = None
-    watch_times: WatchTimes | None = None
+    watch_times: WatchTiming | None = None
     stopwatch: Callable[[], float] = time.perf_counter
     use_threads: bool = True
 
--- a/kelpfront/service/placer.py
+++ b/kelpfront/service/placer.py
@@ -18,7 +18,7 @@
 from kelpfront.config import Config
 from kelpfront.controller.job_controller import JobController
 from kelpfront.controller.operations import Operations
-from kelpfront.fronts.rest import Health, RestEnvironment, RestFront, WatchTimes, error_body
+from kelpfront.fronts.rest import Health, RestEnvironment, RestFront, WatchTiming, error_body
 from kelpfront.http.pacing import RequestPacer
 from kelpfront.http.server import HttpServer
 from kelpfront.inventory import Inventory
@@ -79,7 +79,7 @@
         self.links = MachineLinks(LinkContext(self.controller, self.clock.now, self.notify_changed, rng))
         self._control_loop = ControlLoop(self.controller, self.clock.now, self.links)
         pacer = RequestPacer(clock=options.stopwatch)  # shared, because both APIs use one event loop
-        self.rest = self._make_rest_front(rng, options.watch_times or WatchTimes())
+        self.rest = self._make_rest_front(rng, options.watch_times or WatchTiming())
         self.http = HttpServer(self.rest.handle, composition.build_http_limits(config), error_body, pacer)
         self.grpc = self._make_grpc_front(pacer)
         self.inventory_reloader = InventoryReloader(config, self._apply_inventory)
@@ -98,7 +98,7 @@
 
         trace_finished_tasks(self.controller, self._tracer.write, self.clock.now)
 
-    def _make_rest_front(self, rng: random.Random, watch_times: WatchTimes) -> RestFront:
+    def _make_rest_front(self, rng: random.Random, watch_times: WatchTiming) -> RestFront:
         environment = RestEnvironment(
             common_time=self._common_time,
             health=self.health,
--- a/kelpfront/store/log_directory.py
+++ b/kelpfront/store/log_directory.py
@@ -49,14 +49,14 @@
         ...
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; the new name is durable after `sync_folder`."""
+        """Rename a file; the new name is durable after `sync_directory`."""
         ...
 
     def remove(self, name: str) -> None:
-        """Remove a file; the removal is durable after `sync_folder`."""
+        """Remove a file; the removal is durable after `sync_directory`."""
         ...
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Make the creation, renaming and removal of files durable."""
         ...
 
@@ -118,14 +118,14 @@
             os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; the new name is durable after `sync_folder`."""
+        """Rename a file; the new name is durable after `sync_directory`."""
         (self._folder / old).rename(self._folder / new)
 
     def remove(self, name: str) -> None:
-        """Remove a file; the removal is durable after `sync_folder`."""
+        """Remove a file; the removal is durable after `sync_directory`."""
         (self._folder / name).unlink()
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         """Make the creation, renaming and removal of files durable."""
         handle = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
--- a/kelpfront/store/objects.py
+++ b/kelpfront/store/objects.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from kelpfront.api.meta import Object, Resource, field_of
+from kelpfront.api.meta import Object, Resource, field_text
 
 ObjectKey = tuple[str, str]
 """Namespace (empty for resources without namespaces) and name."""
@@ -50,7 +50,7 @@
         """Encode `body` at a revision. Sets the resource version in the metadata of `body`."""
         namespace, name = key
         body["metadata"]["resourceVersion"] = str(revision)
-        field_values = {path: field_of(body, path) for path in resource.fields}
+        field_values = {path: field_text(body, path) for path in resource.fields}
         labels: dict[str, str] = body["metadata"].get("labels") or NO_LABELS
         encoded = msgspec.json.encode(body)
         return cls(namespace, name, revision, encoded, labels, field_values, weight)
--- a/kelpfront/store/resource_store.py
+++ b/kelpfront/store/resource_store.py
@@ -15,7 +15,7 @@
 
 from kelpfront.api.errors import ApiError, already_exists, conflict, expired, not_found
 from kelpfront.api.meta import RESOURCES, Object, Resource
-from kelpfront.api.selectors import EVERYTHING, Selector
+from kelpfront.api.selectors import SELECT_ALL, Selector
 from kelpfront.store.history import Change, ChangeHistory
 from kelpfront.store.listing import ContinueToken, ListPage, ListPager
 from kelpfront.store.objects import ObjectKey, StoredObject
@@ -130,7 +130,7 @@
         self,
         resource: Resource,
         namespace: str | None = None,
-        selector: Selector = EVERYTHING,
+        selector: Selector = SELECT_ALL,
         limit: int = 0,
         token: str = "",
     ) -> ListPage:
@@ -167,7 +167,7 @@
         resource: Resource,
         wake: Callable[[], None],
         namespace: str | None = None,
-        selector: Selector = EVERYTHING,
+        selector: Selector = SELECT_ALL,
         since_revision: int | None = None,
     ) -> Watch:
         """Return a watch of the changes after `since_revision`.
--- a/kelpfront/store/watch.py
+++ b/kelpfront/store/watch.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from kelpfront.api.selectors import EVERYTHING, Selector
+from kelpfront.api.selectors import SELECT_ALL, Selector
 from kelpfront.store.history import Change
 from kelpfront.store.objects import ObjectKey, StoredObject
 
@@ -39,7 +39,7 @@
     """The objects of a resource that a list or watch selects; `namespace` None means all namespaces."""
 
     namespace: str | None = None
-    selector: Selector = EVERYTHING
+    selector: Selector = SELECT_ALL
 
     @property
     def name(self) -> str | None:
--- a/kelpfront/store/write_ahead_log.py
+++ b/kelpfront/store/write_ahead_log.py
@@ -171,7 +171,7 @@
         header = FileHeader(self._segment_salt, self._next_sequence).encode()
         self._directory.append(handle, header)
         self._directory.sync(handle)
-        self._directory.sync_folder()
+        self._directory.sync_directory()
         self._handle = handle
         self._segment_bytes = len(header)
 
@@ -200,7 +200,7 @@
         self._directory.sync(handle)
         self._directory.close(handle)
         self._directory.rename(name + PARTIAL_SUFFIX, name)
-        self._directory.sync_folder()
+        self._directory.sync_directory()
 
     def _check_usable(self) -> None:
         if self._failure:
--- a/tests/clusters.py
+++ b/tests/clusters.py
@@ -13,7 +13,7 @@
 from kelpfront.config import Config
 from kelpfront.config.reader import parse_config
 from kelpfront.controller.job_controller import JobController
-from kelpfront.fronts.rest import WatchTimes
+from kelpfront.fronts.rest import WatchTiming
 from kelpfront.inventory import Host, Inventory
 from kelpfront.lab.recording import Recorder
 from kelpfront.lab.standins import Fleet, FleetModel
@@ -107,7 +107,7 @@
             self.inventory,
             controller_class=controller_class,
             options=PlacerOptions(
-                seed=len(self.placers), clock=self.clock, watch_times=WatchTimes(bookmark_s=0.2)
+                seed=len(self.placers), clock=self.clock, watch_times=WatchTiming(bookmark_interval_s=0.2)
             ),
         )
         self.placers.append(service)
--- a/tests/fronts/test_grpc_limits.py
+++ b/tests/fronts/test_grpc_limits.py
@@ -12,7 +12,7 @@
 from waiting import until
 
 from kelpfront.api.meta import JOBS
-from kelpfront.rpc.status import error_of
+from kelpfront.rpc.status import error_from_status
 from kelpfront.v1 import api_pb2 as pb
 
 
@@ -107,7 +107,7 @@
         with pytest.raises(grpc.aio.AioRpcError):
             await call.read()
         assert await call.code() is grpc.StatusCode.UNAVAILABLE
-        error = error_of(await call.code(), "", await call.trailing_metadata())
+        error = error_from_status(await call.code(), "", await call.trailing_metadata())
         assert error is not None
         assert error.retry_after_s
         events = await read_task
--- a/tests/fronts/test_rpc_messages.py
+++ b/tests/fronts/test_rpc_messages.py
@@ -9,28 +9,31 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from kelpfront.api.errors import REASON_OF_CODE, ApiError, Cause
+from kelpfront.api.errors import REASON_OF_HTTP_STATUS, ApiError, Cause
 from kelpfront.api.jobs import JOB_INPUT
 from kelpfront.rpc.jobs import job_data, spec_message
-from kelpfront.rpc.status import CODE_OF_REASON, code_of, error_of, trailers
+from kelpfront.rpc.status import STATUS_CODE_OF_REASON, error_from_status, status_code_of, trailers
 from kelpfront.v1 import resources_pb2
 
 
-@pytest.mark.parametrize("reason", [*REASON_OF_CODE.values(), "AlreadyExists"])
+@pytest.mark.parametrize("reason", [*REASON_OF_HTTP_STATUS.values(), "AlreadyExists"])
 def test_every_reason_of_the_rest_api_survives_the_conversion_to_a_status(reason: str) -> None:
-    http_code = next((code for code, name in REASON_OF_CODE.items() if name == reason), 409)
+    http_code = next((code for code, name in REASON_OF_HTTP_STATUS.items() if name == reason), 409)
     causes = (Cause("spec.cores", "must be above 0"), Cause("spec.key", "is required", "FieldValueRequired"))
     error = ApiError(http_code, "words", reason=reason, name="x", causes=causes, retry_after_s=3)
-    assert reason in CODE_OF_REASON
-    decoded = error_of(code_of(error), "words", trailers(error))
+    assert reason in STATUS_CODE_OF_REASON
+    decoded = error_from_status(status_code_of(error), "words", trailers(error))
     assert decoded is not None
     assert (decoded.code, decoded.reason, decoded.message, decoded.name) == (http_code, reason, "words", "x")
     assert (decoded.causes, decoded.retry_after_s) == (causes, 3)
 
 
 def test_a_status_without_error_info_is_not_an_api_error() -> None:
-    assert error_of(grpc.StatusCode.UNAVAILABLE, "x", ()) is None
-    assert error_of(grpc.StatusCode.UNAVAILABLE, "x", (("grpc-status-details-bin", b"\xff\xff"),)) is None
+    assert error_from_status(grpc.StatusCode.UNAVAILABLE, "x", ()) is None
+    assert (
+        error_from_status(grpc.StatusCode.UNAVAILABLE, "x", (("grpc-status-details-bin", b"\xff\xff"),))
+        is None
+    )
 
 
 @given(
--- a/tests/grpc_calls.py
+++ b/tests/grpc_calls.py
@@ -13,7 +13,7 @@
 from kelpfront.api.errors import ApiError
 from kelpfront.lab.standins import FleetModel
 from kelpfront.rpc.jobs import spec_message
-from kelpfront.rpc.status import error_of
+from kelpfront.rpc.status import error_from_status
 from kelpfront.service.placer import PlacerService
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
@@ -59,7 +59,7 @@
     with pytest.raises(grpc.aio.AioRpcError) as caught:
         await call
     error = caught.value
-    return error.code(), error_of(error.code(), error.details() or "", error.trailing_metadata())
+    return error.code(), error_from_status(error.code(), error.details() or "", error.trailing_metadata())
 
 
 async def first_message(call: Any) -> Any:
--- a/tests/http/test_http.py
+++ b/tests/http/test_http.py
@@ -11,7 +11,7 @@
 
 from kelpfront.http.client import HttpConnection, NoAnswerError, NotSentError
 from kelpfront.http.limits import HttpLimits
-from kelpfront.http.messages import Abort, Request, Response
+from kelpfront.http.messages import AbortConnection, Request, Response
 from kelpfront.http.pool import HttpPool
 from kelpfront.http.server import HttpServer
 
@@ -200,7 +200,7 @@
 async def test_errors_distinguish_unsent_requests_from_those_that_may_have_arrived() -> None:
     async def handler(request: Request) -> Response:
         if request.path == "/break":
-            raise Abort
+            raise AbortConnection
         return await echo(request)
 
     async with serving(handler) as server:
--- a/tests/machine/test_grpc_link.py
+++ b/tests/machine/test_grpc_link.py
@@ -10,7 +10,7 @@
 from machines import InstantRuntime, node_settings, offer
 from waiting import until
 
-from kelpfront.http.messages import Abort
+from kelpfront.http.messages import AbortConnection
 from kelpfront.machine.grpc_conversion import offer_message
 from kelpfront.machine.grpc_link import PlacerLink
 from kelpfront.machine.model import Incarnation
@@ -80,7 +80,7 @@
     server.closed.set()
     context: Any = FakeContext()
     tasks_before = asyncio.all_tasks()
-    with pytest.raises(Abort):
+    with pytest.raises(AbortConnection):
         await PlacerLink(server, pb.Open(placer="p0"), context).run(two_offers(asyncio.Event()))
     assert asyncio.all_tasks() == tasks_before
     assert not server.node.tasks
--- a/tests/store/test_write_ahead_log.py
+++ b/tests/store/test_write_ahead_log.py
@@ -212,7 +212,7 @@
 class WithoutDirectorySync(FaultyFiles):
     """A faulty directory in which the sync of the directory has no effect."""
 
-    def sync_folder(self) -> None:
+    def sync_directory(self) -> None:
         self._step()
 
 
