--- a/kelpfront/client/grpc.py
+++ b/kelpfront/client/grpc.py
@@ -27,7 +27,7 @@
 from kelpfront.client.transport import AttemptMarks, WatchLine
 from kelpfront.rpc.jobs import job_object, spec_message
 from kelpfront.rpc.machines import machine_object
-from kelpfront.rpc.status import error_of
+from kelpfront.rpc.status import error_from_status
 from kelpfront.v1 import api_pb2 as pb
 from kelpfront.v1 import api_pb2_grpc, resources_pb2
 
@@ -117,7 +117,7 @@
         """Convert a call's error to an ApiError, or to ServerUnreachableError if a retry may succeed."""
         code = error.code()
         text = error.details() or ""
-        placer_error = error_of(code, text, error.trailing_metadata())
+        placer_error = error_from_status(code, text, error.trailing_metadata())
         if placer_error is not None:
             return placer_error
         if code in FINAL_TRANSPORT_CODES:
--- a/kelpfront/fronts/rest/collection_requests.py
+++ b/kelpfront/fronts/rest/collection_requests.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from kelpfront.api.errors import ApiError, success
+from kelpfront.api.errors import ApiError, success_status
 from kelpfront.api.meta import API_VERSION, Object
 from kelpfront.controller.operations import Operations, RequestOrigin
 from kelpfront.fronts.open_streams import OpenStreams
@@ -63,8 +63,8 @@
     def _create(self, request: Request, namespace: str) -> Response:
         reject_dry_run(request)
         received_at = self._environment.common_time(request.received_at)
-        is_retry = self._operations.count_try(request.headers.get(ATTEMPT_HEADER, ""))
-        self._operations.check_open(received_at)
+        is_retry = self._operations.count_submission(request.headers.get(ATTEMPT_HEADER, ""))
+        self._operations.check_overload(received_at)
         data = read_body(request, JSON)
         origin = RequestOrigin(received_at, read_sent_at(request), is_retry)
         written = self._operations.create_job(namespace, data, origin, read_validation(request))
@@ -74,7 +74,7 @@
         reject_dry_run(request)
         selector = read_selector(request, path.resource)
         deleted = self._operations.delete_jobs(path.namespace or "", selector)
-        status = success(path.resource, "", "")
+        status = success_status(path.resource, "", "")
         status["details"]["deleted"] = len(deleted)
         return json_response(200, status)
 
--- a/kelpfront/lab/standin.py
+++ b/kelpfront/lab/standin.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING, Literal
 
 from kelpfront.http.limits import HttpLimits
-from kelpfront.http.messages import Abort, Request, Response
+from kelpfront.http.messages import AbortConnection, Request, Response
 from kelpfront.lab.recording import Recorder
 from kelpfront.machine.effects import StartTask, StopTask, SupersedeAttempt
 from kelpfront.machine.idempotency_records import MachineIdempotencyRecords
@@ -117,7 +117,7 @@
         await standin.until_heard()
         if troubles.reset_share and standin.rng.random() < troubles.reset_share:
             standin.record("answer", task=key[0], attempt=key[1], answer="lost")
-            raise Abort
+            raise AbortConnection
         delivered = not (request.peer.closed or request.peer.half_closed)
         standin.record(
             "answer",
@@ -301,7 +301,7 @@
     def drain(self, on: bool) -> None:
         if self.server is not None:
             self.node.set_draining(self.now(), draining=on)
-            self.server.changed()
+            self.server.apply_effects()
 
     def neighbour(self, share: float) -> None:
         """Another program takes a share of the machine."""
@@ -410,13 +410,13 @@
             held.offer.memory * model.memory_use * self.rng.uniform(0.7, 1.3),
         )
         self.node.started(self.now(), task)
-        self.server.changed()
+        self.server.apply_effects()
         self._later(life_ms / 1000.0, self._exit, task)
 
     def _fail(self, task: str) -> None:
         assert self.server is not None
         self.node.start_unconfirmed(self.now(), task, "the class fails here")
-        self.server.changed()
+        self.server.apply_effects()
 
     def _exit(self, task: str) -> None:
         assert self.server is not None
@@ -427,7 +427,7 @@
             return
         self.record("end", task=task, attempt=held.offer.attempt, cause=held.cause)
         self.node.exited(self.now(), task, 0 if held.cause == "ended" else None)
-        self.server.changed()
+        self.server.apply_effects()
 
     def supersede_attempt(self, superseding: SupersedeAttempt) -> None:
         offer = superseding.offer
@@ -460,7 +460,7 @@
                 self.node.report_status(Note(task, held.offer.attempt, "cores", round(use[0], 3)))
                 self.node.report_status(Note(task, held.offer.attempt, "memory", round(use[1], 3)))
         self._note_service()
-        self.server.changed()
+        self.server.apply_effects()
 
     def _note_service(self) -> None:
         capacity = self.settings.capacity
--- a/tests/client/test_clients.py
+++ b/tests/client/test_clients.py
@@ -250,10 +250,10 @@
 @BOTH_PROTOCOLS
 async def test_a_retryable_refusal_is_retried_and_counted_as_a_retry(protocol: str) -> None:
     async with served_client(protocol) as (_, service, client):
-        service.operations.closed = "busy"
+        service.operations.rejection_message = "busy"
         submitting = asyncio.create_task(client.submit("climate", spec(), deadline_s=20.0))
         await until(lambda: service.operations.first_tries == 1)
-        service.operations.closed = ""
+        service.operations.rejection_message = ""
         assert (await submitting).metadata.uid
         assert (service.operations.first_tries, service.operations.retries) == (1, 1)
         assert client.retry_policy.counts.retries == 1
@@ -262,7 +262,7 @@
 @BOTH_PROTOCOLS
 async def test_no_attempt_is_made_after_the_deadline(protocol: str) -> None:
     async with served_client(protocol) as (_, service, client):
-        service.operations.closed = "busy"
+        service.operations.rejection_message = "busy"
         loop = asyncio.get_running_loop()
         began = loop.time()
         with pytest.raises(ApiError) as caught:
