--- a/tests/fronts/test_rest_errors.py
+++ b/tests/fronts/test_rest_errors.py
@@ -96,5 +96,5 @@
         with pytest.raises(ServerUnreachableError) as caught:
             await Client(url).submit("climate", spec())
         assert not caught.value.may_have_arrived
-    with pytest.raises(ValueError, match="is not http"):
+    with pytest.raises(ValueError, match="expected a URL of the form http://HOST:PORT, got 'ftp://x'"):
         Client("ftp://x")
